--- a/src/godwittack/core/__init__.py
+++ b/src/godwittack/core/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of a daemon, without I/O: inputs go in, effects come out."""
+"""The decision logic of a daemon: maps inputs to effects, without I/O."""
--- a/src/godwittack/core/backlog.py
+++ b/src/godwittack/core/backlog.py
@@ -1,4 +1,4 @@
-"""Estimates what each server still has to compute, from what was sent."""
+"""Estimates the remaining work of each server from the prompts sent to it."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 if TYPE_CHECKING:
     from godwittack.core import entities, server_inputs
 
-# Time of an engine from which a prompt is told to other daemons; shorter ones
-# are many, and gone before the news matters.
+# Compute time from which a prompt is announced to other daemons. Shorter ones
+# are numerous, and finished before the announcement is of use.
 ANNOUNCE_MS = 10.0
-# Part of a less urgent backlog that a request waits for all the same: engines
-# compute prompts in pieces, and the piece under way ends first.
+# Fraction of a less urgent backlog that still delays a request: engines compute
+# prompts in chunks, and finish the current chunk first.
 LESS_URGENT_PART = 0.1
-# Added to the estimate of when a prompt is computed: one piece of 2,048 tokens
-# and the step that it shares with running requests.
+# Added to the estimated time at which a prompt is computed: one chunk of 2,048
+# tokens and the step that it shares with running requests.
 READY_MARGIN_MS = 20
-# Milliseconds that one more running request adds to the time of another: a
-# step of 3.55 ms grows by 0.046, over some ten steps until the first token.
+# Delay of a first token for each running request: each lengthens a step of
+# 3.55 ms by 0.046 ms, over about ten steps until the first token.
 BATCH_MS = 0.5
-# Power of the part of slots in use that approximates the chance that a server
-# is full by the time a request arrives.
+# The fraction of slots in use, raised to this power, approximates the
+# probability that a server is full when a request arrives.
 FULL_POWER = 3
 
 
@@ -33,10 +33,11 @@
     tokens: float,
     priority: int,
 ) -> None:
-    """Counts a prompt that a server has begun or will begin to compute.
+    """Adds a prompt that a server is computing or will compute.
 
-    Server reports are some hundred milliseconds old, as long as a long prompt
-    takes. What was sent is known at once, and computed at a known pace.
+    Server reports are some hundred milliseconds old, about the time that a long
+    prompt takes. Dispatched prompts are known at once, and so is their prefill
+    cost.
     """
     us_per_token = pace.us_per_token(world, server)
     starts_ms = max(float(world.now_ms), server.backlog.get(priority, 0.0))
@@ -46,14 +47,14 @@
 def is_long(
     world: entities.World, server: entities.ServerRow, tokens: int
 ) -> bool:
-    """Returns whether other daemons should know of a prompt of this size."""
+    """Returns whether a prompt is long enough to be announced to peers."""
     return tokens * pace.us_per_token(world, server) >= ANNOUNCE_MS * 1000
 
 
 def wait_ms(
     world: entities.World, server: entities.ServerRow, *, priority: int
 ) -> float:
-    """Returns how long a request of a priority waits for others' prompts."""
+    """Estimates how long a request waits for the prompts sent before it."""
     total = 0.0
     for other, ends_ms in server.backlog.items():
         left_ms = max(0.0, ends_ms - world.now_ms)
@@ -64,7 +65,7 @@
 def queue_ms(
     world: entities.World, server: entities.ServerRow, rank: int
 ) -> float:
-    """Estimates how long a request waits at a server for its first turn."""
+    """Estimates how long a request waits until a server begins it."""
     wait = wait_ms(world, server, priority=rank)
     fresh = world.now_ms - server.reported_at_ms < world.policy.report_stale_ms
     in_flight = len(server.sent)
@@ -78,16 +79,16 @@
     slots = server.slots or world.policy.slots
     turn_ms = world.service_ms.get(server.target, 0.0) / slots
     wait += turn_ms * _turns(in_flight, slots)
-    # Every request in a batch makes each of its steps a little longer.
+    # Every request in a batch makes each of its steps slightly longer.
     return wait + in_flight * BATCH_MS
 
 
 def _turns(in_flight: int, slots: int) -> float:
-    """Returns how many requests must end at a server before the next begins.
+    """Returns how many requests must end before a server begins the next.
 
-    Load pattern: few slots are free, and a report of them is older than a
-    request lasts. A server that reported free slots may be full by now; below
-    the last slot the result is an estimate of that chance.
+    Load pattern: few slots are free, and the report of them is older than the
+    duration of a request. A server that reported free slots may be full by now;
+    while slots are free, the result is the estimated probability of that.
     """
     if in_flight >= slots:
         return float(in_flight - slots + 1)
@@ -101,9 +102,9 @@
     *,
     priority: int,
 ) -> None:
-    """Remembers what a server will hold once it has computed its backlog.
+    """Records what a server will have cached after computing its backlog.
 
-    Until then no other server can copy it: a copy asked for too soon finds
+    Until then no other server can copy it: a fetch that comes too early finds
     nothing, and the same levels are computed a second time.
     """
     ready_ms = max(float(world.now_ms), server.backlog.get(priority, 0.0))
@@ -119,7 +120,7 @@
 def peer_dispatched(
     world: entities.World, told: server_inputs.PeerDispatched
 ) -> None:
-    """Takes in what another daemon sent to a server."""
+    """Records a prompt that another daemon sent to a server."""
     server = world.servers.get(told.server_id)
     if server is None:
         return
--- a/src/godwittack/core/candidates.py
+++ b/src/godwittack/core/candidates.py
@@ -1,4 +1,4 @@
-"""Draws the servers among which a prompt is placed."""
+"""Selects the servers that are scored for a prompt."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 if TYPE_CHECKING:
     from godwittack.core import entities
 
-# Servers up to which each is scored; beyond it only candidates are.
+# Up to this many usable servers, all of them are scored.
 SCORE_ALL = 8
-# Candidates drawn at random, besides the home and the holders.
+# Random candidates, in addition to the home server and the cache holders.
 DRAWN = 4
 
 
@@ -25,11 +25,18 @@
     held: dict[str, int],
     home: str,
 ) -> list[entities.ServerRow]:
-    """Returns the servers to score: home, holders, and a few at random.
+    """Returns the home server, cache holders, and a few random servers.
 
-    Load pattern: an engine comes back idle, and tens of daemons hear of it
-    before they hear of each other's requests. If all scored it, all would
-    choose it (Mitzenmacher, The power of two choices, 2001).
+    Load pattern: an engine comes back idle, and tens of daemons learn of it
+    before they learn of each other's requests. If all of them scored it, all
+    would choose it (Mitzenmacher, The power of two choices, 2001).
+
+    Args:
+        world: The tables.
+        request: The request to place.
+        usable: Servers that may get the request.
+        held: Prompt tokens that each server has cached, by server id.
+        home: Home server of the prompt; empty for none.
     """
     if len(usable) <= SCORE_ALL:
         return usable
@@ -49,10 +56,10 @@
 
 
 def home(request: entities.RequestRow, usable: list[entities.ServerRow]) -> str:
-    """Returns the server on which a prompt's shared levels should stand.
+    """Returns the server on which a prompt's shared levels should be cached.
 
-    It is chosen by the last shared level, since many prompts may open with the
-    same first one.
+    It is chosen by the hash of the last shared level, since many prompts may
+    begin with the same first one.
     """
     levels_asked = request.work.levels
     if not levels_asked:
--- a/src/godwittack/core/holding.py
+++ b/src/godwittack/core/holding.py
@@ -1,4 +1,4 @@
-"""Tells which servers and stores hold how much of a prompt."""
+"""Determines how much of a prompt each server or store has cached."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
     from godwittack.core import entities, work
 
-# Target under which stores of cached state are kept in the server tables.
+# Target name of the stores of cached state in the server tables.
 STORE_TARGET = "kv-store"
 
 
@@ -22,17 +22,18 @@
     *,
     ready_by_ms: int | None = None,
 ) -> int:
-    """Returns the leading tokens that a server is believed to hold.
+    """Returns how many leading tokens a server is believed to have cached.
 
-    Engines reuse a prompt's levels without gaps only. Of small ones nobody
-    tells; one before a level that is held was needed for it.
+    Engines reuse a prompt's levels only without gaps. Small levels are not
+    reported; one that precedes a cached level is cached too, since computing
+    that level required it.
 
     Args:
         server: The server.
-        request: Whose prompt it is.
-        version: Weights by which the levels were computed.
-        ready_by_ms: Time by which they must be there; None counts those as
-            well that are still being computed.
+        request: The request with the prompt.
+        version: Version of the weights that the levels were computed with.
+        ready_by_ms: Time by which they must be cached; None also counts levels
+            that are still being computed.
     """
     total = untold = 0
     for level in request.work.levels:
@@ -56,11 +57,12 @@
 def home_store(
     world: entities.World, request: entities.RequestRow
 ) -> entities.ServerRow | None:
-    """Returns the store that keeps a prompt's shared levels.
+    """Returns the store that holds a prompt's shared levels.
 
-    Load pattern: more shared parts than one store holds. Saved to every store
-    they evict each other from each, and each link carries all of them. One
-    store a part, chosen by hash, is found by every daemon without news.
+    Load pattern: more shared levels than fit into one store. Saved to every
+    store, they would evict each other everywhere, and each link would carry all
+    of them. Every daemon finds the one store of a level by its hash, without
+    updates from its peers.
     """
     shared = request.work.levels[:-1]
     by_name = {store.server_id: store for store in stores(world)}
@@ -71,7 +73,7 @@
 
 
 def stores(world: entities.World) -> Iterable[entities.ServerRow]:
-    """Returns the stores of cached state that answer."""
+    """Returns the stores in use; one that does not answer is draining."""
     return (
         store
         for store in world.servers_by_target[STORE_TARGET].values()
@@ -80,7 +82,7 @@
 
 
 def version_key(level: work.Level, version: str) -> int:
-    """Returns the key of a level as computed by a version of weights."""
+    """Returns the key of a level computed with a version of the weights."""
     return levels.versioned(level.key, version)
 
 
--- a/src/godwittack/core/kvreuse.py
+++ b/src/godwittack/core/kvreuse.py
@@ -1,4 +1,4 @@
-"""Decides under which scope state is cached, and what a store is given."""
+"""Chooses the scope of cached state, and what is saved to a store."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 if TYPE_CHECKING:
     from godwittack.core import entities
 
-# Time of computing from which a copy in a store is worth its transfer.
+# Compute time from which saving levels to a store is worth the transfer.
 SAVE_MS = 7.0
-# Time of a transfer of 13,000 tokens to a store in another failure domain,
-# behind one other.
+# Time to transfer 13,000 tokens to a store in another failure domain, after
+# waiting for one other transfer.
 TRANSFER_MS = 130
 
 
@@ -22,12 +22,12 @@
     request: entities.RequestRow,
     server: entities.ServerRow,
 ) -> str:
-    """Returns the text under which an engine may share what it caches.
+    """Returns the scope within which an engine may share cached state.
 
-    A store drops nothing when new weights come, and engines check neither
-    workspace nor version of what they fetch. Without the version in the
-    scope, an answer could be built on state of older weights; without the
-    workspace, an isolated one would share its state with others.
+    A store discards nothing when weights change, and engines check neither the
+    workspace nor the version of the state that they fetch. Without the version
+    in the scope, an answer could be computed from state of older weights;
+    without the workspace, an isolated one would share its state with others.
     """
     forwarding = world.table.forwarding
     if forwarding is None:
@@ -43,16 +43,17 @@
     *,
     ready_in_ms: float,
 ) -> str:
-    """Returns the store that should keep a prompt's shared levels, if any.
+    """Returns the address of the store to save shared levels to, or "".
 
-    One that has them already is not given them again: its link carries one
-    transfer at a time, and under load saving takes more of it than fetching.
+    Records the levels as cached there. Levels that the store has already are
+    not saved again: its link carries one transfer at a time, and under load
+    saves take more of its capacity than fetches.
 
     Args:
         world: The tables.
-        request: Whose prompt it is.
-        server: Where the prompt is computed.
-        ready_in_ms: Estimated time until it is.
+        request: The request with the prompt.
+        server: The server that computes the prompt.
+        ready_in_ms: Estimated time until the prompt is computed.
     """
     version = server.weights_version
     shared = sum(level.tokens for level in request.work.levels[:-1])
--- a/src/godwittack/core/pace.py
+++ b/src/godwittack/core/pace.py
@@ -1,13 +1,15 @@
-"""Learns how long a model's engines take for a prompt token.
+"""Estimates the time that a model's engines take to compute a prompt token.
 
 Load pattern: engines of one site compute 157 tokens a millisecond, those of
-another 66. By the wrong figure queues look half as long as they are: under full
-load 20 to 60 ms were expected where requests waited for more than a second, so
-that nothing was held back, moved or sent behind what could still be in time.
-
-Each first token shows a bound: no engine takes longer a token than the whole
-wait for it. Some prompts find an engine idle, so that the least of these bounds
-is near. Under full load none does; the estimate then rises slowly only.
+another 66. With the wrong figure queues look half as long as they are: under
+full load 20 to 60 ms were expected where requests waited for more than a
+second. Then no request is queued, placed on another server, or sent after
+those that can still meet their deadline.
+
+Each first token gives an upper bound: the compute time per token is at most the
+whole wait for the first token, divided by the tokens. Some prompts reach an
+idle engine, so that the lowest bounds are close to the actual time. Under full
+load no prompt does; the estimate then rises only slowly.
 """
 
 from __future__ import annotations
@@ -19,36 +21,36 @@
 if TYPE_CHECKING:
     from godwittack.core import entities
 
-# Samples kept; the last ones count, since engines may be replaced.
+# Only recent samples are kept, since engines may be replaced.
 KEPT = 16
-# Samples from which they outweigh what was assumed.
+# Samples needed before they replace the assumed value.
 LEAST = 6
-# Part of the samples that lie below the bound: of some prompts more was cached
-# than was known here.
+# Quantile of the samples that is used instead of the minimum: of some prompts
+# more was cached than this daemon knew.
 QUANTILE = 0.25
-# Growth of the estimate a sample, where all of them took longer: waiting makes
-# it too high by a third after some ten seconds of a crowd, not at once.
+# Maximum growth of the estimate per sample: under overload, waiting makes the
+# estimate too high by a third only after some ten seconds, not at once.
 RISE = 1.005
-# Prompts shorter than this show how long a first token takes by itself.
+# Prompts shorter than this show the fixed time of a first token.
 SHORT_TOKENS = 300
-# Prompts from here on show the time of a token.
+# Prompts of at least this length show the compute time per token.
 LONG_TOKENS = 1_000
-# A change by this part is told in the log.
+# Relative change of the estimate from which it is logged.
 TOLD_PART = 0.3
 
 
 class _Samples:
-    """The last values of one kind."""
+    """The most recent samples of one quantity."""
 
     def __init__(self) -> None:
         self._values: collections.deque[float] = collections.deque(maxlen=KEPT)
 
     def add(self, value: float) -> None:
-        """Takes in a value."""
+        """Adds a sample."""
         self._values.append(value)
 
     def quantile(self) -> float:
-        """Returns a low quantile, 0 for too few samples."""
+        """Returns the `QUANTILE` of the samples, or 0 if there are too few."""
         if len(self._values) < LEAST:
             return 0.0
         ordered = sorted(self._values)
@@ -57,10 +59,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Pace:
-    """What is known of one model's engines.
+    """Estimated prefill cost of one model's engines.
 
     Attributes:
-        us_per_token: Microseconds for a prompt token, 0 until it is learnt.
+        us_per_token: Microseconds per prompt token; 0 until there are enough
+            samples.
     """
 
     us_per_token: float = 0.0
@@ -68,7 +71,7 @@
     _token_us: _Samples = dataclasses.field(default_factory=_Samples)
 
     def saw_first_token(self, *, tokens: int, took_ms: int) -> None:
-        """Takes in how long a first token took.
+        """Updates the estimate from the time to a first token.
 
         Args:
             tokens: Prompt tokens that the engine had to compute.
@@ -87,9 +90,10 @@
 
 
 def us_per_token(world: entities.World, server: entities.ServerRow) -> float:
-    """Returns the microseconds that a prompt token takes on a server.
+    """Returns the microseconds that a server takes to compute a prompt token.
 
-    As the server reports it, as learnt of its model's engines, or as assumed.
+    Uses the value reported by the server, else the estimate for the engines of
+    its model, else the value assumed by the policy.
     """
     if server.prefill_us_per_token:
         return float(server.prefill_us_per_token)
@@ -102,7 +106,7 @@
     attempt: entities.AttemptRow,
     server: entities.ServerRow,
 ) -> None:
-    """Takes in that the first token of an attempt came just now."""
+    """Updates the estimate when the first token of an attempt arrives."""
     if not world.policy.learns_pace:
         return
     known = world.paces[server.target]
@@ -121,7 +125,7 @@
 
 
 def _differs(one: float, other: float) -> bool:
-    """Returns whether an estimate has changed enough to be told."""
+    """Returns whether an estimate has changed enough to be logged."""
     return one != other and (not other or abs(one - other) > TOLD_PART * other)
 
 
--- a/src/godwittack/core/placing.py
+++ b/src/godwittack/core/placing.py
@@ -1,4 +1,4 @@
-"""Chooses the backend server of a request by estimated time and reuse."""
+"""Chooses a backend server by estimated waiting time and cache reuse."""
 
 from __future__ import annotations
 
@@ -21,16 +21,18 @@
 if TYPE_CHECKING:
     from godwittack.core import entities
 
-# Chance that a home server holds a level of which this daemon knows nothing.
+# Probability that a level is cached on a server where it was last seen longer
+# than `hint_ms` ago, or on its home server if it was never seen there.
 HOME_PRIOR = 0.5
-# Least-loaded servers scored besides homes and holders, so that a request
-# can escape when all of those are busy.
+# Least-loaded servers scored in addition to the home servers and those that
+# hold the prefix, as alternatives when all of these are busy.
 SPARE_CANDIDATES = 2
-# How many times the even share of traffic a spread prefix gets in servers.
+# Ratio of a prefix's share of the servers to its share of the traffic.
 SPREAD_SLACK = 1.2
-# Tokens computed beyond the least possible from which a choice is a move.
+# Extra tokens to compute, compared with the candidate that has the most cached,
+# from which a choice is a cold placement and needs the spill budget.
 SPILL_TOKENS = 500
-# Beginning of the names of cells that count a model's requests.
+# Prefix of the names of the cells that count a model's requests.
 MODEL_CELLS = "model/"
 
 
@@ -39,10 +41,11 @@
     """One server scored for one request.
 
     Attributes:
-        wait_ms: Estimated wait before its prompt is begun.
-        uncached_tokens: Prompt tokens it is expected to compute.
+        server: The server.
+        wait_ms: Estimated wait before the server begins the prompt.
+        uncached_tokens: Prompt tokens that the server is expected to compute.
         first_token_ms: Estimated time to the first token.
-        cost: What is minimized, in milliseconds.
+        cost: Cost in milliseconds; the choice with the lowest one is used.
         fetch_from: Address to copy cached state from; empty for none.
     """
 
@@ -57,7 +60,7 @@
 def choose(
     world: entities.World, request: entities.RequestRow
 ) -> Choice | None:
-    """Returns the best usable server, or None where there is none."""
+    """Returns the best usable server, or None if no server is usable."""
     usable = [
         server
         for server in world.servers_by_target[request.work.target].values()
@@ -103,14 +106,15 @@
 
 
 def _within_budget(world: entities.World, scored: list[Choice]) -> Choice:
-    """Returns the cheapest choice that the recomputation budget allows.
-
-    Leaving a busy server that holds a prefix for an idle one that does not
-    makes the idle one compute it, and evict something that will be computed
-    again. Decided by each request's own cost alone, that feeds on itself: in
-    `bench policy` at 70% the hit rate fell from 0.89 to 0.42 and every queue
-    grew. A budget keeps such moves to a small part of the requests; the
-    copies that they leave behind are then used by all.
+    """Returns the cheapest choice that the spill budget allows.
+
+    A cold placement sends a request to an idle server instead of a busy one
+    that has the prefix cached. The idle server computes the prefix and evicts
+    another one, which will be computed again in turn. If each request minimized
+    only its own cost, cold placements would cause more of them: in `bench
+    policy` at 70% load the hit rate fell from 0.89 to 0.42 and every queue
+    grew. The budget limits them to a small part of the requests; later requests
+    reuse the copies of the prefix that they create.
     """
     best = min(scored, key=_order)
     least = min(choice.uncached_tokens for choice in scored)
@@ -130,7 +134,7 @@
     server: entities.ServerRow,
     request: entities.RequestRow,
 ) -> bool:
-    """Returns whether new work may go to `server` now."""
+    """Returns whether new work may be sent to `server` now."""
     if availability.is_resting(world, server):
         return False
     return is_in_service(world, server, request)
@@ -141,31 +145,32 @@
     server: entities.ServerRow,
     request: entities.RequestRow,
 ) -> bool:
-    """Returns whether a server takes new work, but for a rest that it wants."""
+    """Returns whether a server accepts new work, rest periods aside."""
     if server.leaving or server.server_id in request.avoid:
         return False
     if world.now_ms < max(server.ejected_until_ms, server.draining_until_ms):
         return False
-    # A server back from a pause gets one request at a time until one of
-    # them ends well: sending it its full share could fail all of them.
+    # After an ejection a server gets one request at a time until one of them
+    # succeeds: if it still fails, its full share of requests would fail.
     if server.ejected_until_ms and server.trial_attempt:
         return False
     if not rate_limits.has_room(world, server):
         return False
     if weights.too_old(world, server) or weights.unknown(world, server):
         return False
-    # Without a report the engine's incarnation and weights are not known, and
-    # an answer could not be checked against them.
+    # Without a load report the engine's incarnation and weights are unknown,
+    # and its answer could not be checked against them.
     return bool(server.incarnation) or (
         request.work.kind is work.WorkKind.PLAIN
     )
 
 
 def wait_ms(world: entities.World, server: entities.ServerRow) -> float:
-    """Estimates how long a prompt waits at `server` before it is begun.
+    """Estimates how long a prompt waits before `server` begins it.
 
-    A load report is some time old. What this daemon sent since then is added
-    at once, so that one stale report does not draw every request.
+    Load reports arrive with a delay. Requests that this daemon sent after the
+    last report are added, so that a server which reported itself idle does not
+    attract every request until the next report.
     """
     us_per_token = pace.us_per_token(world, server)
     tokens = float(server.waiting_tokens)
@@ -182,7 +187,8 @@
             unseen += 1
             if not attempt.opened:
                 unseen_tokens += attempt.expected_tokens
-    # The other daemons have sent as well and not been seen either.
+    # The other daemons have sent unreported requests too; their number is
+    # estimated from the ratio of all demand to that of this daemon.
     others = world.shares.rate_ratio(model_cell(server.target))
     in_flight += round(unseen * others)
     tokens += unseen_tokens * others
@@ -195,7 +201,7 @@
 
 
 def model_cell(target: str) -> str:
-    """Returns the name under which a model's demand is told."""
+    """Returns the name of the cell that counts a model's requests."""
     return MODEL_CELLS + target
 
 
@@ -204,11 +210,11 @@
     request: entities.RequestRow,
     usable: list[entities.ServerRow],
 ) -> frozenset[str]:
-    """Returns the servers on which the request's levels should stand.
+    """Returns the servers on which the request's levels should be cached.
 
-    Each level narrows the servers of the level above it, so that a case
-    stays where its section and rulebook are. A level with much of the
-    traffic keeps more servers.
+    Each level selects among the servers of the level before it, so that a
+    prompt is placed where its outer levels are cached. A level used by a large
+    part of the traffic gets more servers.
     """
     names = tuple(sorted(server.server_id for server in usable))
     total = len(names)
@@ -226,7 +232,7 @@
 
 
 def note_demand(world: entities.World, request: entities.RequestRow) -> None:
-    """Counts the request's levels, once a request."""
+    """Counts a new request and its levels; called once per request."""
     target = request.work.target
     world.shares.arrived(model_cell(target))
     for level in request.work.levels:
@@ -247,8 +253,8 @@
 ) -> float:
     """Estimates the prompt tokens that `server` would have to compute.
 
-    Engines reuse a prefix only without gaps, so that counting ends at the
-    first level not believed to be cached.
+    Engines reuse only a contiguous prefix, so counting stops at the first level
+    that is not expected to be cached.
     """
     remaining = float(request.work.prompt_tokens)
     chance = 1.0
@@ -284,7 +290,7 @@
     compute_ms = uncached * us_per_token / 1000
     cost = wait + compute_ms * (1.0 + reuse_weight)
     if not home:
-        # Levels computed away from home push others out of that cache.
+        # Levels computed away from their home evict others from that cache.
         cost += compute_ms * reuse_weight
     return Choice(
         server=server,
@@ -308,8 +314,8 @@
         )
         return server.running + server.waiting + unreported
 
-    # Equal loads are told apart by hashing the request, not by name: all
-    # daemons choosing the first name at once would overload it.
+    # Ties are broken by a hash of the request, not by the server's name: all
+    # daemons would choose the first name at the same time and overload it.
     names = tuple(sorted(server.server_id for server in usable))
     seed = xxhash.xxh3_64_intdigest(request.request_id.encode())
     order = rendezvous.rank(seed, names)
--- a/src/godwittack/core/routing.py
+++ b/src/godwittack/core/routing.py
@@ -1,4 +1,4 @@
-"""Finds the route, the workspace and the rank of a request."""
+"""Determines the route, workspace and priority of a request."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
 if TYPE_CHECKING:
     from godwittack.core import entities, inputs
 
-# When a caller may try a daemon again that has no table, or can't confirm it.
+# Retry-after for a daemon that has no table, or can't confirm that its table is
+# current.
 NOT_CURRENT_RETRY_MS = 500
 # Workspace of requests on routes that need no API key.
 ANONYMOUS = model.WorkspaceRow(
@@ -21,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Refusal:
-    """Why a request is not let in; it has not run."""
+    """Why a request is rejected; it has not run."""
 
     status: int
     reason: effects.Reason
@@ -31,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Routed:
-    """A request with its route and target, and whose it is."""
+    """A request with its route and target, and the workspace that sent it."""
 
     work: work.Work
     workspace: model.WorkspaceRow
@@ -40,7 +41,7 @@
 def route(
     world: entities.World, arrived: inputs.RequestArrived
 ) -> Routed | Refusal:
-    """Finds route and workspace of a request that names only its host."""
+    """Determines route, target and workspace from host, path and API key."""
     asked = arrived.work
     forwarding = world.table.forwarding
     if forwarding is None:
@@ -74,11 +75,11 @@
 def still_allowed(
     world: entities.World, request: entities.RequestRow
 ) -> Refusal | None:
-    """Checks key and right once more, just before a request is sent on.
+    """Checks API key and serving lease again, just before a dispatch.
 
-    Between its arrival and its turn a request may have waited in a queue, or
-    the process may have been stopped. A key taken away meanwhile would be
-    served beyond the time that its owners were promised.
+    Since its arrival a request may have waited in a queue, or the process may
+    have been suspended. Without this check, a key that was revoked meanwhile
+    would be served for longer than its owners were promised.
     """
     found = request.work.route
     if found is None:
@@ -87,7 +88,7 @@
 
 
 def priority(world: entities.World, request: entities.RequestRow) -> int:
-    """Returns the rank of a request; a workspace's goes before its route's."""
+    """Returns a request's priority; a workspace's overrides its route's."""
     found = request.work.route
     forwarding = world.table.forwarding
     if found is None or forwarding is None:
--- a/src/godwittack/core/sourcing.py
+++ b/src/godwittack/core/sourcing.py
@@ -1,10 +1,11 @@
-"""Chooses a server, and where it gets cached state that it lacks.
-
-Load pattern: prompts of ten thousand shared tokens, of more documents than
-the engines' memory holds, from several daemons. Computing such a part anew
-takes 85 ms of an engine; copying it from another takes 11 to 22 ms of a link,
-and from a store 32 to 64. So a request goes to where it waits least, and what
-is missing there is copied from whoever holds it.
+"""Chooses a server, and a source to copy the state that it has not cached.
+
+Load pattern: several daemons send prompts with ten thousand shared tokens, of
+more documents than fit into the engines' memory. Computing the shared tokens
+again occupies an engine for 85 ms; copying them occupies a link for 11 to 22 ms
+from another engine, and for 32 to 64 ms from a store. So a request is sent to
+the server with the shortest wait, which copies the missing state from a server
+or store that holds it.
 """
 
 from __future__ import annotations
@@ -24,39 +25,42 @@
 if TYPE_CHECKING:
     from godwittack.core import entities
 
-# Time of computing that a copy must save; a source that lost it costs 1 ms.
+# Compute time that a copy must save to be worthwhile; a fetch from a source
+# that no longer has the state costs 1 ms.
 COPY_MS = 3.5
-# Costs of a token as parts of the time that computing it takes; a larger model
-# takes longer for a token, and its cached state of it is larger as well.
-# Copying it over an engine's link (18 KB over 180 Gbit/s where it takes 7 us,
-# 164 KB over 740 where it takes 15) and over a store's. Between failure domains
-# a copy takes twice as long.
+# Cost of copying a token over an engine's or a store's link, relative to the
+# time to compute it: a larger model takes longer to compute a token, and caches
+# more state for it as well. An engine's link carries 18 KB per token at
+# 180 Gbit/s where a token takes 7 us to compute, and 164 KB at 740 Gbit/s where
+# it takes 15 us. Between failure domains a copy takes twice as long.
 ENGINE_COPY_PART = 0.117
 STORE_COPY_PART = 0.34
 FAR_FACTOR = 2.0
-# Cost of a copied token whose source has surely lost it.
+# Relative cost of copying a token that the source has certainly evicted.
 EVICTED_PART = 0.91
-# What else a copied token costs: the memory that it takes from what another
-# server's cache holds.
+# Relative cost of the memory that a copied token occupies: it evicts other
+# state from the cache of the server that it is copied to.
 COPY_PRESSURE_PART = 0.07
-# Time after its last use in which an engine under load has evicted a prompt:
-# 185,000 tokens of memory at some 60,000 tokens computed a second.
+# Time after its last use by which an engine under load has evicted a prompt:
+# memory for 185,000 tokens, some 60,000 tokens computed per second.
 EVICTED_AFTER_MS = 3_000
-# What a shared token that is computed again costs beside its time.
+# Cost of computing a shared token again, in addition to the compute time.
 REREAD_US = 40.0
-# Advantage of the server that a prompt hashes to, where nobody holds any of
-# it: several daemons then bring it to one place.
+# Cost reduction for a prompt's home server while its shared levels are not
+# fully cached there and no copy has them all, so that several daemons bring
+# them to the same server.
 HOME_MS = 5.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Source:
-    """Where cached levels can be copied from.
+    """An engine or store from which cached levels can be copied.
 
     Attributes:
-        tokens: Leading tokens that it has by now.
-        us_per_token: Cost of copying one to its own failure domain.
-        doubt_us: Cost of each for the doubt whether it still has them.
+        server: The engine or store.
+        tokens: Leading prompt tokens that it has cached by now.
+        us_per_token: Cost of copying a token within its failure domain.
+        doubt_us: Cost per token of the risk that it has been evicted.
     """
 
     server: entities.ServerRow
@@ -65,7 +69,7 @@
     doubt_us: float = 0.0
 
     def cost_us(self, server: entities.ServerRow) -> float:
-        """Returns the cost of a token copied to `server`."""
+        """Returns the cost of copying a token to `server`, in microseconds."""
         return self.us_per_token * _far(server, self.server) + self.doubt_us
 
 
@@ -74,11 +78,12 @@
     """One server scored for one request.
 
     Attributes:
-        wait_ms: Estimated wait before its prompt is begun.
+        server: The server.
+        wait_ms: Estimated wait before the server begins the prompt.
         fetch_from: Address that cached levels are copied from, or "".
-        uncached_tokens: Tokens that it will have to compute.
+        uncached_tokens: Tokens that the server will have to compute.
         first_token_ms: Estimated time to the first token.
-        cost: What is minimized, in milliseconds.
+        cost: Cost in milliseconds; the server with the lowest one is used.
     """
 
     server: entities.ServerRow
@@ -101,7 +106,7 @@
         )
         for server in _holders(world, request)
     }
-    # The same for all servers with one version of weights.
+    # All servers with the same version of weights share their sources.
     sources = {
         version: _sources(world, request, version)
         for version in {server.weights_version for server in usable}
@@ -135,11 +140,12 @@
     server: entities.ServerRow,
     sources: list[Source],
 ) -> str:
-    """Returns the address of a source for what a server may have lost.
+    """Returns the address of a source for what a server may have evicted.
 
-    What a server is believed to hold may have been evicted a moment ago. A
-    source that is named costs nothing while the server still has it, and 1 ms
-    where the source has lost it as well; without one, all is computed again.
+    State that a server is believed to have cached may have been evicted a
+    moment ago. Naming a source costs nothing while the server still has the
+    state, and 1 ms if the source has evicted it as well; without a source, all
+    of it is computed again.
     """
     found = max(
         (source for source in sources if source.server is not server),
@@ -156,10 +162,10 @@
     request: entities.RequestRow,
     server: entities.ServerRow,
 ) -> str:
-    """Returns a store that may hold a prompt although nothing here says so.
+    """Returns a store that may hold a prompt without this daemon knowing it.
 
-    A daemon that is cut off from the others hears neither of what they saved
-    nor of evictions. Asked in vain, a store costs 1 ms.
+    A daemon that is cut off from the others learns neither what they saved nor
+    what was evicted. A fetch from a store without the prompt costs 1 ms.
     """
     shared = sum(level.tokens for level in request.work.levels[:-1])
     if shared < _least_copy(world, server):
@@ -171,7 +177,7 @@
 def _holders(
     world: entities.World, request: entities.RequestRow
 ) -> list[entities.ServerRow]:
-    """Returns servers that copies may come from."""
+    """Returns servers of the request's target that copies may come from."""
     return [
         server
         for server in world.servers_by_target[request.work.target].values()
@@ -221,7 +227,7 @@
     sources: list[Source],
     own: int,
 ) -> Source | None:
-    """Returns the source that saves the most time, None if none does."""
+    """Returns the source that saves the most time, or None if none does."""
     best: Source | None = None
     best_saved = 0.0
     least = _least_copy(world, server)
@@ -239,7 +245,7 @@
 def _sources(
     world: entities.World, request: entities.RequestRow, version: str
 ) -> list[Source]:
-    """Returns engines with these weights, and stores, that have any of it."""
+    """Returns engines with these weights, and stores, that hold a prefix."""
     found: list[Source] = []
     for engine in _holders(world, request):
         if engine.weights_version != version:
@@ -270,20 +276,20 @@
     server: entities.ServerRow,
     version: str,
 ) -> int:
-    """Returns the leading tokens that could be copied at this moment."""
+    """Returns how many leading tokens can be copied from `server` now."""
     return holding.held_tokens(
         server, request, version, ready_by_ms=world.now_ms
     )
 
 
 def _engines_us(world: entities.World, request: entities.RequestRow) -> float:
-    """Returns the time that a token takes on the engines of a request."""
+    """Returns the microseconds per prompt token of the target's engines."""
     learnt = world.paces[request.work.target].us_per_token
     return learnt or float(world.policy.prefill_us_per_token)
 
 
 def _least_copy(world: entities.World, server: entities.ServerRow) -> float:
-    """Returns the tokens that a copy must save at least."""
+    """Returns the minimum number of tokens that a copy must save."""
     return COPY_MS * 1000 / pace.us_per_token(world, server)
 
 
@@ -293,12 +299,13 @@
     other: entities.ServerRow,
     version: str,
 ) -> float:
-    """Returns the doubt whether an engine still holds a prompt, 0 to 1.
+    """Estimates the probability that an engine has evicted a prompt.
 
-    Engines evict within seconds under load. A copy that is not there any more
-    is computed anew; a store, which holds far more, would have had it.
+    Engines evict within seconds under load. State that can no longer be copied
+    is computed again; a store, which has far more memory, would still have it.
     """
-    # Small levels are not told, so that only larger ones say when it was.
+    # Small levels are not reported to peers, so the first level that has a time
+    # is used.
     seen_ms = next(
         seen_ms
         for level in request.work.levels
--- a/src/godwittack/core/splitting.py
+++ b/src/godwittack/core/splitting.py
@@ -1,4 +1,4 @@
-"""Finds the daemons that split a limited cell in a large fleet."""
+"""Determines which daemons share the limits of a request's cells."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def workspace_cell(workspace: model.WorkspaceRow) -> str:
-    """Returns the name of a workspace's cell."""
+    """Returns the name of the cell that counts a workspace's requests."""
     return f"workspace/{workspace.name}"
 
 
@@ -22,10 +22,10 @@
     request: entities.RequestRow,
     workspace: model.WorkspaceRow,
 ) -> dict[str, int]:
-    """Returns the cells with a limit in which a request counts, and limits.
+    """Returns the limits that apply to a request, by cell.
 
-    What has no limit is not counted: daemons would tell each other demand
-    that nobody splits.
+    Cells without a limit are left out: daemons would exchange demand figures
+    that no limit is split by.
     """
     found: dict[str, int] = {}
     if not workspace.is_unlimited:
@@ -38,10 +38,10 @@
 
 
 def note(world: entities.World, request: entities.RequestRow) -> None:
-    """Notes who splits the cells that a request counts in.
+    """Records which daemons share the limits of a request's cells.
 
-    Known before any of them has told its demand: a daemon that took itself
-    for the only one would let the whole limit through in the first second.
+    They must be known before they report any demand: a daemon that assumed to
+    be the only one would admit the whole limit in the first second.
     """
     if len(world.live_daemons) <= duty.MESH_LIMIT:
         return
--- a/src/godwittack/placement/__init__.py
+++ b/src/godwittack/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Where a prompt should run: levels, hashing, caches and scores."""
+"""Data for placing prompts: levels, rendezvous hashing, cache contents."""
--- a/src/godwittack/placement/levels.py
+++ b/src/godwittack/placement/levels.py
@@ -1,4 +1,4 @@
-"""Cuts a prompt into nested levels with chained hashes."""
+"""Splits a prompt into nested levels with chained hashes."""
 
 from __future__ import annotations
 
@@ -14,40 +14,40 @@
 
 BYTES_PER_TOKEN = 4
 MAX_LEVELS = 64
-# Tokens below which it does not matter where a level is cached: an engine
-# computes 157 a millisecond. Most levels are that small, and told between
-# daemons they were most of the bytes of news.
+# Below this many tokens it does not matter where a level is cached: an engine
+# computes 157 tokens a millisecond. Most levels are that small; exchanged
+# between daemons, they made up most bytes of the peer updates.
 SMALL_TOKENS = 256
 
 
 @functools.lru_cache(maxsize=8_192)
 def versioned(key: int, weights_version: str) -> int:
-    """Returns a level's key as computed by one version of weights.
+    """Returns the key of a level computed with one version of the weights.
 
-    Stores of cached state keep levels over a change of weights. Known by
-    the level alone, one of older weights would be taken for a newer one.
+    Stores of cached state keep levels across a change of weights. With the
+    level's own key alone, state of older weights would be used for newer ones.
     """
     return xxhash.xxh3_64_intdigest(f"{key}/{weights_version}".encode())
 
 
 def named(owner: str, level: str) -> int:
-    """Returns the key of a level that callers name, of an owner's alone."""
+    """Returns the key of a level named by callers, unique to `owner`."""
     return xxhash.xxh3_64_intdigest(f"{owner}/{level}".encode())
 
 
 def chain(
     *, workspace: str, target: str, parts: Iterable[bytes]
 ) -> tuple[work.Level, ...]:
-    """Returns a level a part, each hash covering all parts before it.
+    """Returns a level for each part, with a hash over all parts so far.
 
-    The seed holds workspace and model, so that equal prompts of two
-    workspaces never share a key. Parts beyond `MAX_LEVELS` are not levels of
-    their own: they still count in the last level's tokens and hash.
+    The seed contains workspace and model, so that equal prompts of two
+    workspaces never share a key. Parts after the first `MAX_LEVELS` are added
+    to the tokens and hash of the last level.
 
     Args:
-        workspace: Whose prompt it is.
+        workspace: Workspace that the prompt belongs to.
         target: Model name.
-        parts: Prompt pieces, outermost first, such as one a message.
+        parts: Parts of the prompt, outermost first, such as its messages.
     """
     seed = f"{len(workspace)}:{workspace}{target}".encode()
     running = xxhash.xxh3_64(seed)
--- a/src/godwittack/placement/rendezvous.py
+++ b/src/godwittack/placement/rendezvous.py
@@ -16,14 +16,14 @@
 def rank(key: int, names: tuple[str, ...]) -> tuple[str, ...]:
     """Returns `names` by descending score for `key`.
 
-    Every daemon computes the same order from the same names, and a name that
-    comes or goes moves only the keys that it wins.
+    Every daemon computes the same order from the same names. Adding or removing
+    a name changes the first name only of the keys that rank this name first.
     """
     return _rank(key, names)
 
 
 def owner(key: str, names: Iterable[str]) -> str | None:
-    """Returns the name that a duty falls to, or None without names."""
+    """Returns the name that ranks first for `key`, or None without names."""
     ordered = rank(xxhash.xxh3_64_intdigest(key.encode()), tuple(sorted(names)))
     return ordered[0] if ordered else None
 
--- a/src/godwittack/placement/residency.py
+++ b/src/godwittack/placement/residency.py
@@ -1,4 +1,4 @@
-"""What each backend server is believed to hold, and how hot levels are."""
+"""Believed cache contents of backend servers, and recent use of levels."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 class Residency:
     """Level keys believed to be cached on one backend server.
 
-    A key is known either from the engine's events or from this daemon's own
-    dispatches. Both are only hints: the engine decides, and a wrong one
+    Keys come from the engine's events or from this daemon's own dispatches.
+    Both are only hints: the engine decides what it keeps, and a wrong hint
     costs a recomputation.
     """
 
@@ -29,13 +29,13 @@
     def note(
         self, key: int, *, now_ms: int, limit: int, tokens: int = 0
     ) -> None:
-        """Remembers that `key` was stored or used.
+        """Records that `key` was stored or used.
 
         Args:
             key: Level key.
-            now_ms: Time of that.
-            limit: Keys remembered at most.
-            tokens: How many of its tokens are stored; 0 for all.
+            now_ms: When it was stored or used, or will be stored.
+            limit: Maximum number of keys to keep.
+            tokens: Number of its tokens that are stored; 0 for all.
         """
         if tokens:
             self._tokens[key] = tokens
@@ -53,30 +53,34 @@
         self._tokens.pop(key, None)
 
     def clear(self) -> None:
-        """Drops everything, as after a crash."""
+        """Removes all keys, as after a crash."""
         self._seen_ms.clear()
         self._tokens.clear()
 
     def seen_ms(self, key: int) -> int | None:
-        """Returns when `key` was last known to be cached."""
+        """Returns when `key` was last stored or used; None if not cached."""
         return self._seen_ms.get(key)
 
     def tokens(self, key: int, *, whole: int) -> int:
-        """Returns how many tokens of a remembered level are stored.
+        """Returns how many tokens of a recorded level are stored.
 
-        Engines evict by blocks from a level's end, and store it piece by
-        piece: a level may be there in part.
+        Engines evict blocks from the end of a level, and store it block by
+        block, so that a level may be cached in part.
+
+        Args:
+            key: Level key.
+            whole: Tokens of the whole level.
         """
         return min(whole, self._tokens.get(key, whole))
 
     def __len__(self) -> int:
-        """Returns how many keys are remembered."""
+        """Returns how many keys are recorded."""
         return len(self._seen_ms)
 
 
 @dataclasses.dataclass(slots=True)
 class Decayed:
-    """A count that halves every `HEAT_HALF_LIFE_MS`."""
+    """A count that decays exponentially, by half in `HEAT_HALF_LIFE_MS`."""
 
     at_ms: int
     value: float = 0.0
@@ -87,13 +91,13 @@
         self.at_ms = now_ms
 
     def value_at(self, now_ms: int) -> float:
-        """Returns the count as decayed until `now_ms`."""
+        """Returns the decayed count at `now_ms`."""
         return self.value * 0.5 ** ((now_ms - self.at_ms) / HEAT_HALF_LIFE_MS)
 
 
 @dataclasses.dataclass(slots=True)
 class Heat:
-    """Recent demand by level key, as a share of its target's requests."""
+    """Recent requests by level key and by target."""
 
     _rows: collections.OrderedDict[int, Decayed] = dataclasses.field(
         default_factory=collections.OrderedDict
@@ -102,7 +106,7 @@
     _spread: dict[int, int] = dataclasses.field(default_factory=dict)
 
     def add(self, key: int, *, now_ms: int) -> None:
-        """Counts one request on `key`."""
+        """Counts one request that uses level `key`."""
         row = self._rows.get(key)
         if row is None:
             row = self._rows[key] = Decayed(at_ms=now_ms)
@@ -113,36 +117,35 @@
             self._spread.pop(old, None)
 
     def add_total(self, target: str, *, now_ms: int) -> None:
-        """Counts one request of `target`."""
+        """Counts one request for `target`."""
         total = self._totals.setdefault(target, Decayed(at_ms=now_ms))
         total.add(now_ms)
 
     def knows(self, key: int) -> bool:
-        """Returns whether a request on `key` was counted before."""
+        """Returns whether a request that uses `key` was counted before."""
         return key in self._rows
 
     def share(self, target: str, key: int, *, now_ms: int) -> float:
-        """Returns which part of the target's recent requests used `key`."""
+        """Returns the fraction of a target's recent requests that use `key`."""
         row = self._rows.get(key)
         total = self._totals.get(target)
         if row is None or total is None:
             return 0.0
-        # With few requests seen, each would look like a large share.
+        # Of only a few requests, each would be a large fraction.
         weight = max(total.value_at(now_ms), HEAT_MIN_TOTAL)
         return row.value_at(now_ms) / weight
 
     def spread(self, key: int, *, need: float, most: int) -> int:
-        """Returns over how many servers `key` should stand.
+        """Returns on how many servers `key` should be cached.
 
         Args:
             key: Level key.
-            need: Servers' worth of demand, a fraction.
-            most: Servers there are.
+            need: Demand in servers, may be fractional.
+            most: Number of servers available.
         """
         now = self._spread.get(key, 1)
-        # Without a gap between growing and shrinking, a demand near the
-        # border would move the prefix back and forth and recompute it each
-        # time.
+        # Hysteresis: demand that varies around a threshold would otherwise add
+        # and remove a server repeatedly, and recompute the prefix each time.
         if need > now or need < (now - 1) * SPREAD_SHRINK_AT:
             now = math.ceil(need)
         now = max(1, min(now, most))
