--- a/src/godwittack/core/backlog.py
+++ b/src/godwittack/core/backlog.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from godwittack.core import pace
+from godwittack.core import prefill_cost
 
 if TYPE_CHECKING:
     from godwittack.core import entities, server_inputs
@@ -39,7 +39,7 @@
     prompt takes. Dispatched prompts are known at once, and so is their prefill
     cost.
     """
-    us_per_token = pace.us_per_token(world, server)
+    us_per_token = prefill_cost.us_per_token(world, server)
     starts_ms = max(float(world.now_ms), server.backlog.get(priority, 0.0))
     server.backlog[priority] = starts_ms + tokens * us_per_token / 1000
 
@@ -48,7 +48,9 @@
     world: entities.World, server: entities.ServerRow, tokens: int
 ) -> bool:
     """Returns whether a prompt is long enough to be announced to peers."""
-    return tokens * pace.us_per_token(world, server) >= ANNOUNCE_MS * 1000
+    return (
+        tokens * prefill_cost.us_per_token(world, server) >= ANNOUNCE_MS * 1000
+    )
 
 
 def wait_ms(
--- a/src/godwittack/core/dispatching.py
+++ b/src/godwittack/core/dispatching.py
@@ -8,7 +8,7 @@
     crashes,
     effects,
     entities,
-    kvreuse,
+    kv_cache,
     placing,
     rate_limits,
     refusing,
@@ -158,9 +158,9 @@
             priority=routing.priority(world, request),
             workspace=request.workspace if request.work.route else "",
             ends_at_ms=sending.ends_at_ms(request),
-            cache_scope=kvreuse.scope(world, request, server),
+            cache_scope=kv_cache.scope(world, request, server),
             kv_fetch_from=choice.fetch_from,
-            kv_save_to=kvreuse.save_to(
+            kv_save_to=kv_cache.save_to(
                 world, request, server, ready_in_ms=choice.first_token_ms
             ),
             incarnation=server.incarnation if request.work.route else "",
--- a/src/godwittack/core/entities.py
+++ b/src/godwittack/core/entities.py
@@ -6,7 +6,7 @@
 import dataclasses
 import enum
 
-from godwittack.core import effects, pace, quarantine, turns, weights
+from godwittack.core import effects, prefill_cost, quarantine, turns, weights
 from godwittack.core import policy as policies
 from godwittack.core import work as works
 from godwittack.limit import advertised, budget, fair, shares
@@ -307,8 +307,8 @@
     )
     notices: dict[str, NoticeRow] = dataclasses.field(default_factory=dict)
     resting: set[str] = dataclasses.field(default_factory=set)
-    paces: dict[str, pace.Pace] = dataclasses.field(
-        default_factory=lambda: collections.defaultdict(pace.Pace)
+    paces: dict[str, prefill_cost.Pace] = dataclasses.field(
+        default_factory=lambda: collections.defaultdict(prefill_cost.Pace)
     )
 
     def emit(self, effect: effects.Effect) -> None:
--- a/src/godwittack/core/kvreuse.py
+++ b/src/godwittack/core/kv_cache.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from godwittack.core import holding, pace
+from godwittack.core import cached_state, prefill_cost
 from godwittack.placement import levels
 
 if TYPE_CHECKING:
@@ -57,12 +57,12 @@
     """
     version = server.weights_version
     shared = sum(level.tokens for level in request.work.levels[:-1])
-    if shared * pace.us_per_token(world, server) < SAVE_MS * 1000:
+    if shared * prefill_cost.us_per_token(world, server) < SAVE_MS * 1000:
         return ""
-    store = holding.home_store(world, request)
+    store = cached_state.home_store(world, request)
     if store is None:
         return ""
-    if holding.held_tokens(store, request, version) >= shared:
+    if cached_state.held_tokens(store, request, version) >= shared:
         return ""
     for level in request.work.levels[:-1]:
         store.cache.note(
--- a/src/godwittack/core/placing.py
+++ b/src/godwittack/core/placing.py
@@ -10,7 +10,7 @@
 from godwittack.core import (
     availability,
     candidates,
-    pace,
+    prefill_cost,
     rate_limits,
     sourcing,
     weights,
@@ -172,7 +172,7 @@
     last report are added, so that a server which reported itself idle does not
     attract every request until the next report.
     """
-    us_per_token = pace.us_per_token(world, server)
+    us_per_token = prefill_cost.us_per_token(world, server)
     tokens = float(server.waiting_tokens)
     in_flight = server.running + server.waiting
     since_ms = max(0, world.now_ms - server.reported_at_ms)
@@ -286,7 +286,7 @@
     reuse_weight: float,
 ) -> Choice:
     uncached = uncached_tokens(world, request, server, home=home)
-    us_per_token = pace.us_per_token(world, server)
+    us_per_token = prefill_cost.us_per_token(world, server)
     compute_ms = uncached * us_per_token / 1000
     cost = wait + compute_ms * (1.0 + reuse_weight)
     if not home:
--- a/src/godwittack/core/sourcing.py
+++ b/src/godwittack/core/sourcing.py
@@ -15,9 +15,9 @@
 
 from godwittack.core import (
     backlog,
+    cached_state,
     candidates,
-    holding,
-    pace,
+    prefill_cost,
     routing,
     weights,
 )
@@ -101,7 +101,7 @@
 ) -> Placed:
     """Returns the best of the usable servers."""
     held = {
-        server.server_id: holding.held_tokens(
+        server.server_id: cached_state.held_tokens(
             server, request, server.weights_version
         )
         for server in _holders(world, request)
@@ -170,7 +170,7 @@
     shared = sum(level.tokens for level in request.work.levels[:-1])
     if shared < _least_copy(world, server):
         return ""
-    store = holding.home_store(world, request)
+    store = cached_state.home_store(world, request)
     return store.address if store is not None else ""
 
 
@@ -198,7 +198,7 @@
     wait = backlog.queue_ms(world, server, rank)
     source = _best_source(world, server, sources, own)
     known = source.tokens if source else own
-    us_per_token = pace.us_per_token(world, server)
+    us_per_token = prefill_cost.us_per_token(world, server)
     prompt = request.work.prompt_tokens
     compute_ms = (prompt - known) * us_per_token / 1000
     copied = known - own
@@ -231,7 +231,7 @@
     best: Source | None = None
     best_saved = 0.0
     least = _least_copy(world, server)
-    compute_us = pace.us_per_token(world, server) + REREAD_US
+    compute_us = prefill_cost.us_per_token(world, server) + REREAD_US
     for source in sources:
         gain = source.tokens - own
         if gain < least or source.server is server:
@@ -252,7 +252,7 @@
             continue
         tokens = _ready_tokens(world, request, engine, version)
         if tokens:
-            us_per_token = pace.us_per_token(world, engine)
+            us_per_token = prefill_cost.us_per_token(world, engine)
             doubt = _doubt(world, request, engine, version)
             found.append(
                 Source(
@@ -263,7 +263,7 @@
                 )
             )
     engines_us = _engines_us(world, request)
-    for store in holding.stores(world):
+    for store in cached_state.stores(world):
         tokens = _ready_tokens(world, request, store, version)
         if tokens:
             found.append(Source(store, tokens, engines_us * STORE_COPY_PART))
@@ -277,7 +277,7 @@
     version: str,
 ) -> int:
     """Returns how many leading tokens can be copied from `server` now."""
-    return holding.held_tokens(
+    return cached_state.held_tokens(
         server, request, version, ready_by_ms=world.now_ms
     )
 
@@ -290,7 +290,7 @@
 
 def _least_copy(world: entities.World, server: entities.ServerRow) -> float:
     """Returns the minimum number of tokens that a copy must save."""
-    return COPY_MS * 1000 / pace.us_per_token(world, server)
+    return COPY_MS * 1000 / prefill_cost.us_per_token(world, server)
 
 
 def _doubt(
@@ -309,7 +309,11 @@
     seen_ms = next(
         seen_ms
         for level in request.work.levels
-        if (seen_ms := other.cache.seen_ms(holding.version_key(level, version)))
+        if (
+            seen_ms := other.cache.seen_ms(
+                cached_state.version_key(level, version)
+            )
+        )
         is not None
     )
     return min(1.0, max(0, world.now_ms - seen_ms) / EVICTED_AFTER_MS)
--- a/src/godwittack/daemon/keeping.py
+++ b/src/godwittack/daemon/keeping.py
@@ -9,7 +9,7 @@
 from result import Err
 
 from godwittack.core import inputs, server_inputs
-from godwittack.core.holding import STORE_TARGET
+from godwittack.core.cached_state import STORE_TARGET
 from godwittack.daemon import tables
 
 if TYPE_CHECKING:
--- a/src/godwittack/daemon/watch.py
+++ b/src/godwittack/daemon/watch.py
@@ -12,7 +12,7 @@
 from result import Err
 
 from godwittack.backend import protocol as backend
-from godwittack.core import holding, server_inputs
+from godwittack.core import cached_state, server_inputs
 from godwittack.daemon import digest as digests
 from godwittack.daemon import loads
 from godwittack.daemon import news as newses
@@ -162,7 +162,7 @@
     def _follow(self, row: entities.ServerRow) -> list[asyncio.Task[None]]:
         tasks = []
         is_engine = row.target in self._core.core.world.table.models
-        if row.target == holding.STORE_TARGET:
+        if row.target == cached_state.STORE_TARGET:
             return [asyncio.create_task(self._follow_cache(row))]
         loads = Follows.ENGINE_LOADS if is_engine else Follows.SERVICE_LOADS
         if loads in self._follows:
@@ -207,7 +207,7 @@
         A dead source costs each request that names it some hundred
         milliseconds.
         """
-        if row.target != holding.STORE_TARGET:
+        if row.target != cached_state.STORE_TARGET:
             return
         now_ms = self._core.clock.now_ms()
         until_ms = now_ms + newses.DRAIN_MS
--- a/tests/cases/paces.py
+++ b/tests/cases/paces.py
@@ -5,7 +5,7 @@
 import random
 
 from cases import routed_core
-from godwittack.core import backlog, effects, pace, work
+from godwittack.core import backlog, effects, prefill_cost, work
 
 SEED = 3
 TRUE_US = 15.0
@@ -36,7 +36,7 @@
         unseen: Part of the prompts that other daemons send.
     """
     rng = random.Random(SEED)
-    engine, known = Engine(TRUE_US), pace.Pace()
+    engine, known = Engine(TRUE_US), prefill_cost.Pace()
     now_ms = 0.0
     pending: list[tuple[float, int, int]] = []
     while now_ms < for_s * 1000:
@@ -83,7 +83,7 @@
     Sequence: one first token in ten comes at once.
     Cause: the least of all bounds taken.
     """
-    known = pace.Pace()
+    known = prefill_cost.Pace()
     for number in range(200):
         took_ms = 20 if number % 10 == 0 else 90
         known.saw_first_token(tokens=6_000, took_ms=took_ms)
@@ -97,7 +97,7 @@
     Sequence: three first tokens, the first of them late.
     Cause: an estimate from one sample.
     """
-    known = pace.Pace()
+    known = prefill_cost.Pace()
     for took_ms in (4_000, 60, 70):
         known.saw_first_token(tokens=4_000, took_ms=took_ms)
     assert known.us_per_token == 0.0
--- a/tests/cases/sourcing.py
+++ b/tests/cases/sourcing.py
@@ -6,7 +6,7 @@
 
 from cases import routed_core
 from godwittack.backend import protocol
-from godwittack.core import effects, holding, inputs, server_inputs, work
+from godwittack.core import cached_state, effects, inputs, server_inputs, work
 from godwittack.daemon import digest as digests
 from godwittack.placement import levels
 from godwittack.table import forwarding
@@ -22,7 +22,7 @@
     store = forwarding.KvStore(name="keep", address=STORE)
     core.tell(inputs.TableChanged, routed_core.table(2, kv_stores=(store,)))
     core.list_server(
-        "keep", holding.STORE_TARGET, address=STORE, weights_version=""
+        "keep", cached_state.STORE_TARGET, address=STORE, weights_version=""
     )
     return core
 
@@ -32,7 +32,7 @@
     for number in range(1, STORES):
         core.list_server(
             f"keep{number}",
-            holding.STORE_TARGET,
+            cached_state.STORE_TARGET,
             address=f"10.0.9.{number}:8080",
             weights_version="",
         )
@@ -99,9 +99,11 @@
     core.now_ms += 10
     server = core.world.servers[first.server_id]
     request = core.world.requests["r1"]
-    held = holding.held_tokens(server, request, "1", ready_by_ms=core.now_ms)
+    held = cached_state.held_tokens(
+        server, request, "1", ready_by_ms=core.now_ms
+    )
     assert held == 0
-    assert holding.held_tokens(server, request, "1") == 16_000
+    assert cached_state.held_tokens(server, request, "1") == 16_000
 
 
 def a_store_is_named_for_what_may_have_been_lost() -> None:
@@ -262,7 +264,7 @@
     _digest(core, first.server_id, stored=(key,), tokens=(1_000,))
     server = core.world.servers[first.server_id]
     request = core.world.requests["r1"]
-    assert holding.held_tokens(server, request, "1") == 1_000
+    assert cached_state.held_tokens(server, request, "1") == 1_000
 
 
 def small_levels_are_not_told_to_peers() -> None:
@@ -320,7 +322,7 @@
     key = levels.versioned(SHARED.key, "1")
     _digest(core, other, stored=(key,), tokens=(13_000,))
     server, request = core.world.servers[other], core.world.requests["r1"]
-    assert holding.held_tokens(server, request, "1") == 13_050
+    assert cached_state.held_tokens(server, request, "1") == 13_050
 
 
 def a_small_level_first_casts_no_doubt_on_its_holder() -> None:
