--- a/src/godwittack/core/admission.py
+++ b/src/godwittack/core/admission.py
@@ -62,7 +62,7 @@
         world.shares.began(cell)
     retries.earn(world, asked.target)
     world.spill_budget.earn()
-    placing.note_demand(world, request)
+    placing.record_demand(world, request)
     if needs_claim(world, asked):
         claims.begin(world, request)
     else:
@@ -166,7 +166,7 @@
     request.cells = tuple(limits)
     if not limits:
         return True
-    splitting.note(world, request)
+    splitting.record_groups(world, request)
     for cell in limits:
         world.shares.arrived(cell)
     for cell, limit in limits.items():
--- a/src/godwittack/core/attempts.py
+++ b/src/godwittack/core/attempts.py
@@ -315,7 +315,7 @@
     request.begun = True
     server = world.servers.get(attempt.server_id)
     if server is not None and request.work.route is not None:
-        prefill_cost.learn(world, attempt, server)
+        prefill_cost.record_first_token(world, attempt, server)
         rank = routing.priority(world, request)
         before_ms = server.begun_sent_ms.get(rank, 0)
         server.begun_sent_ms[rank] = max(before_ms, attempt.sent_at_ms)
--- a/src/godwittack/core/backlog.py
+++ b/src/godwittack/core/backlog.py
@@ -11,19 +11,19 @@
 
 # Compute time from which a prompt is announced to other daemons. Shorter ones
 # are numerous, and finished before the announcement is of use.
-ANNOUNCE_MS = 10.0
+ANNOUNCE_MIN_MS = 10.0
 # Fraction of a less urgent backlog that still delays a request: engines compute
 # prompts in chunks, and finish the current chunk first.
-LESS_URGENT_PART = 0.1
+LESS_URGENT_FRACTION = 0.1
 # Added to the estimated time at which a prompt is computed: one chunk of 2,048
 # tokens and the step that it shares with running requests.
 READY_MARGIN_MS = 20
 # Delay of a first token for each running request: each lengthens a step of
 # 3.55 ms by 0.046 ms, over about ten steps until the first token.
-BATCH_MS = 0.5
+BATCH_DELAY_MS = 0.5
 # The fraction of slots in use, raised to this power, approximates the
 # probability that a server is full when a request arrives.
-FULL_POWER = 3
+FULL_PROBABILITY_EXPONENT = 3
 
 
 def add(
@@ -49,7 +49,8 @@
 ) -> bool:
     """Returns whether a prompt is long enough to be announced to peers."""
     return (
-        tokens * prefill_cost.us_per_token(world, server) >= ANNOUNCE_MS * 1000
+        tokens * prefill_cost.us_per_token(world, server)
+        >= ANNOUNCE_MIN_MS * 1000
     )
 
 
@@ -60,7 +61,9 @@
     total = 0.0
     for other, ends_ms in server.backlog.items():
         left_ms = max(0.0, ends_ms - world.now_ms)
-        total += left_ms if other <= priority else left_ms * LESS_URGENT_PART
+        total += (
+            left_ms if other <= priority else left_ms * LESS_URGENT_FRACTION
+        )
     return total
 
 
@@ -80,12 +83,12 @@
         in_flight = max(in_flight, server.running + server.waiting + since)
     slots = server.slots or world.policy.slots
     turn_ms = world.service_ms.get(server.target, 0.0) / slots
-    wait += turn_ms * _turns(in_flight, slots)
+    wait += turn_ms * _completions_needed(in_flight, slots)
     # Every request in a batch makes each of its steps slightly longer.
-    return wait + in_flight * BATCH_MS
+    return wait + in_flight * BATCH_DELAY_MS
 
 
-def _turns(in_flight: int, slots: int) -> float:
+def _completions_needed(in_flight: int, slots: int) -> float:
     """Returns how many requests must end before a server begins the next.
 
     Load pattern: few slots are free, and the report of them is older than the
@@ -94,10 +97,10 @@
     """
     if in_flight >= slots:
         return float(in_flight - slots + 1)
-    return (in_flight / slots) ** FULL_POWER
+    return (in_flight / slots) ** FULL_PROBABILITY_EXPONENT
 
 
-def note_cached(
+def record_cached(
     world: entities.World,
     server: entities.ServerRow,
     keys: tuple[int, ...],
@@ -111,15 +114,17 @@
     """
     ready_ms = max(float(world.now_ms), server.backlog.get(priority, 0.0))
     for key in keys:
-        known_ms = server.cache.seen_ms(key)
+        known_ms = server.cache.cached_at_ms(key)
         if known_ms is not None and known_ms <= world.now_ms:
             at_ms = world.now_ms
         else:
             at_ms = round(ready_ms + READY_MARGIN_MS)
-        server.cache.note(key, now_ms=at_ms, limit=world.policy.max_residency)
+        server.cache.record(
+            key, now_ms=at_ms, max_keys=world.policy.max_residency
+        )
 
 
-def peer_dispatched(
+def record_peer_dispatch(
     world: entities.World, told: server_inputs.PeerDispatched
 ) -> None:
     """Records a prompt that another daemon sent to a server."""
@@ -127,14 +132,14 @@
     if server is None:
         return
     add(world, server, tokens=told.tokens, priority=told.priority)
-    note_cached(world, server, told.levels, priority=told.priority)
+    record_cached(world, server, told.levels, priority=told.priority)
 
 
 __all__ = [
     "add",
     "is_long",
-    "note_cached",
-    "peer_dispatched",
     "queue_ms",
+    "record_cached",
+    "record_peer_dispatch",
     "wait_ms",
 ]
--- a/src/godwittack/core/cached_state.py
+++ b/src/godwittack/core/cached_state.py
@@ -15,7 +15,7 @@
 STORE_TARGET = "kv-store"
 
 
-def held_tokens(
+def cached_tokens(
     server: entities.ServerRow,
     request: entities.RequestRow,
     version: str,
@@ -37,8 +37,8 @@
     """
     total = untold = 0
     for level in request.work.levels:
-        key = version_key(level, version)
-        seen_ms = server.cache.seen_ms(key)
+        key = level_key(level, version)
+        seen_ms = server.cache.cached_at_ms(key)
         if seen_ms is None and level.tokens < levels.SMALL_TOKENS:
             untold += level.tokens
             continue
@@ -46,7 +46,7 @@
             break
         if ready_by_ms is not None and seen_ms > ready_by_ms:
             break
-        stored = server.cache.tokens(key, whole=level.tokens)
+        stored = server.cache.stored_tokens(key, level_tokens=level.tokens)
         total += untold + stored
         untold = 0
         if stored < level.tokens:
@@ -81,15 +81,15 @@
     )
 
 
-def version_key(level: work.Level, version: str) -> int:
+def level_key(level: work.Level, version: str) -> int:
     """Returns the key of a level computed with a version of the weights."""
-    return levels.versioned(level.key, version)
+    return levels.key_for_weights(level.key, version)
 
 
 __all__ = [
     "STORE_TARGET",
-    "held_tokens",
+    "cached_tokens",
     "home_store",
+    "level_key",
     "stores",
-    "version_key",
 ]
--- a/src/godwittack/core/candidates.py
+++ b/src/godwittack/core/candidates.py
@@ -12,9 +12,9 @@
     from godwittack.core import entities
 
 # Up to this many usable servers, all of them are scored.
-SCORE_ALL = 8
+SCORE_ALL_MAX_SERVERS = 8
 # Random candidates, in addition to the home server and the cache holders.
-DRAWN = 4
+RANDOM_CANDIDATES = 4
 
 
 def choose(
@@ -38,12 +38,12 @@
         held: Prompt tokens that each server has cached, by server id.
         home: Home server of the prompt; empty for none.
     """
-    if len(usable) <= SCORE_ALL:
+    if len(usable) <= SCORE_ALL_MAX_SERVERS:
         return usable
     seed = f"{request.request_id}/{world.now_ms}".encode()
     drawn_at = xxhash.xxh3_64_intdigest(seed)
     drawn = set()
-    for _ in range(DRAWN):
+    for _ in range(RANDOM_CANDIDATES):
         drawn_at, place = divmod(drawn_at, len(usable))
         drawn.add(usable[place].server_id)
     return [
@@ -55,7 +55,9 @@
     ]
 
 
-def home(request: entities.RequestRow, usable: list[entities.ServerRow]) -> str:
+def home_server(
+    request: entities.RequestRow, usable: list[entities.ServerRow]
+) -> str:
     """Returns the server on which a prompt's shared levels should be cached.
 
     It is chosen by the hash of the last shared level, since many prompts may
@@ -69,4 +71,4 @@
     return rendezvous.rank(last_shared[-1].key, names)[0]
 
 
-__all__ = ["SCORE_ALL", "choose", "home"]
+__all__ = ["SCORE_ALL_MAX_SERVERS", "choose", "home_server"]
--- a/src/godwittack/core/dispatching.py
+++ b/src/godwittack/core/dispatching.py
@@ -111,7 +111,7 @@
     choice: placing.Choice,
 ) -> None:
     """Opens a new attempt on the chosen server."""
-    refusal = routing.still_allowed(world, request)
+    refusal = routing.recheck_key(world, request)
     if refusal is not None:
         refusing.taken_away(world, request, refusal)
         return
@@ -135,8 +135,8 @@
     keys = sending.cached_keys(request, server)
     if request.work.route is None:
         for key in keys:
-            server.cache.note(
-                key, now_ms=world.now_ms, limit=world.policy.max_residency
+            server.cache.record(
+                key, now_ms=world.now_ms, max_keys=world.policy.max_residency
             )
     elif keys:
         sending.count_prompt(world, request, choice, keys)
@@ -160,7 +160,7 @@
             ends_at_ms=sending.ends_at_ms(request),
             cache_scope=kv_cache.scope(world, request, server),
             kv_fetch_from=choice.fetch_from,
-            kv_save_to=kv_cache.save_to(
+            kv_save_to=kv_cache.plan_save(
                 world, request, server, ready_in_ms=choice.first_token_ms
             ),
             incarnation=server.incarnation if request.work.route else "",
--- a/src/godwittack/core/entities.py
+++ b/src/godwittack/core/entities.py
@@ -307,8 +307,10 @@
     )
     notices: dict[str, NoticeRow] = dataclasses.field(default_factory=dict)
     resting: set[str] = dataclasses.field(default_factory=set)
-    paces: dict[str, prefill_cost.Pace] = dataclasses.field(
-        default_factory=lambda: collections.defaultdict(prefill_cost.Pace)
+    paces: dict[str, prefill_cost.PrefillCost] = dataclasses.field(
+        default_factory=lambda: collections.defaultdict(
+            prefill_cost.PrefillCost
+        )
     )
 
     def emit(self, effect: effects.Effect) -> None:
--- a/src/godwittack/core/kv_cache.py
+++ b/src/godwittack/core/kv_cache.py
@@ -11,7 +11,7 @@
     from godwittack.core import entities
 
 # Compute time from which saving levels to a store is worth the transfer.
-SAVE_MS = 7.0
+SAVE_MIN_COMPUTE_MS = 7.0
 # Time to transfer 13,000 tokens to a store in another failure domain, after
 # waiting for one other transfer.
 TRANSFER_MS = 130
@@ -36,7 +36,7 @@
     return f"v{server.weights_version}/{owner}"
 
 
-def save_to(
+def plan_save(
     world: entities.World,
     request: entities.RequestRow,
     server: entities.ServerRow,
@@ -57,20 +57,23 @@
     """
     version = server.weights_version
     shared = sum(level.tokens for level in request.work.levels[:-1])
-    if shared * prefill_cost.us_per_token(world, server) < SAVE_MS * 1000:
+    if (
+        shared * prefill_cost.us_per_token(world, server)
+        < SAVE_MIN_COMPUTE_MS * 1000
+    ):
         return ""
     store = cached_state.home_store(world, request)
     if store is None:
         return ""
-    if cached_state.held_tokens(store, request, version) >= shared:
+    if cached_state.cached_tokens(store, request, version) >= shared:
         return ""
     for level in request.work.levels[:-1]:
-        store.cache.note(
-            levels.versioned(level.key, version),
+        store.cache.record(
+            levels.key_for_weights(level.key, version),
             now_ms=round(world.now_ms + ready_in_ms + TRANSFER_MS),
-            limit=world.policy.max_residency,
+            max_keys=world.policy.max_residency,
         )
     return store.address
 
 
-__all__ = ["save_to", "scope"]
+__all__ = ["plan_save", "scope"]
--- a/src/godwittack/core/placing.py
+++ b/src/godwittack/core/placing.py
@@ -23,17 +23,17 @@
 
 # Probability that a level is cached on a server where it was last seen longer
 # than `hint_ms` ago, or on its home server if it was never seen there.
-HOME_PRIOR = 0.5
+PRIOR_CACHED_PROBABILITY = 0.5
 # Least-loaded servers scored in addition to the home servers and those that
 # hold the prefix, as alternatives when all of these are busy.
-SPARE_CANDIDATES = 2
+LEAST_LOADED_CANDIDATES = 2
 # Ratio of a prefix's share of the servers to its share of the traffic.
-SPREAD_SLACK = 1.2
+SPREAD_FACTOR = 1.2
 # Extra tokens to compute, compared with the candidate that has the most cached,
 # from which a choice is a cold placement and needs the spill budget.
-SPILL_TOKENS = 500
+SPILL_MIN_EXTRA_TOKENS = 500
 # Prefix of the names of the cells that count a model's requests.
-MODEL_CELLS = "model/"
+MODEL_CELL_PREFIX = "model/"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
     if request.work.kind is work.WorkKind.PLAIN:
         return _least_loaded(world, request, usable)
     if request.work.route is not None:
-        return _routed(world, request, usable)
+        return _choose_by_backlog(world, request, usable)
     homes = home_servers(world, request, usable)
     reuse_weight = world.table.models[request.work.target].reuse_weight
     waits = {server.server_id: wait_ms(world, server) for server in usable}
@@ -86,10 +86,10 @@
         )
         for server in _candidates(request, usable, homes, waits)
     ]
-    return _within_budget(world, scored)
+    return _cheapest_in_budget(world, scored)
 
 
-def _routed(
+def _choose_by_backlog(
     world: entities.World,
     request: entities.RequestRow,
     usable: list[entities.ServerRow],
@@ -105,7 +105,7 @@
     )
 
 
-def _within_budget(world: entities.World, scored: list[Choice]) -> Choice:
+def _cheapest_in_budget(world: entities.World, scored: list[Choice]) -> Choice:
     """Returns the cheapest choice that the spill budget allows.
 
     A cold placement sends a request to an idle server instead of a busy one
@@ -116,16 +116,18 @@
     grew. The budget limits them to a small part of the requests; later requests
     reuse the copies of the prefix that they create.
     """
-    best = min(scored, key=_order)
+    best = min(scored, key=_sort_key)
     least = min(choice.uncached_tokens for choice in scored)
     extra = best.uncached_tokens - least
-    if extra < SPILL_TOKENS or world.spill_budget.spend():
+    if extra < SPILL_MIN_EXTRA_TOKENS or world.spill_budget.spend():
         return best
-    near = [c for c in scored if c.uncached_tokens - least < SPILL_TOKENS]
-    return min(near, key=_order)
+    near = [
+        c for c in scored if c.uncached_tokens - least < SPILL_MIN_EXTRA_TOKENS
+    ]
+    return min(near, key=_sort_key)
 
 
-def _order(choice: Choice) -> tuple[float, str]:
+def _sort_key(choice: Choice) -> tuple[float, str]:
     return (choice.cost, choice.server.server_id)
 
 
@@ -202,7 +204,7 @@
 
 def model_cell(target: str) -> str:
     """Returns the name of the cell that counts a model's requests."""
-    return MODEL_CELLS + target
+    return MODEL_CELL_PREFIX + target
 
 
 def home_servers(
@@ -224,19 +226,21 @@
         share = world.heat.share(
             request.work.target, level.key, now_ms=world.now_ms
         )
-        keep = world.heat.spread(
-            level.key, need=share * total * SPREAD_SLACK, most=len(names)
+        keep = world.heat.server_count(
+            level.key,
+            servers_needed=share * total * SPREAD_FACTOR,
+            max_servers=len(names),
         )
         names = tuple(sorted(rendezvous.rank(level.key, names)[:keep]))
     return frozenset(names)
 
 
-def note_demand(world: entities.World, request: entities.RequestRow) -> None:
+def record_demand(world: entities.World, request: entities.RequestRow) -> None:
     """Counts a new request and its levels; called once per request."""
     target = request.work.target
     world.shares.arrived(model_cell(target))
     for level in request.work.levels:
-        if not world.heat.knows(level.key):
+        if not world.heat.has_key(level.key):
             break
         request.known_tokens += level.tokens
     world.heat.add_total(target, now_ms=world.now_ms)
@@ -259,21 +263,23 @@
     remaining = float(request.work.prompt_tokens)
     chance = 1.0
     for level in request.work.levels:
-        chance *= _cached_chance(world, server, level.key, home)
+        chance *= _cached_probability(world, server, level.key, home)
         if chance == 0.0:
             break
         remaining -= chance * level.tokens
     return remaining
 
 
-def _cached_chance(
+def _cached_probability(
     world: entities.World, server: entities.ServerRow, key: int, home: bool
 ) -> float:
-    seen_ms = server.cache.seen_ms(key)
+    seen_ms = server.cache.cached_at_ms(key)
     if seen_ms is not None:
         age_ms = world.now_ms - seen_ms
-        return 1.0 if age_ms < world.policy.hint_ms else HOME_PRIOR
-    return HOME_PRIOR if home else 0.0
+        return (
+            1.0 if age_ms < world.policy.hint_ms else PRIOR_CACHED_PROBABILITY
+        )
+    return PRIOR_CACHED_PROBABILITY if home else 0.0
 
 
 def _score(
@@ -343,28 +349,31 @@
     homes: frozenset[str],
     waits: dict[str, float],
 ) -> list[entities.ServerRow]:
-    if len(usable) <= candidates.SCORE_ALL:
+    if len(usable) <= candidates.SCORE_ALL_MAX_SERVERS:
         return usable
     spare = sorted(waits, key=lambda name: (waits[name], name))
-    chosen = set(spare[:SPARE_CANDIDATES])
+    chosen = set(spare[:LEAST_LOADED_CANDIDATES])
     for server in usable:
         if server.server_id in homes or (
             request.work.levels
-            and (server.cache.seen_ms(request.work.levels[0].key) is not None)
+            and (
+                server.cache.cached_at_ms(request.work.levels[0].key)
+                is not None
+            )
         ):
             chosen.add(server.server_id)
     return [server for server in usable if server.server_id in chosen]
 
 
 __all__ = [
-    "MODEL_CELLS",
+    "MODEL_CELL_PREFIX",
     "Choice",
     "choose",
     "home_servers",
     "is_in_service",
     "is_usable",
     "model_cell",
-    "note_demand",
+    "record_demand",
     "uncached_tokens",
     "wait_ms",
 ]
--- a/src/godwittack/core/prefill_cost.py
+++ b/src/godwittack/core/prefill_cost.py
@@ -22,28 +22,30 @@
     from godwittack.core import entities
 
 # Only recent samples are kept, since engines may be replaced.
-KEPT = 16
+MAX_SAMPLES = 16
 # Samples needed before they replace the assumed value.
-LEAST = 6
+MIN_SAMPLES = 6
 # Quantile of the samples that is used instead of the minimum: of some prompts
 # more was cached than this daemon knew.
 QUANTILE = 0.25
 # Maximum growth of the estimate per sample: under overload, waiting makes the
 # estimate too high by a third only after some ten seconds, not at once.
-RISE = 1.005
+MAX_GROWTH_PER_SAMPLE = 1.005
 # Prompts shorter than this show the fixed time of a first token.
-SHORT_TOKENS = 300
+SHORT_PROMPT_TOKENS = 300
 # Prompts of at least this length show the compute time per token.
-LONG_TOKENS = 1_000
+LONG_PROMPT_TOKENS = 1_000
 # Relative change of the estimate from which it is logged.
-TOLD_PART = 0.3
+LOG_CHANGE_RATIO = 0.3
 
 
 class _Samples:
     """The most recent samples of one quantity."""
 
     def __init__(self) -> None:
-        self._values: collections.deque[float] = collections.deque(maxlen=KEPT)
+        self._values: collections.deque[float] = collections.deque(
+            maxlen=MAX_SAMPLES
+        )
 
     def add(self, value: float) -> None:
         """Adds a sample."""
@@ -51,14 +53,14 @@
 
     def quantile(self) -> float:
         """Returns the `QUANTILE` of the samples, or 0 if there are too few."""
-        if len(self._values) < LEAST:
+        if len(self._values) < MIN_SAMPLES:
             return 0.0
         ordered = sorted(self._values)
         return ordered[int(len(ordered) * QUANTILE)]
 
 
 @dataclasses.dataclass(slots=True)
-class Pace:
+class PrefillCost:
     """Estimated prefill cost of one model's engines.
 
     Attributes:
@@ -67,25 +69,25 @@
     """
 
     us_per_token: float = 0.0
-    _first_ms: _Samples = dataclasses.field(default_factory=_Samples)
-    _token_us: _Samples = dataclasses.field(default_factory=_Samples)
+    _short_prompt_ms: _Samples = dataclasses.field(default_factory=_Samples)
+    _us_per_token_bounds: _Samples = dataclasses.field(default_factory=_Samples)
 
-    def saw_first_token(self, *, tokens: int, took_ms: int) -> None:
+    def add_sample(self, *, tokens: int, took_ms: int) -> None:
         """Updates the estimate from the time to a first token.
 
         Args:
             tokens: Prompt tokens that the engine had to compute.
             took_ms: Time from sending to the first token.
         """
-        if tokens < SHORT_TOKENS:
-            self._first_ms.add(took_ms)
-        if tokens < LONG_TOKENS:
+        if tokens < SHORT_PROMPT_TOKENS:
+            self._short_prompt_ms.add(took_ms)
+        if tokens < LONG_PROMPT_TOKENS:
             return
-        computing_ms = max(0.0, took_ms - self._first_ms.quantile())
-        self._token_us.add(computing_ms * 1000 / tokens)
-        bound_us = self._token_us.quantile()
+        computing_ms = max(0.0, took_ms - self._short_prompt_ms.quantile())
+        self._us_per_token_bounds.add(computing_ms * 1000 / tokens)
+        bound_us = self._us_per_token_bounds.quantile()
         if self.us_per_token:
-            bound_us = min(bound_us, self.us_per_token * RISE)
+            bound_us = min(bound_us, self.us_per_token * MAX_GROWTH_PER_SAMPLE)
         self.us_per_token = bound_us
 
 
@@ -101,7 +103,7 @@
     return learnt or float(world.policy.prefill_us_per_token)
 
 
-def learn(
+def record_first_token(
     world: entities.World,
     attempt: entities.AttemptRow,
     server: entities.ServerRow,
@@ -111,11 +113,11 @@
         return
     known = world.paces[server.target]
     before = known.us_per_token
-    known.saw_first_token(
+    known.add_sample(
         tokens=attempt.expected_tokens,
         took_ms=world.now_ms - attempt.sent_at_ms,
     )
-    if _differs(known.us_per_token, before):
+    if _is_notable_change(known.us_per_token, before):
         world.event(
             "pace_learnt",
             target=server.target,
@@ -124,9 +126,11 @@
         )
 
 
-def _differs(one: float, other: float) -> bool:
+def _is_notable_change(one: float, other: float) -> bool:
     """Returns whether an estimate has changed enough to be logged."""
-    return one != other and (not other or abs(one - other) > TOLD_PART * other)
+    return one != other and (
+        not other or abs(one - other) > LOG_CHANGE_RATIO * other
+    )
 
 
-__all__ = ["Pace", "learn", "us_per_token"]
+__all__ = ["PrefillCost", "record_first_token", "us_per_token"]
--- a/src/godwittack/core/router.py
+++ b/src/godwittack/core/router.py
@@ -144,7 +144,7 @@
                     weights.named(world, told)
                     world.table = told.table
             case server_inputs.PeerDispatched():
-                backlog.peer_dispatched(world, told)
+                backlog.record_peer_dispatch(world, told)
             case inputs.CrashesTold():
                 crashes.told(world, told)
             case inputs.PeerDemand():
--- a/src/godwittack/core/routing.py
+++ b/src/godwittack/core/routing.py
@@ -15,7 +15,7 @@
 # current.
 NOT_CURRENT_RETRY_MS = 500
 # Workspace of requests on routes that need no API key.
-ANONYMOUS = model.WorkspaceRow(
+ANONYMOUS_WORKSPACE = model.WorkspaceRow(
     name="", max_in_flight=model.NO_LIMIT, max_requests_per_s=model.NO_LIMIT
 )
 
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Routed:
+class RoutedRequest:
     """A request with its route and target, and the workspace that sent it."""
 
     work: work.Work
@@ -40,7 +40,7 @@
 
 def route(
     world: entities.World, arrived: inputs.RequestArrived
-) -> Routed | Refusal:
+) -> RoutedRequest | Refusal:
     """Determines route, target and workspace from host, path and API key."""
     asked = arrived.work
     forwarding = world.table.forwarding
@@ -60,7 +60,7 @@
     target = found.target_of(arrived.request_id)
     is_model = target in forwarding.engines
     kind = work.WorkKind.GENERATION if is_model else work.WorkKind.PLAIN
-    return Routed(
+    return RoutedRequest(
         dataclasses.replace(
             asked,
             route=found,
@@ -68,11 +68,11 @@
             kind=kind,
             streaming=found.streaming,
         ),
-        world.table.workspaces.get(name, ANONYMOUS),
+        world.table.workspaces.get(name, ANONYMOUS_WORKSPACE),
     )
 
 
-def still_allowed(
+def recheck_key(
     world: entities.World, request: entities.RequestRow
 ) -> Refusal | None:
     """Checks API key and serving lease again, just before a dispatch.
@@ -122,10 +122,10 @@
 
 
 __all__ = [
-    "ANONYMOUS",
+    "ANONYMOUS_WORKSPACE",
     "Refusal",
-    "Routed",
+    "RoutedRequest",
     "priority",
+    "recheck_key",
     "route",
-    "still_allowed",
 ]
--- a/src/godwittack/core/sending.py
+++ b/src/godwittack/core/sending.py
@@ -50,7 +50,7 @@
     if request.work.route is None:
         return tuple(level.key for level in request.work.levels)
     return tuple(
-        levels.versioned(level.key, server.weights_version)
+        levels.key_for_weights(level.key, server.weights_version)
         for level in request.work.levels
     )
 
@@ -65,7 +65,7 @@
     priority = routing.priority(world, request)
     tokens = round(choice.uncached_tokens)
     backlog.add(world, choice.server, tokens=tokens, priority=priority)
-    backlog.note_cached(world, choice.server, keys, priority=priority)
+    backlog.record_cached(world, choice.server, keys, priority=priority)
     if backlog.is_long(world, choice.server, request.work.prompt_tokens):
         world.emit(
             effects.Announce(
--- a/src/godwittack/core/servers.py
+++ b/src/godwittack/core/servers.py
@@ -156,10 +156,10 @@
         cache.forget(key)
     tokens = told.tokens or (0,) * len(told.stored)
     for key, stored in zip(told.stored, tokens, strict=True):
-        cache.note(
+        cache.record(
             key,
             now_ms=world.now_ms,
-            limit=world.policy.max_residency,
+            max_keys=world.policy.max_residency,
             tokens=stored,
         )
 
--- a/src/godwittack/core/sourcing.py
+++ b/src/godwittack/core/sourcing.py
@@ -27,29 +27,29 @@
 
 # Compute time that a copy must save to be worthwhile; a fetch from a source
 # that no longer has the state costs 1 ms.
-COPY_MS = 3.5
+COPY_MIN_SAVED_MS = 3.5
 # Cost of copying a token over an engine's or a store's link, relative to the
 # time to compute it: a larger model takes longer to compute a token, and caches
 # more state for it as well. An engine's link carries 18 KB per token at
 # 180 Gbit/s where a token takes 7 us to compute, and 164 KB at 740 Gbit/s where
 # it takes 15 us. Between failure domains a copy takes twice as long.
-ENGINE_COPY_PART = 0.117
-STORE_COPY_PART = 0.34
-FAR_FACTOR = 2.0
+ENGINE_COPY_COST_RATIO = 0.117
+STORE_COPY_COST_RATIO = 0.34
+CROSS_DOMAIN_FACTOR = 2.0
 # Relative cost of copying a token that the source has certainly evicted.
-EVICTED_PART = 0.91
+EVICTED_COST_RATIO = 0.91
 # Relative cost of the memory that a copied token occupies: it evicts other
 # state from the cache of the server that it is copied to.
-COPY_PRESSURE_PART = 0.07
+COPY_MEMORY_COST_RATIO = 0.07
 # Time after its last use by which an engine under load has evicted a prompt:
 # memory for 185,000 tokens, some 60,000 tokens computed per second.
 EVICTED_AFTER_MS = 3_000
 # Cost of computing a shared token again, in addition to the compute time.
-REREAD_US = 40.0
+RECOMPUTE_EXTRA_US = 40.0
 # Cost reduction for a prompt's home server while its shared levels are not
 # fully cached there and no copy has them all, so that several daemons bring
 # them to the same server.
-HOME_MS = 5.0
+HOME_BONUS_MS = 5.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -60,21 +60,24 @@
         server: The engine or store.
         tokens: Leading prompt tokens that it has cached by now.
         us_per_token: Cost of copying a token within its failure domain.
-        doubt_us: Cost per token of the risk that it has been evicted.
+        eviction_risk_us: Cost per token of the risk that it has been evicted.
     """
 
     server: entities.ServerRow
     tokens: int
     us_per_token: float
-    doubt_us: float = 0.0
+    eviction_risk_us: float = 0.0
 
     def cost_us(self, server: entities.ServerRow) -> float:
         """Returns the cost of copying a token to `server`, in microseconds."""
-        return self.us_per_token * _far(server, self.server) + self.doubt_us
+        return (
+            self.us_per_token * _distance_factor(server, self.server)
+            + self.eviction_risk_us
+        )
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Placed:
+class Placement:
     """One server scored for one request.
 
     Attributes:
@@ -98,20 +101,20 @@
     world: entities.World,
     request: entities.RequestRow,
     usable: list[entities.ServerRow],
-) -> Placed:
+) -> Placement:
     """Returns the best of the usable servers."""
     held = {
-        server.server_id: cached_state.held_tokens(
+        server.server_id: cached_state.cached_tokens(
             server, request, server.weights_version
         )
-        for server in _holders(world, request)
+        for server in _possible_holders(world, request)
     }
     # All servers with the same version of weights share their sources.
     sources = {
         version: _sources(world, request, version)
         for version in {server.weights_version for server in usable}
     }
-    home = candidates.home(request, usable)
+    home = candidates.home_server(request, usable)
     rank = routing.priority(world, request)
     drawn = candidates.choose(world, request, usable, held=held, home=home)
     placed = [
@@ -130,11 +133,11 @@
     if best.fetch_from:
         return best
     of_version = sources[best.server.weights_version]
-    spare = _spare_source(world, request, best.server, of_version)
+    spare = _fallback_source(world, request, best.server, of_version)
     return dataclasses.replace(best, fetch_from=spare)
 
 
-def _spare_source(
+def _fallback_source(
     world: entities.World,
     request: entities.RequestRow,
     server: entities.ServerRow,
@@ -152,12 +155,12 @@
         key=lambda source: (source.tokens, -source.cost_us(server)),
         default=None,
     )
-    if found is not None and found.tokens >= _least_copy(world, server):
+    if found is not None and found.tokens >= _min_copy_tokens(world, server):
         return found.server.address
-    return _any_store(world, request, server)
+    return _fallback_store(world, request, server)
 
 
-def _any_store(
+def _fallback_store(
     world: entities.World,
     request: entities.RequestRow,
     server: entities.ServerRow,
@@ -168,13 +171,13 @@
     what was evicted. A fetch from a store without the prompt costs 1 ms.
     """
     shared = sum(level.tokens for level in request.work.levels[:-1])
-    if shared < _least_copy(world, server):
+    if shared < _min_copy_tokens(world, server):
         return ""
     store = cached_state.home_store(world, request)
     return store.address if store is not None else ""
 
 
-def _holders(
+def _possible_holders(
     world: entities.World, request: entities.RequestRow
 ) -> list[entities.ServerRow]:
     """Returns servers of the request's target that copies may come from."""
@@ -194,7 +197,7 @@
     sources: list[Source],
     rank: int,
     is_home: bool,
-) -> Placed:
+) -> Placement:
     wait = backlog.queue_ms(world, server, rank)
     source = _best_source(world, server, sources, own)
     known = source.tokens if source else own
@@ -204,14 +207,14 @@
     copied = known - own
     copy_ms = copied * source.cost_us(server) / 1000 if source else 0.0
     shared = sum(level.tokens for level in request.work.levels[:-1])
-    reread_ms = max(0, shared - known) * REREAD_US / 1000
+    reread_ms = max(0, shared - known) * RECOMPUTE_EXTRA_US / 1000
     first_token_ms = wait + compute_ms + copy_ms
-    pressure_ms = copied * us_per_token * COPY_PRESSURE_PART / 1000
+    pressure_ms = copied * us_per_token * COPY_MEMORY_COST_RATIO / 1000
     cost = first_token_ms + reread_ms + pressure_ms
     cost += weights.cost_ms(world, server)
     if is_home and known < max(shared, 1):
-        cost -= HOME_MS
-    return Placed(
+        cost -= HOME_BONUS_MS
+    return Placement(
         server=server,
         wait_ms=wait,
         fetch_from=source.server.address if source else "",
@@ -230,8 +233,8 @@
     """Returns the source that saves the most time, or None if none does."""
     best: Source | None = None
     best_saved = 0.0
-    least = _least_copy(world, server)
-    compute_us = prefill_cost.us_per_token(world, server) + REREAD_US
+    least = _min_copy_tokens(world, server)
+    compute_us = prefill_cost.us_per_token(world, server) + RECOMPUTE_EXTRA_US
     for source in sources:
         gain = source.tokens - own
         if gain < least or source.server is server:
@@ -247,53 +250,59 @@
 ) -> list[Source]:
     """Returns engines with these weights, and stores, that hold a prefix."""
     found: list[Source] = []
-    for engine in _holders(world, request):
+    for engine in _possible_holders(world, request):
         if engine.weights_version != version:
             continue
-        tokens = _ready_tokens(world, request, engine, version)
+        tokens = _copyable_tokens(world, request, engine, version)
         if tokens:
             us_per_token = prefill_cost.us_per_token(world, engine)
-            doubt = _doubt(world, request, engine, version)
+            doubt = _eviction_probability(world, request, engine, version)
             found.append(
                 Source(
                     engine,
                     tokens,
-                    us_per_token * ENGINE_COPY_PART,
-                    us_per_token * EVICTED_PART * doubt,
+                    us_per_token * ENGINE_COPY_COST_RATIO,
+                    us_per_token * EVICTED_COST_RATIO * doubt,
                 )
             )
-    engines_us = _engines_us(world, request)
+    engines_us = _engines_us_per_token(world, request)
     for store in cached_state.stores(world):
-        tokens = _ready_tokens(world, request, store, version)
+        tokens = _copyable_tokens(world, request, store, version)
         if tokens:
-            found.append(Source(store, tokens, engines_us * STORE_COPY_PART))
+            found.append(
+                Source(store, tokens, engines_us * STORE_COPY_COST_RATIO)
+            )
     return found
 
 
-def _ready_tokens(
+def _copyable_tokens(
     world: entities.World,
     request: entities.RequestRow,
     server: entities.ServerRow,
     version: str,
 ) -> int:
     """Returns how many leading tokens can be copied from `server` now."""
-    return cached_state.held_tokens(
+    return cached_state.cached_tokens(
         server, request, version, ready_by_ms=world.now_ms
     )
 
 
-def _engines_us(world: entities.World, request: entities.RequestRow) -> float:
+def _engines_us_per_token(
+    world: entities.World, request: entities.RequestRow
+) -> float:
     """Returns the microseconds per prompt token of the target's engines."""
     learnt = world.paces[request.work.target].us_per_token
     return learnt or float(world.policy.prefill_us_per_token)
 
 
-def _least_copy(world: entities.World, server: entities.ServerRow) -> float:
+def _min_copy_tokens(
+    world: entities.World, server: entities.ServerRow
+) -> float:
     """Returns the minimum number of tokens that a copy must save."""
-    return COPY_MS * 1000 / prefill_cost.us_per_token(world, server)
+    return COPY_MIN_SAVED_MS * 1000 / prefill_cost.us_per_token(world, server)
 
 
-def _doubt(
+def _eviction_probability(
     world: entities.World,
     request: entities.RequestRow,
     other: entities.ServerRow,
@@ -310,8 +319,8 @@
         seen_ms
         for level in request.work.levels
         if (
-            seen_ms := other.cache.seen_ms(
-                cached_state.version_key(level, version)
+            seen_ms := other.cache.cached_at_ms(
+                cached_state.level_key(level, version)
             )
         )
         is not None
@@ -319,12 +328,18 @@
     return min(1.0, max(0, world.now_ms - seen_ms) / EVICTED_AFTER_MS)
 
 
-def _far(one: entities.ServerRow, other: entities.ServerRow) -> float:
-    return 1.0 if one.failure_domain == other.failure_domain else FAR_FACTOR
+def _distance_factor(
+    one: entities.ServerRow, other: entities.ServerRow
+) -> float:
+    return (
+        1.0
+        if one.failure_domain == other.failure_domain
+        else CROSS_DOMAIN_FACTOR
+    )
 
 
 __all__ = [
-    "Placed",
+    "Placement",
     "Source",
     "choose",
 ]
--- a/src/godwittack/core/splitting.py
+++ b/src/godwittack/core/splitting.py
@@ -37,7 +37,7 @@
     return found
 
 
-def note(world: entities.World, request: entities.RequestRow) -> None:
+def record_groups(world: entities.World, request: entities.RequestRow) -> None:
     """Records which daemons share the limits of a request's cells.
 
     They must be known before they report any demand: a daemon that assumed to
@@ -56,4 +56,4 @@
         world.shares.groups[f"service/{target}"].update(heard)
 
 
-__all__ = ["limits", "note", "workspace_cell"]
+__all__ = ["limits", "record_groups", "workspace_cell"]
--- a/src/godwittack/daemon/demand.py
+++ b/src/godwittack/daemon/demand.py
@@ -50,7 +50,10 @@
     model's rate only tells how much others send beside a daemon, and told
     exactly it would be news to every peer twice a second.
     """
-    if not cell.startswith(placing.MODEL_CELLS) or rate_per_s < LEAST_RATE:
+    if (
+        not cell.startswith(placing.MODEL_CELL_PREFIX)
+        or rate_per_s < LEAST_RATE
+    ):
         return round(rate_per_s, 1)
     steps = round(math.log(rate_per_s) / math.log(RATE_STEP))
     return round(RATE_STEP**steps, 2)
--- a/src/godwittack/placement/levels.py
+++ b/src/godwittack/placement/levels.py
@@ -21,7 +21,7 @@
 
 
 @functools.lru_cache(maxsize=8_192)
-def versioned(key: int, weights_version: str) -> int:
+def key_for_weights(key: int, weights_version: str) -> int:
     """Returns the key of a level computed with one version of the weights.
 
     Stores of cached state keep levels across a change of weights. With the
@@ -30,7 +30,7 @@
     return xxhash.xxh3_64_intdigest(f"{key}/{weights_version}".encode())
 
 
-def named(owner: str, level: str) -> int:
+def key_for_name(owner: str, level: str) -> int:
     """Returns the key of a level named by callers, unique to `owner`."""
     return xxhash.xxh3_64_intdigest(f"{owner}/{level}".encode())
 
@@ -62,4 +62,10 @@
     return tuple(levels)
 
 
-__all__ = ["BYTES_PER_TOKEN", "MAX_LEVELS", "SMALL_TOKENS", "chain", "named"]
+__all__ = [
+    "BYTES_PER_TOKEN",
+    "MAX_LEVELS",
+    "SMALL_TOKENS",
+    "chain",
+    "key_for_name",
+]
--- a/src/godwittack/placement/rendezvous.py
+++ b/src/godwittack/placement/rendezvous.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-_RANK_CACHE = 4096
+_RANK_CACHE_SIZE = 4096
 
 
 def rank(key: int, names: tuple[str, ...]) -> tuple[str, ...]:
@@ -28,7 +28,7 @@
     return ordered[0] if ordered else None
 
 
-@functools.lru_cache(maxsize=_RANK_CACHE)
+@functools.lru_cache(maxsize=_RANK_CACHE_SIZE)
 def _rank(key: int, names: tuple[str, ...]) -> tuple[str, ...]:
     return tuple(sorted(names, key=lambda n: (-_score(key, n), n)))
 
--- a/src/godwittack/placement/residency.py
+++ b/src/godwittack/placement/residency.py
@@ -9,7 +9,7 @@
 HEAT_HALF_LIFE_MS = 5_000
 HEAT_MAX_KEYS = 20_000
 HEAT_MIN_TOTAL = 20.0
-SPREAD_SHRINK_AT = 0.7
+SPREAD_SHRINK_RATIO = 0.7
 
 
 @dataclasses.dataclass(slots=True)
@@ -21,47 +21,47 @@
     costs a recomputation.
     """
 
-    _seen_ms: collections.OrderedDict[int, int] = dataclasses.field(
+    _cached_at_ms: collections.OrderedDict[int, int] = dataclasses.field(
         default_factory=collections.OrderedDict
     )
     _tokens: dict[int, int] = dataclasses.field(default_factory=dict)
 
-    def note(
-        self, key: int, *, now_ms: int, limit: int, tokens: int = 0
+    def record(
+        self, key: int, *, now_ms: int, max_keys: int, tokens: int = 0
     ) -> None:
         """Records that `key` was stored or used.
 
         Args:
             key: Level key.
             now_ms: When it was stored or used, or will be stored.
-            limit: Maximum number of keys to keep.
+            max_keys: Maximum number of keys to keep.
             tokens: Number of its tokens that are stored; 0 for all.
         """
         if tokens:
             self._tokens[key] = tokens
         else:
             self._tokens.pop(key, None)
-        self._seen_ms[key] = now_ms
-        self._seen_ms.move_to_end(key)
-        if len(self._seen_ms) > limit:
-            old, _ = self._seen_ms.popitem(last=False)
+        self._cached_at_ms[key] = now_ms
+        self._cached_at_ms.move_to_end(key)
+        if len(self._cached_at_ms) > max_keys:
+            old, _ = self._cached_at_ms.popitem(last=False)
             self._tokens.pop(old, None)
 
     def forget(self, key: int) -> None:
         """Removes `key`, as after an eviction."""
-        self._seen_ms.pop(key, None)
+        self._cached_at_ms.pop(key, None)
         self._tokens.pop(key, None)
 
     def clear(self) -> None:
         """Removes all keys, as after a crash."""
-        self._seen_ms.clear()
+        self._cached_at_ms.clear()
         self._tokens.clear()
 
-    def seen_ms(self, key: int) -> int | None:
+    def cached_at_ms(self, key: int) -> int | None:
         """Returns when `key` was last stored or used; None if not cached."""
-        return self._seen_ms.get(key)
+        return self._cached_at_ms.get(key)
 
-    def tokens(self, key: int, *, whole: int) -> int:
+    def stored_tokens(self, key: int, *, level_tokens: int) -> int:
         """Returns how many tokens of a recorded level are stored.
 
         Engines evict blocks from the end of a level, and store it block by
@@ -69,17 +69,17 @@
 
         Args:
             key: Level key.
-            whole: Tokens of the whole level.
+            level_tokens: Tokens of the whole level.
         """
-        return min(whole, self._tokens.get(key, whole))
+        return min(level_tokens, self._tokens.get(key, level_tokens))
 
     def __len__(self) -> int:
         """Returns how many keys are recorded."""
-        return len(self._seen_ms)
+        return len(self._cached_at_ms)
 
 
 @dataclasses.dataclass(slots=True)
-class Decayed:
+class DecayingCount:
     """A count that decays exponentially, by half in `HEAT_HALF_LIFE_MS`."""
 
     at_ms: int
@@ -99,17 +99,17 @@
 class Heat:
     """Recent requests by level key and by target."""
 
-    _rows: collections.OrderedDict[int, Decayed] = dataclasses.field(
+    _rows: collections.OrderedDict[int, DecayingCount] = dataclasses.field(
         default_factory=collections.OrderedDict
     )
-    _totals: dict[str, Decayed] = dataclasses.field(default_factory=dict)
+    _totals: dict[str, DecayingCount] = dataclasses.field(default_factory=dict)
     _spread: dict[int, int] = dataclasses.field(default_factory=dict)
 
     def add(self, key: int, *, now_ms: int) -> None:
         """Counts one request that uses level `key`."""
         row = self._rows.get(key)
         if row is None:
-            row = self._rows[key] = Decayed(at_ms=now_ms)
+            row = self._rows[key] = DecayingCount(at_ms=now_ms)
         row.add(now_ms)
         self._rows.move_to_end(key)
         if len(self._rows) > HEAT_MAX_KEYS:
@@ -118,10 +118,10 @@
 
     def add_total(self, target: str, *, now_ms: int) -> None:
         """Counts one request for `target`."""
-        total = self._totals.setdefault(target, Decayed(at_ms=now_ms))
+        total = self._totals.setdefault(target, DecayingCount(at_ms=now_ms))
         total.add(now_ms)
 
-    def knows(self, key: int) -> bool:
+    def has_key(self, key: int) -> bool:
         """Returns whether a request that uses `key` was counted before."""
         return key in self._rows
 
@@ -135,20 +135,25 @@
         weight = max(total.value_at(now_ms), HEAT_MIN_TOTAL)
         return row.value_at(now_ms) / weight
 
-    def spread(self, key: int, *, need: float, most: int) -> int:
+    def server_count(
+        self, key: int, *, servers_needed: float, max_servers: int
+    ) -> int:
         """Returns on how many servers `key` should be cached.
 
         Args:
             key: Level key.
-            need: Demand in servers, may be fractional.
-            most: Number of servers available.
+            servers_needed: Demand in servers, may be fractional.
+            max_servers: Number of servers available.
         """
         now = self._spread.get(key, 1)
         # Hysteresis: demand that varies around a threshold would otherwise add
         # and remove a server repeatedly, and recompute the prefix each time.
-        if need > now or need < (now - 1) * SPREAD_SHRINK_AT:
-            now = math.ceil(need)
-        now = max(1, min(now, most))
+        if (
+            servers_needed > now
+            or servers_needed < (now - 1) * SPREAD_SHRINK_RATIO
+        ):
+            now = math.ceil(servers_needed)
+        now = max(1, min(now, max_servers))
         if now == 1:
             self._spread.pop(key, None)
         else:
@@ -156,4 +161,4 @@
         return now
 
 
-__all__ = ["Decayed", "Heat", "Residency"]
+__all__ = ["DecayingCount", "Heat", "Residency"]
--- a/src/godwittack/platform/callers.py
+++ b/src/godwittack/platform/callers.py
@@ -103,9 +103,9 @@
         level, _, tokens = entry.strip().partition(":")
         size = backend_headers.number(tokens)
         if level and size is not None:
-            found.append(work.Level(levels.named(owner, level), size))
+            found.append(work.Level(levels.key_for_name(owner, level), size))
     if not found and prompt_tokens:
-        key = levels.named(owner, request.headers[names.REQUEST_ID])
+        key = levels.key_for_name(owner, request.headers[names.REQUEST_ID])
         found.append(work.Level(key, prompt_tokens))
     return tuple(found)
 
--- a/src/godwittack/platform/servers.py
+++ b/src/godwittack/platform/servers.py
@@ -151,7 +151,9 @@
                 protocol.CacheEvent(
                     number,
                     what,
-                    levels.versioned(levels.named(workspace, level), version),
+                    levels.key_for_weights(
+                        levels.key_for_name(workspace, level), version
+                    ),
                     tokens,
                 )
             )
--- a/tests/cases/entries.py
+++ b/tests/cases/entries.py
@@ -273,7 +273,7 @@
     _listed(core, 2_000)
     assert _engine(core) is server
     assert not server.leaving and not server.sent and not server.backlog
-    assert server.cache.seen_ms(11) is None and server.running == 0
+    assert server.cache.cached_at_ms(11) is None and server.running == 0
     core.arrive("long", "r2")
     assert core.dispatch().server_id == "e1"
 
@@ -300,10 +300,10 @@
         _digest(core, 1_000, 12)
         assert server.incarnation == "e1@2000"
         assert not server.leaving and server.running == 0
-        assert server.cache.seen_ms(11) is None
-        assert server.cache.seen_ms(12) is None
+        assert server.cache.cached_at_ms(11) is None
+        assert server.cache.cached_at_ms(12) is None
         _digest(core, 2_000, 13)
-        assert server.cache.seen_ms(13) is not None
+        assert server.cache.cached_at_ms(13) is not None
 
 
 def an_answer_of_the_start_before_changes_nothing() -> None:
--- a/tests/cases/paces.py
+++ b/tests/cases/paces.py
@@ -36,7 +36,7 @@
         unseen: Part of the prompts that other daemons send.
     """
     rng = random.Random(SEED)
-    engine, known = Engine(TRUE_US), prefill_cost.Pace()
+    engine, known = Engine(TRUE_US), prefill_cost.PrefillCost()
     now_ms = 0.0
     pending: list[tuple[float, int, int]] = []
     while now_ms < for_s * 1000:
@@ -45,7 +45,7 @@
         took_ms = engine.first_token_ms(now_ms, tokens)
         for seen in [p for p in pending if p[0] <= now_ms]:
             pending.remove(seen)
-            known.saw_first_token(tokens=seen[1], took_ms=seen[2])
+            known.add_sample(tokens=seen[1], took_ms=seen[2])
         if rng.random() >= unseen:
             pending.append((now_ms + took_ms, tokens, took_ms))
     return known.us_per_token
@@ -83,10 +83,10 @@
     Sequence: one first token in ten comes at once.
     Cause: the least of all bounds taken.
     """
-    known = prefill_cost.Pace()
+    known = prefill_cost.PrefillCost()
     for number in range(200):
         took_ms = 20 if number % 10 == 0 else 90
-        known.saw_first_token(tokens=6_000, took_ms=took_ms)
+        known.add_sample(tokens=6_000, took_ms=took_ms)
     assert known.us_per_token == 15.0, known.us_per_token
 
 
@@ -97,9 +97,9 @@
     Sequence: three first tokens, the first of them late.
     Cause: an estimate from one sample.
     """
-    known = prefill_cost.Pace()
+    known = prefill_cost.PrefillCost()
     for took_ms in (4_000, 60, 70):
-        known.saw_first_token(tokens=4_000, took_ms=took_ms)
+        known.add_sample(tokens=4_000, took_ms=took_ms)
     assert known.us_per_token == 0.0
 
 
--- a/tests/cases/sourcing.py
+++ b/tests/cases/sourcing.py
@@ -99,11 +99,11 @@
     core.now_ms += 10
     server = core.world.servers[first.server_id]
     request = core.world.requests["r1"]
-    held = cached_state.held_tokens(
+    held = cached_state.cached_tokens(
         server, request, "1", ready_by_ms=core.now_ms
     )
     assert held == 0
-    assert cached_state.held_tokens(server, request, "1") == 16_000
+    assert cached_state.cached_tokens(server, request, "1") == 16_000
 
 
 def a_store_is_named_for_what_may_have_been_lost() -> None:
@@ -260,11 +260,11 @@
     core = _core()
     first = _ask(core, "r1")
     core.now_ms += 1_000
-    key = levels.versioned(SHARED.key, "1")
+    key = levels.key_for_weights(SHARED.key, "1")
     _digest(core, first.server_id, stored=(key,), tokens=(1_000,))
     server = core.world.servers[first.server_id]
     request = core.world.requests["r1"]
-    assert cached_state.held_tokens(server, request, "1") == 1_000
+    assert cached_state.cached_tokens(server, request, "1") == 1_000
 
 
 def small_levels_are_not_told_to_peers() -> None:
@@ -319,10 +319,10 @@
         for name in core.world.servers_by_target[routed_core.ENGINES]
         if name != first.server_id
     )
-    key = levels.versioned(SHARED.key, "1")
+    key = levels.key_for_weights(SHARED.key, "1")
     _digest(core, other, stored=(key,), tokens=(13_000,))
     server, request = core.world.servers[other], core.world.requests["r1"]
-    assert cached_state.held_tokens(server, request, "1") == 13_050
+    assert cached_state.cached_tokens(server, request, "1") == 13_050
 
 
 def a_small_level_first_casts_no_doubt_on_its_holder() -> None:
@@ -337,7 +337,7 @@
     """
     core = _core()
     greeting = work.Level(key=10, tokens=50)
-    key = levels.versioned(SHARED.key, "1")
+    key = levels.key_for_weights(SHARED.key, "1")
     for holder in ("e1", "keep"):
         _digest(core, holder, stored=(key,), tokens=(13_000,))
     core.world.servers["e1"].backlog[0] = core.now_ms + 500.0
--- a/tests/features/steps/fleet_steps.py
+++ b/tests/features/steps/fleet_steps.py
@@ -259,7 +259,7 @@
     """Ends a fifth of a daemon's requests and begins what it may of others."""
     world = daemon.runtime.core.world
     use = world.shares.cells[CELL]
-    splitting.note(world, _request())
+    splitting.record_groups(world, _request())
     for _ in range(use.in_flight // 5):
         world.shares.ended(CELL)
     for _ in range(wanted - use.in_flight):
--- a/tests/features/steps/hint_steps.py
+++ b/tests/features/steps/hint_steps.py
@@ -49,7 +49,7 @@
     """Checks the hints of both cores."""
     for core in context.cores:
         cache = core.world.servers[SERVER].cache
-        known = [k for k in LEVELS if cache.seen_ms(ord(k)) is not None]
+        known = [k for k in LEVELS if cache.cached_at_ms(ord(k)) is not None]
         assert known == held.split(), (core.world.daemon, known)
 
 
