--- a/src/godwittack/core/cached_state.py
+++ b/src/godwittack/core/cached_state.py
@@ -61,8 +61,8 @@
 
     Load pattern: more shared levels than fit into one store. Saved to every
     store, they would evict each other everywhere, and each link would carry all
-    of them. Every daemon finds the one store of a level by its hash, without
-    updates from its peers.
+    of them. So they are saved to one store, chosen by hash, which every daemon
+    finds without updates from its peers.
     """
     shared = request.work.levels[:-1]
     by_name = {store.server_id: store for store in stores(world)}
--- a/src/godwittack/core/kv_cache.py
+++ b/src/godwittack/core/kv_cache.py
@@ -27,7 +27,7 @@
     A store discards nothing when weights change, and engines check neither the
     workspace nor the version of the state that they fetch. Without the version
     in the scope, an answer could be computed from state of older weights;
-    without the workspace, an isolated one would share its state with others.
+    without the workspace, an isolated workspace would share state with others.
     """
     forwarding = world.table.forwarding
     if forwarding is None:
--- a/src/godwittack/core/routing.py
+++ b/src/godwittack/core/routing.py
@@ -11,8 +11,8 @@
 if TYPE_CHECKING:
     from godwittack.core import entities, inputs
 
-# Retry-after for a daemon that has no table, or can't confirm that its table is
-# current.
+# Retry-after sent by a daemon that has no table, or can't confirm that its
+# table is current.
 NOT_CURRENT_RETRY_MS = 500
 # Workspace of requests on routes that need no API key.
 ANONYMOUS_WORKSPACE = model.WorkspaceRow(
--- a/src/godwittack/core/sourcing.py
+++ b/src/godwittack/core/sourcing.py
@@ -46,8 +46,8 @@
 EVICTED_AFTER_MS = 3_000
 # Cost of computing a shared token again, in addition to the compute time.
 RECOMPUTE_EXTRA_US = 40.0
-# Cost reduction for a prompt's home server while its shared levels are not
-# fully cached there and no copy has them all, so that several daemons bring
+# Cost reduction for a prompt's home server while its shared levels are neither
+# fully cached there nor worth copying in full, so that several daemons bring
 # them to the same server.
 HOME_BONUS_MS = 5.0
 
@@ -313,8 +313,8 @@
     Engines evict within seconds under load. State that can no longer be copied
     is computed again; a store, which has far more memory, would still have it.
     """
-    # Small levels are not reported to peers, so the first level that has a time
-    # is used.
+    # Small levels are not reported to peers, so the time of the first level
+    # that has one is used.
     seen_ms = next(
         seen_ms
         for level in request.work.levels
