--- a/src/godwittack/core/backlog.py
+++ b/src/godwittack/core/backlog.py
@@ -59,31 +59,35 @@
 ) -> float:
     """Estimates how long a request waits for the prompts sent before it."""
     total = 0.0
-    for other, ends_ms in server.backlog.items():
+    for other_priority, ends_ms in server.backlog.items():
         left_ms = max(0.0, ends_ms - world.now_ms)
         total += (
-            left_ms if other <= priority else left_ms * LESS_URGENT_FRACTION
+            left_ms
+            if other_priority <= priority
+            else left_ms * LESS_URGENT_FRACTION
         )
     return total
 
 
 def queue_ms(
-    world: entities.World, server: entities.ServerRow, rank: int
+    world: entities.World, server: entities.ServerRow, priority: int
 ) -> float:
     """Estimates how long a request waits until a server begins it."""
-    wait = wait_ms(world, server, priority=rank)
-    fresh = world.now_ms - server.reported_at_ms < world.policy.report_stale_ms
+    wait = wait_ms(world, server, priority=priority)
+    is_fresh = (
+        world.now_ms - server.reported_at_ms < world.policy.report_stale_ms
+    )
     in_flight = len(server.sent)
-    if fresh and server.reported_at_ms >= 0:
-        since = sum(
+    if is_fresh and server.reported_at_ms >= 0:
+        unreported = sum(
             1
             for attempt in server.sent.values()
             if attempt.sent_at_ms > server.reported_at_ms
         )
-        in_flight = max(in_flight, server.running + server.waiting + since)
+        in_flight = max(in_flight, server.running + server.waiting + unreported)
     slots = server.slots or world.policy.slots
-    turn_ms = world.service_ms.get(server.target, 0.0) / slots
-    wait += turn_ms * _completions_needed(in_flight, slots)
+    completion_interval_ms = world.service_ms.get(server.target, 0.0) / slots
+    wait += completion_interval_ms * _completions_needed(in_flight, slots)
     # Every request in a batch makes each of its steps slightly longer.
     return wait + in_flight * BATCH_DELAY_MS
 
@@ -114,25 +118,25 @@
     """
     ready_ms = max(float(world.now_ms), server.backlog.get(priority, 0.0))
     for key in keys:
-        known_ms = server.cache.cached_at_ms(key)
-        if known_ms is not None and known_ms <= world.now_ms:
+        cached_at_ms = server.cache.cached_at_ms(key)
+        if cached_at_ms is not None and cached_at_ms <= world.now_ms:
             at_ms = world.now_ms
         else:
             at_ms = round(ready_ms + READY_MARGIN_MS)
         server.cache.record(
-            key, now_ms=at_ms, max_keys=world.policy.max_residency
+            key, cached_at_ms=at_ms, max_keys=world.policy.max_residency
         )
 
 
 def record_peer_dispatch(
-    world: entities.World, told: server_inputs.PeerDispatched
+    world: entities.World, dispatch: server_inputs.PeerDispatched
 ) -> None:
     """Records a prompt that another daemon sent to a server."""
-    server = world.servers.get(told.server_id)
+    server = world.servers.get(dispatch.server_id)
     if server is None:
         return
-    add(world, server, tokens=told.tokens, priority=told.priority)
-    record_cached(world, server, told.levels, priority=told.priority)
+    add(world, server, tokens=dispatch.tokens, priority=dispatch.priority)
+    record_cached(world, server, dispatch.levels, priority=dispatch.priority)
 
 
 __all__ = [
--- a/src/godwittack/core/cached_state.py
+++ b/src/godwittack/core/cached_state.py
@@ -35,20 +35,20 @@
         ready_by_ms: Time by which they must be cached; None also counts levels
             that are still being computed.
     """
-    total = untold = 0
+    total = unreported = 0
     for level in request.work.levels:
         key = level_key(level, version)
-        seen_ms = server.cache.cached_at_ms(key)
-        if seen_ms is None and level.tokens < levels.SMALL_TOKENS:
-            untold += level.tokens
+        cached_at_ms = server.cache.cached_at_ms(key)
+        if cached_at_ms is None and level.tokens < levels.SMALL_TOKENS:
+            unreported += level.tokens
             continue
-        if seen_ms is None:
+        if cached_at_ms is None:
             break
-        if ready_by_ms is not None and seen_ms > ready_by_ms:
+        if ready_by_ms is not None and cached_at_ms > ready_by_ms:
             break
         stored = server.cache.stored_tokens(key, level_tokens=level.tokens)
-        total += untold + stored
-        untold = 0
+        total += unreported + stored
+        unreported = 0
         if stored < level.tokens:
             break
     return total
--- a/src/godwittack/core/candidates.py
+++ b/src/godwittack/core/candidates.py
@@ -22,8 +22,8 @@
     request: entities.RequestRow,
     usable: list[entities.ServerRow],
     *,
-    held: dict[str, int],
-    home: str,
+    cached_tokens: dict[str, int],
+    home_id: str,
 ) -> list[entities.ServerRow]:
     """Returns the home server, cache holders, and a few random servers.
 
@@ -35,23 +35,23 @@
         world: The tables.
         request: The request to place.
         usable: Servers that may get the request.
-        held: Prompt tokens that each server has cached, by server id.
-        home: Home server of the prompt; empty for none.
+        cached_tokens: Prompt tokens that each server has cached, by server id.
+        home_id: Home server of the prompt; empty for none.
     """
     if len(usable) <= SCORE_ALL_MAX_SERVERS:
         return usable
     seed = f"{request.request_id}/{world.now_ms}".encode()
-    drawn_at = xxhash.xxh3_64_intdigest(seed)
-    drawn = set()
+    remaining_hash = xxhash.xxh3_64_intdigest(seed)
+    random_ids = set()
     for _ in range(RANDOM_CANDIDATES):
-        drawn_at, place = divmod(drawn_at, len(usable))
-        drawn.add(usable[place].server_id)
+        remaining_hash, index = divmod(remaining_hash, len(usable))
+        random_ids.add(usable[index].server_id)
     return [
         server
         for server in usable
-        if server.server_id in drawn
-        or server.server_id == home
-        or held.get(server.server_id, 0)
+        if server.server_id in random_ids
+        or server.server_id == home_id
+        or cached_tokens.get(server.server_id, 0)
     ]
 
 
@@ -63,11 +63,11 @@
     It is chosen by the hash of the last shared level, since many prompts may
     begin with the same first one.
     """
-    levels_asked = request.work.levels
-    if not levels_asked:
+    prompt_levels = request.work.levels
+    if not prompt_levels:
         return ""
     names = tuple(sorted(server.server_id for server in usable))
-    last_shared = levels_asked[:-1] or levels_asked
+    last_shared = prompt_levels[:-1] or prompt_levels
     return rendezvous.rank(last_shared[-1].key, names)[0]
 
 
--- a/src/godwittack/core/dispatching.py
+++ b/src/godwittack/core/dispatching.py
@@ -136,7 +136,9 @@
     if request.work.route is None:
         for key in keys:
             server.cache.record(
-                key, now_ms=world.now_ms, max_keys=world.policy.max_residency
+                key,
+                cached_at_ms=world.now_ms,
+                max_keys=world.policy.max_residency,
             )
     elif keys:
         sending.count_prompt(world, request, choice, keys)
--- a/src/godwittack/core/kv_cache.py
+++ b/src/godwittack/core/kv_cache.py
@@ -56,21 +56,21 @@
         ready_in_ms: Estimated time until the prompt is computed.
     """
     version = server.weights_version
-    shared = sum(level.tokens for level in request.work.levels[:-1])
+    shared_tokens = sum(level.tokens for level in request.work.levels[:-1])
     if (
-        shared * prefill_cost.us_per_token(world, server)
+        shared_tokens * prefill_cost.us_per_token(world, server)
         < SAVE_MIN_COMPUTE_MS * 1000
     ):
         return ""
     store = cached_state.home_store(world, request)
     if store is None:
         return ""
-    if cached_state.cached_tokens(store, request, version) >= shared:
+    if cached_state.cached_tokens(store, request, version) >= shared_tokens:
         return ""
     for level in request.work.levels[:-1]:
         store.cache.record(
             levels.key_for_weights(level.key, version),
-            now_ms=round(world.now_ms + ready_in_ms + TRANSFER_MS),
+            cached_at_ms=round(world.now_ms + ready_in_ms + TRANSFER_MS),
             max_keys=world.policy.max_residency,
         )
     return store.address
--- a/src/godwittack/core/placing.py
+++ b/src/godwittack/core/placing.py
@@ -81,7 +81,7 @@
             request,
             server,
             wait=waits[server.server_id],
-            home=server.server_id in homes,
+            is_home=server.server_id in homes,
             reuse_weight=reuse_weight,
         )
         for server in _candidates(request, usable, homes, waits)
@@ -94,14 +94,14 @@
     request: entities.RequestRow,
     usable: list[entities.ServerRow],
 ) -> Choice:
-    placed = sourcing.choose(world, request, usable)
+    placement = sourcing.choose(world, request, usable)
     return Choice(
-        server=placed.server,
-        wait_ms=placed.wait_ms,
-        uncached_tokens=placed.uncached_tokens,
-        first_token_ms=placed.first_token_ms,
-        cost=placed.cost,
-        fetch_from=placed.fetch_from,
+        server=placement.server,
+        wait_ms=placement.wait_ms,
+        uncached_tokens=placement.uncached_tokens,
+        first_token_ms=placement.first_token_ms,
+        cost=placement.cost,
+        fetch_from=placement.fetch_from,
     )
 
 
@@ -117,14 +117,16 @@
     reuse the copies of the prefix that they create.
     """
     best = min(scored, key=_sort_key)
-    least = min(choice.uncached_tokens for choice in scored)
-    extra = best.uncached_tokens - least
-    if extra < SPILL_MIN_EXTRA_TOKENS or world.spill_budget.spend():
+    fewest_tokens = min(choice.uncached_tokens for choice in scored)
+    extra_tokens = best.uncached_tokens - fewest_tokens
+    if extra_tokens < SPILL_MIN_EXTRA_TOKENS or world.spill_budget.spend():
         return best
-    near = [
-        c for c in scored if c.uncached_tokens - least < SPILL_MIN_EXTRA_TOKENS
+    warm = [
+        c
+        for c in scored
+        if c.uncached_tokens - fewest_tokens < SPILL_MIN_EXTRA_TOKENS
     ]
-    return min(near, key=_sort_key)
+    return min(warm, key=_sort_key)
 
 
 def _sort_key(choice: Choice) -> tuple[float, str]:
@@ -182,23 +184,25 @@
     if stale:
         tokens = 0
         in_flight = 0
-    unseen = 0
-    unseen_tokens = 0
+    unreported = 0
+    unreported_tokens = 0
     for attempt in server.sent.values():
         if stale or attempt.sent_at_ms > server.reported_at_ms:
-            unseen += 1
+            unreported += 1
             if not attempt.opened:
-                unseen_tokens += attempt.expected_tokens
+                unreported_tokens += attempt.expected_tokens
     # The other daemons have sent unreported requests too; their number is
     # estimated from the ratio of all demand to that of this daemon.
-    others = world.shares.rate_ratio(model_cell(server.target))
-    in_flight += round(unseen * others)
-    tokens += unseen_tokens * others
+    demand_ratio = world.shares.rate_ratio(model_cell(server.target))
+    in_flight += round(unreported * demand_ratio)
+    tokens += unreported_tokens * demand_ratio
     backlog_ms = max(0.0, tokens * us_per_token / 1000 - since_ms)
     slots = server.slots or world.policy.slots
     if in_flight >= slots:
-        turn_ms = world.service_ms.get(server.target, 0.0) / slots
-        backlog_ms += (in_flight - slots + 1) * turn_ms
+        completion_interval_ms = (
+            world.service_ms.get(server.target, 0.0) / slots
+        )
+        backlog_ms += (in_flight - slots + 1) * completion_interval_ms
     return backlog_ms
 
 
@@ -226,12 +230,12 @@
         share = world.heat.share(
             request.work.target, level.key, now_ms=world.now_ms
         )
-        keep = world.heat.server_count(
+        server_count = world.heat.server_count(
             level.key,
             servers_needed=share * total * SPREAD_FACTOR,
             max_servers=len(names),
         )
-        names = tuple(sorted(rendezvous.rank(level.key, names)[:keep]))
+        names = tuple(sorted(rendezvous.rank(level.key, names)[:server_count]))
     return frozenset(names)
 
 
@@ -253,7 +257,7 @@
     request: entities.RequestRow,
     server: entities.ServerRow,
     *,
-    home: bool,
+    is_home: bool,
 ) -> float:
     """Estimates the prompt tokens that `server` would have to compute.
 
@@ -261,25 +265,25 @@
     that is not expected to be cached.
     """
     remaining = float(request.work.prompt_tokens)
-    chance = 1.0
+    probability = 1.0
     for level in request.work.levels:
-        chance *= _cached_probability(world, server, level.key, home)
-        if chance == 0.0:
+        probability *= _cached_probability(world, server, level.key, is_home)
+        if probability == 0.0:
             break
-        remaining -= chance * level.tokens
+        remaining -= probability * level.tokens
     return remaining
 
 
 def _cached_probability(
-    world: entities.World, server: entities.ServerRow, key: int, home: bool
+    world: entities.World, server: entities.ServerRow, key: int, is_home: bool
 ) -> float:
-    seen_ms = server.cache.cached_at_ms(key)
-    if seen_ms is not None:
-        age_ms = world.now_ms - seen_ms
+    cached_at_ms = server.cache.cached_at_ms(key)
+    if cached_at_ms is not None:
+        age_ms = world.now_ms - cached_at_ms
         return (
             1.0 if age_ms < world.policy.hint_ms else PRIOR_CACHED_PROBABILITY
         )
-    return PRIOR_CACHED_PROBABILITY if home else 0.0
+    return PRIOR_CACHED_PROBABILITY if is_home else 0.0
 
 
 def _score(
@@ -288,14 +292,14 @@
     server: entities.ServerRow,
     *,
     wait: float,
-    home: bool,
+    is_home: bool,
     reuse_weight: float,
 ) -> Choice:
-    uncached = uncached_tokens(world, request, server, home=home)
+    uncached = uncached_tokens(world, request, server, is_home=is_home)
     us_per_token = prefill_cost.us_per_token(world, server)
     compute_ms = uncached * us_per_token / 1000
     cost = wait + compute_ms * (1.0 + reuse_weight)
-    if not home:
+    if not is_home:
         # Levels computed away from their home evict others from that cache.
         cost += compute_ms * reuse_weight
     return Choice(
@@ -325,13 +329,13 @@
     names = tuple(sorted(server.server_id for server in usable))
     seed = xxhash.xxh3_64_intdigest(request.request_id.encode())
     order = rendezvous.rank(seed, names)
-    place = {name: number for number, name in enumerate(order)}
+    position = {name: number for number, name in enumerate(order)}
     best = min(
         usable,
         key=lambda s: (
             s.full_until_ms > world.now_ms,
             load(s),
-            place[s.server_id],
+            position[s.server_id],
         ),
     )
     return Choice(
@@ -351,8 +355,8 @@
 ) -> list[entities.ServerRow]:
     if len(usable) <= candidates.SCORE_ALL_MAX_SERVERS:
         return usable
-    spare = sorted(waits, key=lambda name: (waits[name], name))
-    chosen = set(spare[:LEAST_LOADED_CANDIDATES])
+    by_wait = sorted(waits, key=lambda name: (waits[name], name))
+    chosen = set(by_wait[:LEAST_LOADED_CANDIDATES])
     for server in usable:
         if server.server_id in homes or (
             request.work.levels
--- a/src/godwittack/core/prefill_cost.py
+++ b/src/godwittack/core/prefill_cost.py
@@ -99,8 +99,8 @@
     """
     if server.prefill_us_per_token:
         return float(server.prefill_us_per_token)
-    learnt = world.paces[server.target].us_per_token
-    return learnt or float(world.policy.prefill_us_per_token)
+    estimated = world.paces[server.target].us_per_token
+    return estimated or float(world.policy.prefill_us_per_token)
 
 
 def record_first_token(
@@ -111,26 +111,24 @@
     """Updates the estimate when the first token of an attempt arrives."""
     if not world.policy.learns_pace:
         return
-    known = world.paces[server.target]
-    before = known.us_per_token
-    known.add_sample(
+    estimate = world.paces[server.target]
+    before = estimate.us_per_token
+    estimate.add_sample(
         tokens=attempt.expected_tokens,
         took_ms=world.now_ms - attempt.sent_at_ms,
     )
-    if _is_notable_change(known.us_per_token, before):
+    if _is_notable_change(estimate.us_per_token, before):
         world.event(
             "pace_learnt",
             target=server.target,
-            us_per_token=round(known.us_per_token, 1),
+            us_per_token=round(estimate.us_per_token, 1),
             before=round(before, 1),
         )
 
 
-def _is_notable_change(one: float, other: float) -> bool:
+def _is_notable_change(new: float, old: float) -> bool:
     """Returns whether an estimate has changed enough to be logged."""
-    return one != other and (
-        not other or abs(one - other) > LOG_CHANGE_RATIO * other
-    )
+    return new != old and (not old or abs(new - old) > LOG_CHANGE_RATIO * old)
 
 
 __all__ = ["PrefillCost", "record_first_token", "us_per_token"]
--- a/src/godwittack/core/routing.py
+++ b/src/godwittack/core/routing.py
@@ -39,36 +39,38 @@
 
 
 def route(
-    world: entities.World, arrived: inputs.RequestArrived
+    world: entities.World, arrival: inputs.RequestArrived
 ) -> RoutedRequest | Refusal:
     """Determines route, target and workspace from host, path and API key."""
-    asked = arrived.work
+    request = arrival.work
     forwarding = world.table.forwarding
     if forwarding is None:
         return _not_current("no table is known here yet; use another daemon")
-    found = forwarding.match(asked.host, asked.path)
-    if found is None:
+    matched_route = forwarding.match(request.host, request.path)
+    if matched_route is None:
         return Refusal(
             status=404,
             reason=effects.Reason.NO_ROUTE,
-            detail=f"no route of {asked.host!r} begins this path",
+            detail=f"no route of {request.host!r} begins this path",
         )
-    refusal = _check_key(world, found.anonymous, asked.token_sha256)
+    refusal = _check_key(world, matched_route.anonymous, request.token_sha256)
     if refusal is not None:
         return refusal
-    name = world.table.workspace_by_token.get(asked.token_sha256, "")
-    target = found.target_of(arrived.request_id)
+    workspace_name = world.table.workspace_by_token.get(
+        request.token_sha256, ""
+    )
+    target = matched_route.target_of(arrival.request_id)
     is_model = target in forwarding.engines
     kind = work.WorkKind.GENERATION if is_model else work.WorkKind.PLAIN
     return RoutedRequest(
         dataclasses.replace(
-            asked,
-            route=found,
+            request,
+            route=matched_route,
             target=target,
             kind=kind,
-            streaming=found.streaming,
+            streaming=matched_route.streaming,
         ),
-        world.table.workspaces.get(name, ANONYMOUS_WORKSPACE),
+        world.table.workspaces.get(workspace_name, ANONYMOUS_WORKSPACE),
     )
 
 
@@ -81,19 +83,19 @@
     have been suspended. Without this check, a key that was revoked meanwhile
     would be served for longer than its owners were promised.
     """
-    found = request.work.route
-    if found is None:
+    matched_route = request.work.route
+    if matched_route is None:
         return None
-    return _check_key(world, found.anonymous, request.work.token_sha256)
+    return _check_key(world, matched_route.anonymous, request.work.token_sha256)
 
 
 def priority(world: entities.World, request: entities.RequestRow) -> int:
     """Returns a request's priority; a workspace's overrides its route's."""
-    found = request.work.route
+    matched_route = request.work.route
     forwarding = world.table.forwarding
-    if found is None or forwarding is None:
+    if matched_route is None or forwarding is None:
         return 0
-    return forwarding.priorities.get(request.workspace, found.priority)
+    return forwarding.priorities.get(request.workspace, matched_route.priority)
 
 
 def _check_key(
--- a/src/godwittack/core/servers.py
+++ b/src/godwittack/core/servers.py
@@ -158,7 +158,7 @@
     for key, stored in zip(told.stored, tokens, strict=True):
         cache.record(
             key,
-            now_ms=world.now_ms,
+            cached_at_ms=world.now_ms,
             max_keys=world.policy.max_residency,
             tokens=stored,
         )
--- a/src/godwittack/core/sourcing.py
+++ b/src/godwittack/core/sourcing.py
@@ -103,7 +103,7 @@
     usable: list[entities.ServerRow],
 ) -> Placement:
     """Returns the best of the usable servers."""
-    held = {
+    cached_tokens = {
         server.server_id: cached_state.cached_tokens(
             server, request, server.weights_version
         )
@@ -114,27 +114,29 @@
         version: _sources(world, request, version)
         for version in {server.weights_version for server in usable}
     }
-    home = candidates.home_server(request, usable)
-    rank = routing.priority(world, request)
-    drawn = candidates.choose(world, request, usable, held=held, home=home)
-    placed = [
+    home_id = candidates.home_server(request, usable)
+    priority = routing.priority(world, request)
+    selected = candidates.choose(
+        world, request, usable, cached_tokens=cached_tokens, home_id=home_id
+    )
+    placements = [
         _score(
             world,
             request,
             server,
-            own=held.get(server.server_id, 0),
+            own_tokens=cached_tokens.get(server.server_id, 0),
             sources=sources[server.weights_version],
-            rank=rank,
-            is_home=server.server_id == home,
+            priority=priority,
+            is_home=server.server_id == home_id,
         )
-        for server in drawn
+        for server in selected
     ]
-    best = min(placed, key=lambda p: (p.cost, p.server.server_id))
+    best = min(placements, key=lambda p: (p.cost, p.server.server_id))
     if best.fetch_from:
         return best
-    of_version = sources[best.server.weights_version]
-    spare = _fallback_source(world, request, best.server, of_version)
-    return dataclasses.replace(best, fetch_from=spare)
+    same_weights = sources[best.server.weights_version]
+    fallback = _fallback_source(world, request, best.server, same_weights)
+    return dataclasses.replace(best, fetch_from=fallback)
 
 
 def _fallback_source(
@@ -150,13 +152,16 @@
     state, and 1 ms if the source has evicted it as well; without a source, all
     of it is computed again.
     """
-    found = max(
+    source_with_most = max(
         (source for source in sources if source.server is not server),
         key=lambda source: (source.tokens, -source.cost_us(server)),
         default=None,
     )
-    if found is not None and found.tokens >= _min_copy_tokens(world, server):
-        return found.server.address
+    if (
+        source_with_most is not None
+        and source_with_most.tokens >= _min_copy_tokens(world, server)
+    ):
+        return source_with_most.server.address
     return _fallback_store(world, request, server)
 
 
@@ -170,8 +175,8 @@
     A daemon that is cut off from the others learns neither what they saved nor
     what was evicted. A fetch from a store without the prompt costs 1 ms.
     """
-    shared = sum(level.tokens for level in request.work.levels[:-1])
-    if shared < _min_copy_tokens(world, server):
+    shared_tokens = sum(level.tokens for level in request.work.levels[:-1])
+    if shared_tokens < _min_copy_tokens(world, server):
         return ""
     store = cached_state.home_store(world, request)
     return store.address if store is not None else ""
@@ -193,32 +198,36 @@
     request: entities.RequestRow,
     server: entities.ServerRow,
     *,
-    own: int,
+    own_tokens: int,
     sources: list[Source],
-    rank: int,
+    priority: int,
     is_home: bool,
 ) -> Placement:
-    wait = backlog.queue_ms(world, server, rank)
-    source = _best_source(world, server, sources, own)
-    known = source.tokens if source else own
+    wait_ms = backlog.queue_ms(world, server, priority)
+    source = _best_source(world, server, sources, own_tokens)
+    reused_tokens = source.tokens if source else own_tokens
     us_per_token = prefill_cost.us_per_token(world, server)
-    prompt = request.work.prompt_tokens
-    compute_ms = (prompt - known) * us_per_token / 1000
-    copied = known - own
-    copy_ms = copied * source.cost_us(server) / 1000 if source else 0.0
-    shared = sum(level.tokens for level in request.work.levels[:-1])
-    reread_ms = max(0, shared - known) * RECOMPUTE_EXTRA_US / 1000
-    first_token_ms = wait + compute_ms + copy_ms
-    pressure_ms = copied * us_per_token * COPY_MEMORY_COST_RATIO / 1000
-    cost = first_token_ms + reread_ms + pressure_ms
+    prompt_tokens = request.work.prompt_tokens
+    compute_ms = (prompt_tokens - reused_tokens) * us_per_token / 1000
+    copied_tokens = reused_tokens - own_tokens
+    copy_ms = copied_tokens * source.cost_us(server) / 1000 if source else 0.0
+    shared_tokens = sum(level.tokens for level in request.work.levels[:-1])
+    recompute_extra_ms = (
+        max(0, shared_tokens - reused_tokens) * RECOMPUTE_EXTRA_US / 1000
+    )
+    first_token_ms = wait_ms + compute_ms + copy_ms
+    memory_cost_ms = (
+        copied_tokens * us_per_token * COPY_MEMORY_COST_RATIO / 1000
+    )
+    cost = first_token_ms + recompute_extra_ms + memory_cost_ms
     cost += weights.cost_ms(world, server)
-    if is_home and known < max(shared, 1):
+    if is_home and reused_tokens < max(shared_tokens, 1):
         cost -= HOME_BONUS_MS
     return Placement(
         server=server,
-        wait_ms=wait,
+        wait_ms=wait_ms,
         fetch_from=source.server.address if source else "",
-        uncached_tokens=float(prompt - known),
+        uncached_tokens=float(prompt_tokens - reused_tokens),
         first_token_ms=first_token_ms,
         cost=cost,
     )
@@ -228,20 +237,20 @@
     world: entities.World,
     server: entities.ServerRow,
     sources: list[Source],
-    own: int,
+    own_tokens: int,
 ) -> Source | None:
     """Returns the source that saves the most time, or None if none does."""
     best: Source | None = None
-    best_saved = 0.0
-    least = _min_copy_tokens(world, server)
+    best_saved_us = 0.0
+    min_tokens = _min_copy_tokens(world, server)
     compute_us = prefill_cost.us_per_token(world, server) + RECOMPUTE_EXTRA_US
     for source in sources:
-        gain = source.tokens - own
-        if gain < least or source.server is server:
+        gained_tokens = source.tokens - own_tokens
+        if gained_tokens < min_tokens or source.server is server:
             continue
-        saved = gain * (compute_us - source.cost_us(server))
-        if saved > best_saved:
-            best, best_saved = source, saved
+        saved_us = gained_tokens * (compute_us - source.cost_us(server))
+        if saved_us > best_saved_us:
+            best, best_saved_us = source, saved_us
     return best
 
 
@@ -249,30 +258,34 @@
     world: entities.World, request: entities.RequestRow, version: str
 ) -> list[Source]:
     """Returns engines with these weights, and stores, that hold a prefix."""
-    found: list[Source] = []
+    sources: list[Source] = []
     for engine in _possible_holders(world, request):
         if engine.weights_version != version:
             continue
         tokens = _copyable_tokens(world, request, engine, version)
         if tokens:
             us_per_token = prefill_cost.us_per_token(world, engine)
-            doubt = _eviction_probability(world, request, engine, version)
-            found.append(
+            eviction_probability = _eviction_probability(
+                world, request, engine, version
+            )
+            sources.append(
                 Source(
                     engine,
                     tokens,
                     us_per_token * ENGINE_COPY_COST_RATIO,
-                    us_per_token * EVICTED_COST_RATIO * doubt,
+                    us_per_token * EVICTED_COST_RATIO * eviction_probability,
                 )
             )
-    engines_us = _engines_us_per_token(world, request)
+    engines_us_per_token = _engines_us_per_token(world, request)
     for store in cached_state.stores(world):
         tokens = _copyable_tokens(world, request, store, version)
         if tokens:
-            found.append(
-                Source(store, tokens, engines_us * STORE_COPY_COST_RATIO)
+            sources.append(
+                Source(
+                    store, tokens, engines_us_per_token * STORE_COPY_COST_RATIO
+                )
             )
-    return found
+    return sources
 
 
 def _copyable_tokens(
@@ -291,8 +304,8 @@
     world: entities.World, request: entities.RequestRow
 ) -> float:
     """Returns the microseconds per prompt token of the target's engines."""
-    learnt = world.paces[request.work.target].us_per_token
-    return learnt or float(world.policy.prefill_us_per_token)
+    estimated = world.paces[request.work.target].us_per_token
+    return estimated or float(world.policy.prefill_us_per_token)
 
 
 def _min_copy_tokens(
@@ -305,7 +318,7 @@
 def _eviction_probability(
     world: entities.World,
     request: entities.RequestRow,
-    other: entities.ServerRow,
+    engine: entities.ServerRow,
     version: str,
 ) -> float:
     """Estimates the probability that an engine has evicted a prompt.
@@ -315,17 +328,17 @@
     """
     # Small levels are not reported to peers, so the time of the first level
     # that has one is used.
-    seen_ms = next(
-        seen_ms
+    cached_at_ms = next(
+        cached_at_ms
         for level in request.work.levels
         if (
-            seen_ms := other.cache.cached_at_ms(
+            cached_at_ms := engine.cache.cached_at_ms(
                 cached_state.level_key(level, version)
             )
         )
         is not None
     )
-    return min(1.0, max(0, world.now_ms - seen_ms) / EVICTED_AFTER_MS)
+    return min(1.0, max(0, world.now_ms - cached_at_ms) / EVICTED_AFTER_MS)
 
 
 def _distance_factor(
--- a/src/godwittack/core/splitting.py
+++ b/src/godwittack/core/splitting.py
@@ -27,14 +27,14 @@
     Cells without a limit are left out: daemons would exchange demand figures
     that no limit is split by.
     """
-    found: dict[str, int] = {}
+    limit_by_cell: dict[str, int] = {}
     if not workspace.is_unlimited:
-        found[workspace_cell(workspace)] = workspace.max_in_flight
+        limit_by_cell[workspace_cell(workspace)] = workspace.max_in_flight
     if request.work.kind is work.WorkKind.PLAIN:
         service = world.table.services[request.work.target]
         if service.max_in_flight < model.NO_LIMIT:
-            found[f"service/{service.name}"] = service.max_in_flight
-    return found
+            limit_by_cell[f"service/{service.name}"] = service.max_in_flight
+    return limit_by_cell
 
 
 def record_groups(world: entities.World, request: entities.RequestRow) -> None:
@@ -52,8 +52,8 @@
     group = duty.group_names(request.workspace, target, names, targets)
     world.shares.groups[cell].update(group)
     if request.work.kind is work.WorkKind.PLAIN:
-        heard = duty.audience_names(target, names, targets)
-        world.shares.groups[f"service/{target}"].update(heard)
+        audience = duty.audience_names(target, names, targets)
+        world.shares.groups[f"service/{target}"].update(audience)
 
 
 __all__ = ["limits", "record_groups", "workspace_cell"]
--- a/src/godwittack/placement/levels.py
+++ b/src/godwittack/placement/levels.py
@@ -30,9 +30,9 @@
     return xxhash.xxh3_64_intdigest(f"{key}/{weights_version}".encode())
 
 
-def key_for_name(owner: str, level: str) -> int:
+def key_for_name(owner: str, level_name: str) -> int:
     """Returns the key of a level named by callers, unique to `owner`."""
-    return xxhash.xxh3_64_intdigest(f"{owner}/{level}".encode())
+    return xxhash.xxh3_64_intdigest(f"{owner}/{level_name}".encode())
 
 
 def chain(
@@ -50,15 +50,15 @@
         parts: Parts of the prompt, outermost first, such as its messages.
     """
     seed = f"{len(workspace)}:{workspace}{target}".encode()
-    running = xxhash.xxh3_64(seed)
+    running_hash = xxhash.xxh3_64(seed)
     levels: list[work.Level] = []
     for part in parts:
-        running.update(len(part).to_bytes(8, "little"))
-        running.update(part)
+        running_hash.update(len(part).to_bytes(8, "little"))
+        running_hash.update(part)
         tokens = max(1, len(part) // BYTES_PER_TOKEN)
         if len(levels) == MAX_LEVELS:
             tokens += levels.pop().tokens
-        levels.append(work.Level(running.intdigest(), tokens))
+        levels.append(work.Level(running_hash.intdigest(), tokens))
     return tuple(levels)
 
 
--- a/src/godwittack/placement/residency.py
+++ b/src/godwittack/placement/residency.py
@@ -27,13 +27,13 @@
     _tokens: dict[int, int] = dataclasses.field(default_factory=dict)
 
     def record(
-        self, key: int, *, now_ms: int, max_keys: int, tokens: int = 0
+        self, key: int, *, cached_at_ms: int, max_keys: int, tokens: int = 0
     ) -> None:
         """Records that `key` was stored or used.
 
         Args:
             key: Level key.
-            now_ms: When it was stored or used, or will be stored.
+            cached_at_ms: When it was stored or used, or will be stored.
             max_keys: Maximum number of keys to keep.
             tokens: Number of its tokens that are stored; 0 for all.
         """
@@ -41,7 +41,7 @@
             self._tokens[key] = tokens
         else:
             self._tokens.pop(key, None)
-        self._cached_at_ms[key] = now_ms
+        self._cached_at_ms[key] = cached_at_ms
         self._cached_at_ms.move_to_end(key)
         if len(self._cached_at_ms) > max_keys:
             old, _ = self._cached_at_ms.popitem(last=False)
@@ -99,22 +99,22 @@
 class Heat:
     """Recent requests by level key and by target."""
 
-    _rows: collections.OrderedDict[int, DecayingCount] = dataclasses.field(
+    _counts: collections.OrderedDict[int, DecayingCount] = dataclasses.field(
         default_factory=collections.OrderedDict
     )
     _totals: dict[str, DecayingCount] = dataclasses.field(default_factory=dict)
-    _spread: dict[int, int] = dataclasses.field(default_factory=dict)
+    _server_counts: dict[int, int] = dataclasses.field(default_factory=dict)
 
     def add(self, key: int, *, now_ms: int) -> None:
         """Counts one request that uses level `key`."""
-        row = self._rows.get(key)
+        row = self._counts.get(key)
         if row is None:
-            row = self._rows[key] = DecayingCount(at_ms=now_ms)
+            row = self._counts[key] = DecayingCount(at_ms=now_ms)
         row.add(now_ms)
-        self._rows.move_to_end(key)
-        if len(self._rows) > HEAT_MAX_KEYS:
-            old, _ = self._rows.popitem(last=False)
-            self._spread.pop(old, None)
+        self._counts.move_to_end(key)
+        if len(self._counts) > HEAT_MAX_KEYS:
+            old, _ = self._counts.popitem(last=False)
+            self._server_counts.pop(old, None)
 
     def add_total(self, target: str, *, now_ms: int) -> None:
         """Counts one request for `target`."""
@@ -123,11 +123,11 @@
 
     def has_key(self, key: int) -> bool:
         """Returns whether a request that uses `key` was counted before."""
-        return key in self._rows
+        return key in self._counts
 
     def share(self, target: str, key: int, *, now_ms: int) -> float:
         """Returns the fraction of a target's recent requests that use `key`."""
-        row = self._rows.get(key)
+        row = self._counts.get(key)
         total = self._totals.get(target)
         if row is None or total is None:
             return 0.0
@@ -145,20 +145,20 @@
             servers_needed: Demand in servers, may be fractional.
             max_servers: Number of servers available.
         """
-        now = self._spread.get(key, 1)
+        count = self._server_counts.get(key, 1)
         # Hysteresis: demand that varies around a threshold would otherwise add
         # and remove a server repeatedly, and recompute the prefix each time.
         if (
-            servers_needed > now
-            or servers_needed < (now - 1) * SPREAD_SHRINK_RATIO
+            servers_needed > count
+            or servers_needed < (count - 1) * SPREAD_SHRINK_RATIO
         ):
-            now = math.ceil(servers_needed)
-        now = max(1, min(now, max_servers))
-        if now == 1:
-            self._spread.pop(key, None)
+            count = math.ceil(servers_needed)
+        count = max(1, min(count, max_servers))
+        if count == 1:
+            self._server_counts.pop(key, None)
         else:
-            self._spread[key] = now
-        return now
+            self._server_counts[key] = count
+        return count
 
 
 __all__ = ["DecayingCount", "Heat", "Residency"]
