--- a/src/godwittack/core/cached_state.py
+++ b/src/godwittack/core/cached_state.py
@@ -39,7 +39,7 @@
     for level in request.work.levels:
         key = level_key(level, version)
         cached_at_ms = server.cache.cached_at_ms(key)
-        if cached_at_ms is None and level.tokens < levels.SMALL_TOKENS:
+        if cached_at_ms is None and level.tokens < levels.SMALL_LEVEL_TOKENS:
             unreported += level.tokens
             continue
         if cached_at_ms is None:
--- a/src/godwittack/daemon/digest.py
+++ b/src/godwittack/daemon/digest.py
@@ -122,7 +122,7 @@
 
 
 def _is_small(event: backend.CacheEvent) -> bool:
-    return 0 < event.tokens < levels.SMALL_TOKENS
+    return 0 < event.tokens < levels.SMALL_LEVEL_TOKENS
 
 
 __all__ = ["Digester"]
--- a/src/godwittack/placement/levels.py
+++ b/src/godwittack/placement/levels.py
@@ -17,7 +17,7 @@
 # Below this many tokens it does not matter where a level is cached: an engine
 # computes 157 tokens a millisecond. Most levels are that small; exchanged
 # between daemons, they made up most bytes of the peer updates.
-SMALL_TOKENS = 256
+SMALL_LEVEL_TOKENS = 256
 
 
 @functools.lru_cache(maxsize=8_192)
@@ -65,7 +65,7 @@
 __all__ = [
     "BYTES_PER_TOKEN",
     "MAX_LEVELS",
-    "SMALL_TOKENS",
+    "SMALL_LEVEL_TOKENS",
     "chain",
     "key_for_name",
 ]
