--- a/src/godwittack/core/candidates.py
+++ b/src/godwittack/core/candidates.py
@@ -1,4 +1,4 @@
-"""Draws the servers among which a prompt is placed."""
+"""Selects the servers that are scored for a prompt."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 if TYPE_CHECKING:
     from godwittack.core import entities
 
-# Servers up to which each is scored; beyond it only candidates are.
-SCORE_ALL = 8
-# Candidates drawn at random, besides the home and the holders.
-DRAWN = 4
+# Up to this many usable servers, all of them are scored.
+SCORE_ALL_MAX_SERVERS = 8
+# Random candidates, in addition to the home server and the cache holders.
+RANDOM_CANDIDATES = 4
 
 
 def choose(
@@ -22,44 +22,53 @@
     request: entities.RequestRow,
     usable: list[entities.ServerRow],
     *,
-    held: dict[str, int],
-    home: str,
+    cached_tokens: dict[str, int],
+    home_id: str,
 ) -> list[entities.ServerRow]:
-    """Returns the servers to score: home, holders, and a few at random.
+    """Returns the home server, cache holders, and a few random servers.
 
-    Load pattern: an engine comes back idle, and tens of daemons hear of it
-    before they hear of each other's requests. If all scored it, all would
-    choose it (Mitzenmacher, The power of two choices, 2001).
+    Load pattern: an engine comes back idle, and tens of daemons learn of it
+    before they learn of each other's requests. If all of them scored it, all
+    would choose it (Mitzenmacher, The power of two choices, 2001).
+
+    Args:
+        world: The tables.
+        request: The request to place.
+        usable: Servers that may get the request.
+        cached_tokens: Prompt tokens that each server has cached, by server id.
+        home_id: Home server of the prompt; empty for none.
     """
-    if len(usable) <= SCORE_ALL:
+    if len(usable) <= SCORE_ALL_MAX_SERVERS:
         return usable
     seed = f"{request.request_id}/{world.now_ms}".encode()
-    drawn_at = xxhash.xxh3_64_intdigest(seed)
-    drawn = set()
-    for _ in range(DRAWN):
-        drawn_at, place = divmod(drawn_at, len(usable))
-        drawn.add(usable[place].server_id)
+    remaining_hash = xxhash.xxh3_64_intdigest(seed)
+    random_ids = set()
+    for _ in range(RANDOM_CANDIDATES):
+        remaining_hash, index = divmod(remaining_hash, len(usable))
+        random_ids.add(usable[index].server_id)
     return [
         server
         for server in usable
-        if server.server_id in drawn
-        or server.server_id == home
-        or held.get(server.server_id, 0)
+        if server.server_id in random_ids
+        or server.server_id == home_id
+        or cached_tokens.get(server.server_id, 0)
     ]
 
 
-def home(request: entities.RequestRow, usable: list[entities.ServerRow]) -> str:
-    """Returns the server on which a prompt's shared levels should stand.
+def home_server(
+    request: entities.RequestRow, usable: list[entities.ServerRow]
+) -> str:
+    """Returns the server on which a prompt's shared levels should be cached.
 
-    It is chosen by the last shared level, since many prompts may open with the
-    same first one.
+    It is chosen by the hash of the last shared level, since many prompts may
+    begin with the same first one.
     """
-    levels_asked = request.work.levels
-    if not levels_asked:
+    prompt_levels = request.work.levels
+    if not prompt_levels:
         return ""
     names = tuple(sorted(server.server_id for server in usable))
-    last_shared = levels_asked[:-1] or levels_asked
+    last_shared = prompt_levels[:-1] or prompt_levels
     return rendezvous.rank(last_shared[-1].key, names)[0]
 
 
-__all__ = ["SCORE_ALL", "choose", "home"]
+__all__ = ["SCORE_ALL_MAX_SERVERS", "choose", "home_server"]
--- a/src/godwittack/core/placing.py
+++ b/src/godwittack/core/placing.py
@@ -1,4 +1,4 @@
-"""Chooses the backend server of a request by estimated time and reuse."""
+"""Chooses a backend server by estimated waiting time and cache reuse."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from godwittack.core import (
     availability,
     candidates,
-    pace,
+    prefill_cost,
     rate_limits,
     sourcing,
     weights,
@@ -21,17 +21,19 @@
 if TYPE_CHECKING:
     from godwittack.core import entities
 
-# Chance that a home server holds a level of which this daemon knows nothing.
-HOME_PRIOR = 0.5
-# Least-loaded servers scored besides homes and holders, so that a request
-# can escape when all of those are busy.
-SPARE_CANDIDATES = 2
-# How many times the even share of traffic a spread prefix gets in servers.
-SPREAD_SLACK = 1.2
-# Tokens computed beyond the least possible from which a choice is a move.
-SPILL_TOKENS = 500
-# Beginning of the names of cells that count a model's requests.
-MODEL_CELLS = "model/"
+# Probability that a level is cached on a server where it was last seen longer
+# than `hint_ms` ago, or on its home server if it was never seen there.
+PRIOR_CACHED_PROBABILITY = 0.5
+# Least-loaded servers scored in addition to the home servers and those that
+# hold the prefix, as alternatives when all of these are busy.
+LEAST_LOADED_CANDIDATES = 2
+# Ratio of a prefix's share of the servers to its share of the traffic.
+SPREAD_FACTOR = 1.2
+# Extra tokens to compute, compared with the candidate that has the most cached,
+# from which a choice is a cold placement and needs the spill budget.
+SPILL_MIN_EXTRA_TOKENS = 500
+# Prefix of the names of the cells that count a model's requests.
+MODEL_CELL_PREFIX = "model/"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -39,10 +41,11 @@
     """One server scored for one request.
 
     Attributes:
-        wait_ms: Estimated wait before its prompt is begun.
-        uncached_tokens: Prompt tokens it is expected to compute.
+        server: The server.
+        wait_ms: Estimated wait before the server begins the prompt.
+        uncached_tokens: Prompt tokens that the server is expected to compute.
         first_token_ms: Estimated time to the first token.
-        cost: What is minimized, in milliseconds.
+        cost: Cost in milliseconds; the choice with the lowest one is used.
         fetch_from: Address to copy cached state from; empty for none.
     """
 
@@ -57,7 +60,7 @@
 def choose(
     world: entities.World, request: entities.RequestRow
 ) -> Choice | None:
-    """Returns the best usable server, or None where there is none."""
+    """Returns the best usable server, or None if no server is usable."""
     usable = [
         server
         for server in world.servers_by_target[request.work.target].values()
@@ -68,7 +71,7 @@
     if request.work.kind is work.WorkKind.PLAIN:
         return _least_loaded(world, request, usable)
     if request.work.route is not None:
-        return _routed(world, request, usable)
+        return _choose_by_backlog(world, request, usable)
     homes = home_servers(world, request, usable)
     reuse_weight = world.table.models[request.work.target].reuse_weight
     waits = {server.server_id: wait_ms(world, server) for server in usable}
@@ -78,50 +81,55 @@
             request,
             server,
             wait=waits[server.server_id],
-            home=server.server_id in homes,
+            is_home=server.server_id in homes,
             reuse_weight=reuse_weight,
         )
         for server in _candidates(request, usable, homes, waits)
     ]
-    return _within_budget(world, scored)
+    return _cheapest_in_budget(world, scored)
 
 
-def _routed(
+def _choose_by_backlog(
     world: entities.World,
     request: entities.RequestRow,
     usable: list[entities.ServerRow],
 ) -> Choice:
-    placed = sourcing.choose(world, request, usable)
+    placement = sourcing.choose(world, request, usable)
     return Choice(
-        server=placed.server,
-        wait_ms=placed.wait_ms,
-        uncached_tokens=placed.uncached_tokens,
-        first_token_ms=placed.first_token_ms,
-        cost=placed.cost,
-        fetch_from=placed.fetch_from,
+        server=placement.server,
+        wait_ms=placement.wait_ms,
+        uncached_tokens=placement.uncached_tokens,
+        first_token_ms=placement.first_token_ms,
+        cost=placement.cost,
+        fetch_from=placement.fetch_from,
     )
 
 
-def _within_budget(world: entities.World, scored: list[Choice]) -> Choice:
-    """Returns the cheapest choice that the recomputation budget allows.
+def _cheapest_in_budget(world: entities.World, scored: list[Choice]) -> Choice:
+    """Returns the cheapest choice that the spill budget allows.
 
-    Leaving a busy server that holds a prefix for an idle one that does not
-    makes the idle one compute it, and evict something that will be computed
-    again. Decided by each request's own cost alone, that feeds on itself: in
-    `bench policy` at 70% the hit rate fell from 0.89 to 0.42 and every queue
-    grew. A budget keeps such moves to a small part of the requests; the
-    copies that they leave behind are then used by all.
+    A cold placement sends a request to an idle server instead of a busy one
+    that has the prefix cached. The idle server computes the prefix and evicts
+    another one, which will be computed again in turn. If each request minimized
+    only its own cost, cold placements would cause more of them: in `bench
+    policy` at 70% load the hit rate fell from 0.89 to 0.42 and every queue
+    grew. The budget limits them to a small part of the requests; later requests
+    reuse the copies of the prefix that they create.
     """
-    best = min(scored, key=_order)
-    least = min(choice.uncached_tokens for choice in scored)
-    extra = best.uncached_tokens - least
-    if extra < SPILL_TOKENS or world.spill_budget.spend():
+    best = min(scored, key=_sort_key)
+    fewest_tokens = min(choice.uncached_tokens for choice in scored)
+    extra_tokens = best.uncached_tokens - fewest_tokens
+    if extra_tokens < SPILL_MIN_EXTRA_TOKENS or world.spill_budget.spend():
         return best
-    near = [c for c in scored if c.uncached_tokens - least < SPILL_TOKENS]
-    return min(near, key=_order)
+    warm = [
+        c
+        for c in scored
+        if c.uncached_tokens - fewest_tokens < SPILL_MIN_EXTRA_TOKENS
+    ]
+    return min(warm, key=_sort_key)
 
 
-def _order(choice: Choice) -> tuple[float, str]:
+def _sort_key(choice: Choice) -> tuple[float, str]:
     return (choice.cost, choice.server.server_id)
 
 
@@ -130,7 +138,7 @@
     server: entities.ServerRow,
     request: entities.RequestRow,
 ) -> bool:
-    """Returns whether new work may go to `server` now."""
+    """Returns whether new work may be sent to `server` now."""
     if availability.is_resting(world, server):
         return False
     return is_in_service(world, server, request)
@@ -141,33 +149,34 @@
     server: entities.ServerRow,
     request: entities.RequestRow,
 ) -> bool:
-    """Returns whether a server takes new work, but for a rest that it wants."""
+    """Returns whether a server accepts new work, rest periods aside."""
     if server.leaving or server.server_id in request.avoid:
         return False
     if world.now_ms < max(server.ejected_until_ms, server.draining_until_ms):
         return False
-    # A server back from a pause gets one request at a time until one of
-    # them ends well: sending it its full share could fail all of them.
+    # After an ejection a server gets one request at a time until one of them
+    # succeeds: if it still fails, its full share of requests would fail.
     if server.ejected_until_ms and server.trial_attempt:
         return False
     if not rate_limits.has_room(world, server):
         return False
     if weights.too_old(world, server) or weights.unknown(world, server):
         return False
-    # Without a report the engine's incarnation and weights are not known, and
-    # an answer could not be checked against them.
+    # Without a load report the engine's incarnation and weights are unknown,
+    # and its answer could not be checked against them.
     return bool(server.incarnation) or (
         request.work.kind is work.WorkKind.PLAIN
     )
 
 
 def wait_ms(world: entities.World, server: entities.ServerRow) -> float:
-    """Estimates how long a prompt waits at `server` before it is begun.
+    """Estimates how long a prompt waits before `server` begins it.
 
-    A load report is some time old. What this daemon sent since then is added
-    at once, so that one stale report does not draw every request.
+    Load reports arrive with a delay. Requests that this daemon sent after the
+    last report are added, so that a server which reported itself idle does not
+    attract every request until the next report.
     """
-    us_per_token = pace.us_per_token(world, server)
+    us_per_token = prefill_cost.us_per_token(world, server)
     tokens = float(server.waiting_tokens)
     in_flight = server.running + server.waiting
     since_ms = max(0, world.now_ms - server.reported_at_ms)
@@ -175,28 +184,31 @@
     if stale:
         tokens = 0
         in_flight = 0
-    unseen = 0
-    unseen_tokens = 0
+    unreported = 0
+    unreported_tokens = 0
     for attempt in server.sent.values():
         if stale or attempt.sent_at_ms > server.reported_at_ms:
-            unseen += 1
+            unreported += 1
             if not attempt.opened:
-                unseen_tokens += attempt.expected_tokens
-    # The other daemons have sent as well and not been seen either.
-    others = world.shares.rate_ratio(model_cell(server.target))
-    in_flight += round(unseen * others)
-    tokens += unseen_tokens * others
+                unreported_tokens += attempt.expected_tokens
+    # The other daemons have sent unreported requests too; their number is
+    # estimated from the ratio of all demand to that of this daemon.
+    demand_ratio = world.shares.rate_ratio(model_cell(server.target))
+    in_flight += round(unreported * demand_ratio)
+    tokens += unreported_tokens * demand_ratio
     backlog_ms = max(0.0, tokens * us_per_token / 1000 - since_ms)
     slots = server.slots or world.policy.slots
     if in_flight >= slots:
-        turn_ms = world.service_ms.get(server.target, 0.0) / slots
-        backlog_ms += (in_flight - slots + 1) * turn_ms
+        completion_interval_ms = (
+            world.service_ms.get(server.target, 0.0) / slots
+        )
+        backlog_ms += (in_flight - slots + 1) * completion_interval_ms
     return backlog_ms
 
 
 def model_cell(target: str) -> str:
-    """Returns the name under which a model's demand is told."""
-    return MODEL_CELLS + target
+    """Returns the name of the cell that counts a model's requests."""
+    return MODEL_CELL_PREFIX + target
 
 
 def home_servers(
@@ -204,11 +216,11 @@
     request: entities.RequestRow,
     usable: list[entities.ServerRow],
 ) -> frozenset[str]:
-    """Returns the servers on which the request's levels should stand.
+    """Returns the servers on which the request's levels should be cached.
 
-    Each level narrows the servers of the level above it, so that a case
-    stays where its section and rulebook are. A level with much of the
-    traffic keeps more servers.
+    Each level selects among the servers of the level before it, so that a
+    prompt is placed where its outer levels are cached. A level used by a large
+    part of the traffic gets more servers.
     """
     names = tuple(sorted(server.server_id for server in usable))
     total = len(names)
@@ -218,19 +230,21 @@
         share = world.heat.share(
             request.work.target, level.key, now_ms=world.now_ms
         )
-        keep = world.heat.spread(
-            level.key, need=share * total * SPREAD_SLACK, most=len(names)
+        server_count = world.heat.server_count(
+            level.key,
+            servers_needed=share * total * SPREAD_FACTOR,
+            max_servers=len(names),
         )
-        names = tuple(sorted(rendezvous.rank(level.key, names)[:keep]))
+        names = tuple(sorted(rendezvous.rank(level.key, names)[:server_count]))
     return frozenset(names)
 
 
-def note_demand(world: entities.World, request: entities.RequestRow) -> None:
-    """Counts the request's levels, once a request."""
+def record_demand(world: entities.World, request: entities.RequestRow) -> None:
+    """Counts a new request and its levels; called once per request."""
     target = request.work.target
     world.shares.arrived(model_cell(target))
     for level in request.work.levels:
-        if not world.heat.knows(level.key):
+        if not world.heat.has_key(level.key):
             break
         request.known_tokens += level.tokens
     world.heat.add_total(target, now_ms=world.now_ms)
@@ -243,31 +257,33 @@
     request: entities.RequestRow,
     server: entities.ServerRow,
     *,
-    home: bool,
+    is_home: bool,
 ) -> float:
     """Estimates the prompt tokens that `server` would have to compute.
 
-    Engines reuse a prefix only without gaps, so that counting ends at the
-    first level not believed to be cached.
+    Engines reuse only a contiguous prefix, so counting stops at the first level
+    that is not expected to be cached.
     """
     remaining = float(request.work.prompt_tokens)
-    chance = 1.0
+    probability = 1.0
     for level in request.work.levels:
-        chance *= _cached_chance(world, server, level.key, home)
-        if chance == 0.0:
+        probability *= _cached_probability(world, server, level.key, is_home)
+        if probability == 0.0:
             break
-        remaining -= chance * level.tokens
+        remaining -= probability * level.tokens
     return remaining
 
 
-def _cached_chance(
-    world: entities.World, server: entities.ServerRow, key: int, home: bool
+def _cached_probability(
+    world: entities.World, server: entities.ServerRow, key: int, is_home: bool
 ) -> float:
-    seen_ms = server.cache.seen_ms(key)
-    if seen_ms is not None:
-        age_ms = world.now_ms - seen_ms
-        return 1.0 if age_ms < world.policy.hint_ms else HOME_PRIOR
-    return HOME_PRIOR if home else 0.0
+    cached_at_ms = server.cache.cached_at_ms(key)
+    if cached_at_ms is not None:
+        age_ms = world.now_ms - cached_at_ms
+        return (
+            1.0 if age_ms < world.policy.hint_ms else PRIOR_CACHED_PROBABILITY
+        )
+    return PRIOR_CACHED_PROBABILITY if is_home else 0.0
 
 
 def _score(
@@ -276,15 +292,15 @@
     server: entities.ServerRow,
     *,
     wait: float,
-    home: bool,
+    is_home: bool,
     reuse_weight: float,
 ) -> Choice:
-    uncached = uncached_tokens(world, request, server, home=home)
-    us_per_token = pace.us_per_token(world, server)
+    uncached = uncached_tokens(world, request, server, is_home=is_home)
+    us_per_token = prefill_cost.us_per_token(world, server)
     compute_ms = uncached * us_per_token / 1000
     cost = wait + compute_ms * (1.0 + reuse_weight)
-    if not home:
-        # Levels computed away from home push others out of that cache.
+    if not is_home:
+        # Levels computed away from their home evict others from that cache.
         cost += compute_ms * reuse_weight
     return Choice(
         server=server,
@@ -308,18 +324,18 @@
         )
         return server.running + server.waiting + unreported
 
-    # Equal loads are told apart by hashing the request, not by name: all
-    # daemons choosing the first name at once would overload it.
+    # Ties are broken by a hash of the request, not by the server's name: all
+    # daemons would choose the first name at the same time and overload it.
     names = tuple(sorted(server.server_id for server in usable))
     seed = xxhash.xxh3_64_intdigest(request.request_id.encode())
     order = rendezvous.rank(seed, names)
-    place = {name: number for number, name in enumerate(order)}
+    position = {name: number for number, name in enumerate(order)}
     best = min(
         usable,
         key=lambda s: (
             s.full_until_ms > world.now_ms,
             load(s),
-            place[s.server_id],
+            position[s.server_id],
         ),
     )
     return Choice(
@@ -337,28 +353,31 @@
     homes: frozenset[str],
     waits: dict[str, float],
 ) -> list[entities.ServerRow]:
-    if len(usable) <= candidates.SCORE_ALL:
+    if len(usable) <= candidates.SCORE_ALL_MAX_SERVERS:
         return usable
-    spare = sorted(waits, key=lambda name: (waits[name], name))
-    chosen = set(spare[:SPARE_CANDIDATES])
+    by_wait = sorted(waits, key=lambda name: (waits[name], name))
+    chosen = set(by_wait[:LEAST_LOADED_CANDIDATES])
     for server in usable:
         if server.server_id in homes or (
             request.work.levels
-            and (server.cache.seen_ms(request.work.levels[0].key) is not None)
+            and (
+                server.cache.cached_at_ms(request.work.levels[0].key)
+                is not None
+            )
         ):
             chosen.add(server.server_id)
     return [server for server in usable if server.server_id in chosen]
 
 
 __all__ = [
-    "MODEL_CELLS",
+    "MODEL_CELL_PREFIX",
     "Choice",
     "choose",
     "home_servers",
     "is_in_service",
     "is_usable",
     "model_cell",
-    "note_demand",
+    "record_demand",
     "uncached_tokens",
     "wait_ms",
 ]
--- a/src/godwittack/core/routing.py
+++ b/src/godwittack/core/routing.py
@@ -1,4 +1,4 @@
-"""Finds the route, the workspace and the rank of a request."""
+"""Determines the route, workspace and priority of a request."""
 
 from __future__ import annotations
 
@@ -11,17 +11,18 @@
 if TYPE_CHECKING:
     from godwittack.core import entities, inputs
 
-# When a caller may try a daemon again that has no table, or can't confirm it.
+# Retry-after sent by a daemon that has no table, or can't confirm that its
+# table is current.
 NOT_CURRENT_RETRY_MS = 500
 # Workspace of requests on routes that need no API key.
-ANONYMOUS = model.WorkspaceRow(
+ANONYMOUS_WORKSPACE = model.WorkspaceRow(
     name="", max_in_flight=model.NO_LIMIT, max_requests_per_s=model.NO_LIMIT
 )
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Refusal:
-    """Why a request is not let in; it has not run."""
+    """Why a request is rejected; it has not run."""
 
     status: int
     reason: effects.Reason
@@ -30,69 +31,71 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Routed:
-    """A request with its route and target, and whose it is."""
+class RoutedRequest:
+    """A request with its route and target, and the workspace that sent it."""
 
     work: work.Work
     workspace: model.WorkspaceRow
 
 
 def route(
-    world: entities.World, arrived: inputs.RequestArrived
-) -> Routed | Refusal:
-    """Finds route and workspace of a request that names only its host."""
-    asked = arrived.work
+    world: entities.World, arrival: inputs.RequestArrived
+) -> RoutedRequest | Refusal:
+    """Determines route, target and workspace from host, path and API key."""
+    request = arrival.work
     forwarding = world.table.forwarding
     if forwarding is None:
         return _not_current("no table is known here yet; use another daemon")
-    found = forwarding.match(asked.host, asked.path)
-    if found is None:
+    matched_route = forwarding.match(request.host, request.path)
+    if matched_route is None:
         return Refusal(
             status=404,
             reason=effects.Reason.NO_ROUTE,
-            detail=f"no route of {asked.host!r} begins this path",
+            detail=f"no route of {request.host!r} begins this path",
         )
-    refusal = _check_key(world, found.anonymous, asked.token_sha256)
+    refusal = _check_key(world, matched_route.anonymous, request.token_sha256)
     if refusal is not None:
         return refusal
-    name = world.table.workspace_by_token.get(asked.token_sha256, "")
-    target = found.target_of(arrived.request_id)
+    workspace_name = world.table.workspace_by_token.get(
+        request.token_sha256, ""
+    )
+    target = matched_route.target_of(arrival.request_id)
     is_model = target in forwarding.engines
     kind = work.WorkKind.GENERATION if is_model else work.WorkKind.PLAIN
-    return Routed(
+    return RoutedRequest(
         dataclasses.replace(
-            asked,
-            route=found,
+            request,
+            route=matched_route,
             target=target,
             kind=kind,
-            streaming=found.streaming,
+            streaming=matched_route.streaming,
         ),
-        world.table.workspaces.get(name, ANONYMOUS),
+        world.table.workspaces.get(workspace_name, ANONYMOUS_WORKSPACE),
     )
 
 
-def still_allowed(
+def recheck_key(
     world: entities.World, request: entities.RequestRow
 ) -> Refusal | None:
-    """Checks key and right once more, just before a request is sent on.
+    """Checks API key and serving lease again, just before a dispatch.
 
-    Between its arrival and its turn a request may have waited in a queue, or
-    the process may have been stopped. A key taken away meanwhile would be
-    served beyond the time that its owners were promised.
+    Since its arrival a request may have waited in a queue, or the process may
+    have been suspended. Without this check, a key that was revoked meanwhile
+    would be served for longer than its owners were promised.
     """
-    found = request.work.route
-    if found is None:
+    matched_route = request.work.route
+    if matched_route is None:
         return None
-    return _check_key(world, found.anonymous, request.work.token_sha256)
+    return _check_key(world, matched_route.anonymous, request.work.token_sha256)
 
 
 def priority(world: entities.World, request: entities.RequestRow) -> int:
-    """Returns the rank of a request; a workspace's goes before its route's."""
-    found = request.work.route
+    """Returns a request's priority; a workspace's overrides its route's."""
+    matched_route = request.work.route
     forwarding = world.table.forwarding
-    if found is None or forwarding is None:
+    if matched_route is None or forwarding is None:
         return 0
-    return forwarding.priorities.get(request.workspace, found.priority)
+    return forwarding.priorities.get(request.workspace, matched_route.priority)
 
 
 def _check_key(
@@ -121,10 +124,10 @@
 
 
 __all__ = [
-    "ANONYMOUS",
+    "ANONYMOUS_WORKSPACE",
     "Refusal",
-    "Routed",
+    "RoutedRequest",
     "priority",
+    "recheck_key",
     "route",
-    "still_allowed",
 ]
--- a/src/godwittack/core/sourcing.py
+++ b/src/godwittack/core/sourcing.py
@@ -1,10 +1,11 @@
-"""Chooses a server, and where it gets cached state that it lacks.
-
-Load pattern: prompts of ten thousand shared tokens, of more documents than
-the engines' memory holds, from several daemons. Computing such a part anew
-takes 85 ms of an engine; copying it from another takes 11 to 22 ms of a link,
-and from a store 32 to 64. So a request goes to where it waits least, and what
-is missing there is copied from whoever holds it.
+"""Chooses a server, and a source to copy the state that it has not cached.
+
+Load pattern: several daemons send prompts with ten thousand shared tokens, of
+more documents than fit into the engines' memory. Computing the shared tokens
+again occupies an engine for 85 ms; copying them occupies a link for 11 to 22 ms
+from another engine, and for 32 to 64 ms from a store. So a request is sent to
+the server with the shortest wait, which copies the missing state from a server
+or store that holds it.
 """
 
 from __future__ import annotations
@@ -14,9 +15,9 @@
 
 from godwittack.core import (
     backlog,
+    cached_state,
     candidates,
-    holding,
-    pace,
+    prefill_cost,
     routing,
     weights,
 )
@@ -24,61 +25,68 @@
 if TYPE_CHECKING:
     from godwittack.core import entities
 
-# Time of computing that a copy must save; a source that lost it costs 1 ms.
-COPY_MS = 3.5
-# Costs of a token as parts of the time that computing it takes; a larger model
-# takes longer for a token, and its cached state of it is larger as well.
-# Copying it over an engine's link (18 KB over 180 Gbit/s where it takes 7 us,
-# 164 KB over 740 where it takes 15) and over a store's. Between failure domains
-# a copy takes twice as long.
-ENGINE_COPY_PART = 0.117
-STORE_COPY_PART = 0.34
-FAR_FACTOR = 2.0
-# Cost of a copied token whose source has surely lost it.
-EVICTED_PART = 0.91
-# What else a copied token costs: the memory that it takes from what another
-# server's cache holds.
-COPY_PRESSURE_PART = 0.07
-# Time after its last use in which an engine under load has evicted a prompt:
-# 185,000 tokens of memory at some 60,000 tokens computed a second.
+# Compute time that a copy must save to be worthwhile; a fetch from a source
+# that no longer has the state costs 1 ms.
+COPY_MIN_SAVED_MS = 3.5
+# Cost of copying a token over an engine's or a store's link, relative to the
+# time to compute it: a larger model takes longer to compute a token, and caches
+# more state for it as well. An engine's link carries 18 KB per token at
+# 180 Gbit/s where a token takes 7 us to compute, and 164 KB at 740 Gbit/s where
+# it takes 15 us. Between failure domains a copy takes twice as long.
+ENGINE_COPY_COST_RATIO = 0.117
+STORE_COPY_COST_RATIO = 0.34
+CROSS_DOMAIN_FACTOR = 2.0
+# Relative cost of copying a token that the source has certainly evicted.
+EVICTED_COST_RATIO = 0.91
+# Relative cost of the memory that a copied token occupies: it evicts other
+# state from the cache of the server that it is copied to.
+COPY_MEMORY_COST_RATIO = 0.07
+# Time after its last use by which an engine under load has evicted a prompt:
+# memory for 185,000 tokens, some 60,000 tokens computed per second.
 EVICTED_AFTER_MS = 3_000
-# What a shared token that is computed again costs beside its time.
-REREAD_US = 40.0
-# Advantage of the server that a prompt hashes to, where nobody holds any of
-# it: several daemons then bring it to one place.
-HOME_MS = 5.0
+# Cost of computing a shared token again, in addition to the compute time.
+RECOMPUTE_EXTRA_US = 40.0
+# Cost reduction for a prompt's home server while its shared levels are neither
+# fully cached there nor worth copying in full, so that several daemons bring
+# them to the same server.
+HOME_BONUS_MS = 5.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Source:
-    """Where cached levels can be copied from.
+    """An engine or store from which cached levels can be copied.
 
     Attributes:
-        tokens: Leading tokens that it has by now.
-        us_per_token: Cost of copying one to its own failure domain.
-        doubt_us: Cost of each for the doubt whether it still has them.
+        server: The engine or store.
+        tokens: Leading prompt tokens that it has cached by now.
+        us_per_token: Cost of copying a token within its failure domain.
+        eviction_risk_us: Cost per token of the risk that it has been evicted.
     """
 
     server: entities.ServerRow
     tokens: int
     us_per_token: float
-    doubt_us: float = 0.0
+    eviction_risk_us: float = 0.0
 
     def cost_us(self, server: entities.ServerRow) -> float:
-        """Returns the cost of a token copied to `server`."""
-        return self.us_per_token * _far(server, self.server) + self.doubt_us
+        """Returns the cost of copying a token to `server`, in microseconds."""
+        return (
+            self.us_per_token * _distance_factor(server, self.server)
+            + self.eviction_risk_us
+        )
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Placed:
+class Placement:
     """One server scored for one request.
 
     Attributes:
-        wait_ms: Estimated wait before its prompt is begun.
+        server: The server.
+        wait_ms: Estimated wait before the server begins the prompt.
         fetch_from: Address that cached levels are copied from, or "".
-        uncached_tokens: Tokens that it will have to compute.
+        uncached_tokens: Tokens that the server will have to compute.
         first_token_ms: Estimated time to the first token.
-        cost: What is minimized, in milliseconds.
+        cost: Cost in milliseconds; the server with the lowest one is used.
     """
 
     server: entities.ServerRow
@@ -93,85 +101,91 @@
     world: entities.World,
     request: entities.RequestRow,
     usable: list[entities.ServerRow],
-) -> Placed:
+) -> Placement:
     """Returns the best of the usable servers."""
-    held = {
-        server.server_id: holding.held_tokens(
+    cached_tokens = {
+        server.server_id: cached_state.cached_tokens(
             server, request, server.weights_version
         )
-        for server in _holders(world, request)
+        for server in _possible_holders(world, request)
     }
-    # The same for all servers with one version of weights.
+    # All servers with the same version of weights share their sources.
     sources = {
         version: _sources(world, request, version)
         for version in {server.weights_version for server in usable}
     }
-    home = candidates.home(request, usable)
-    rank = routing.priority(world, request)
-    drawn = candidates.choose(world, request, usable, held=held, home=home)
-    placed = [
+    home_id = candidates.home_server(request, usable)
+    priority = routing.priority(world, request)
+    selected = candidates.choose(
+        world, request, usable, cached_tokens=cached_tokens, home_id=home_id
+    )
+    placements = [
         _score(
             world,
             request,
             server,
-            own=held.get(server.server_id, 0),
+            own_tokens=cached_tokens.get(server.server_id, 0),
             sources=sources[server.weights_version],
-            rank=rank,
-            is_home=server.server_id == home,
+            priority=priority,
+            is_home=server.server_id == home_id,
         )
-        for server in drawn
+        for server in selected
     ]
-    best = min(placed, key=lambda p: (p.cost, p.server.server_id))
+    best = min(placements, key=lambda p: (p.cost, p.server.server_id))
     if best.fetch_from:
         return best
-    of_version = sources[best.server.weights_version]
-    spare = _spare_source(world, request, best.server, of_version)
-    return dataclasses.replace(best, fetch_from=spare)
+    same_weights = sources[best.server.weights_version]
+    fallback = _fallback_source(world, request, best.server, same_weights)
+    return dataclasses.replace(best, fetch_from=fallback)
 
 
-def _spare_source(
+def _fallback_source(
     world: entities.World,
     request: entities.RequestRow,
     server: entities.ServerRow,
     sources: list[Source],
 ) -> str:
-    """Returns the address of a source for what a server may have lost.
+    """Returns the address of a source for what a server may have evicted.
 
-    What a server is believed to hold may have been evicted a moment ago. A
-    source that is named costs nothing while the server still has it, and 1 ms
-    where the source has lost it as well; without one, all is computed again.
+    State that a server is believed to have cached may have been evicted a
+    moment ago. Naming a source costs nothing while the server still has the
+    state, and 1 ms if the source has evicted it as well; without a source, all
+    of it is computed again.
     """
-    found = max(
+    source_with_most = max(
         (source for source in sources if source.server is not server),
         key=lambda source: (source.tokens, -source.cost_us(server)),
         default=None,
     )
-    if found is not None and found.tokens >= _least_copy(world, server):
-        return found.server.address
-    return _any_store(world, request, server)
+    if (
+        source_with_most is not None
+        and source_with_most.tokens >= _min_copy_tokens(world, server)
+    ):
+        return source_with_most.server.address
+    return _fallback_store(world, request, server)
 
 
-def _any_store(
+def _fallback_store(
     world: entities.World,
     request: entities.RequestRow,
     server: entities.ServerRow,
 ) -> str:
-    """Returns a store that may hold a prompt although nothing here says so.
+    """Returns a store that may hold a prompt without this daemon knowing it.
 
-    A daemon that is cut off from the others hears neither of what they saved
-    nor of evictions. Asked in vain, a store costs 1 ms.
+    A daemon that is cut off from the others learns neither what they saved nor
+    what was evicted. A fetch from a store without the prompt costs 1 ms.
     """
-    shared = sum(level.tokens for level in request.work.levels[:-1])
-    if shared < _least_copy(world, server):
+    shared_tokens = sum(level.tokens for level in request.work.levels[:-1])
+    if shared_tokens < _min_copy_tokens(world, server):
         return ""
-    store = holding.home_store(world, request)
+    store = cached_state.home_store(world, request)
     return store.address if store is not None else ""
 
 
-def _holders(
+def _possible_holders(
     world: entities.World, request: entities.RequestRow
 ) -> list[entities.ServerRow]:
-    """Returns servers that copies may come from."""
+    """Returns servers of the request's target that copies may come from."""
     return [
         server
         for server in world.servers_by_target[request.work.target].values()
@@ -184,32 +198,36 @@
     request: entities.RequestRow,
     server: entities.ServerRow,
     *,
-    own: int,
+    own_tokens: int,
     sources: list[Source],
-    rank: int,
+    priority: int,
     is_home: bool,
-) -> Placed:
-    wait = backlog.queue_ms(world, server, rank)
-    source = _best_source(world, server, sources, own)
-    known = source.tokens if source else own
-    us_per_token = pace.us_per_token(world, server)
-    prompt = request.work.prompt_tokens
-    compute_ms = (prompt - known) * us_per_token / 1000
-    copied = known - own
-    copy_ms = copied * source.cost_us(server) / 1000 if source else 0.0
-    shared = sum(level.tokens for level in request.work.levels[:-1])
-    reread_ms = max(0, shared - known) * REREAD_US / 1000
-    first_token_ms = wait + compute_ms + copy_ms
-    pressure_ms = copied * us_per_token * COPY_PRESSURE_PART / 1000
-    cost = first_token_ms + reread_ms + pressure_ms
+) -> Placement:
+    wait_ms = backlog.queue_ms(world, server, priority)
+    source = _best_source(world, server, sources, own_tokens)
+    reused_tokens = source.tokens if source else own_tokens
+    us_per_token = prefill_cost.us_per_token(world, server)
+    prompt_tokens = request.work.prompt_tokens
+    compute_ms = (prompt_tokens - reused_tokens) * us_per_token / 1000
+    copied_tokens = reused_tokens - own_tokens
+    copy_ms = copied_tokens * source.cost_us(server) / 1000 if source else 0.0
+    shared_tokens = sum(level.tokens for level in request.work.levels[:-1])
+    recompute_extra_ms = (
+        max(0, shared_tokens - reused_tokens) * RECOMPUTE_EXTRA_US / 1000
+    )
+    first_token_ms = wait_ms + compute_ms + copy_ms
+    memory_cost_ms = (
+        copied_tokens * us_per_token * COPY_MEMORY_COST_RATIO / 1000
+    )
+    cost = first_token_ms + recompute_extra_ms + memory_cost_ms
     cost += weights.cost_ms(world, server)
-    if is_home and known < max(shared, 1):
-        cost -= HOME_MS
-    return Placed(
+    if is_home and reused_tokens < max(shared_tokens, 1):
+        cost -= HOME_BONUS_MS
+    return Placement(
         server=server,
-        wait_ms=wait,
+        wait_ms=wait_ms,
         fetch_from=source.server.address if source else "",
-        uncached_tokens=float(prompt - known),
+        uncached_tokens=float(prompt_tokens - reused_tokens),
         first_token_ms=first_token_ms,
         cost=cost,
     )
@@ -219,101 +237,122 @@
     world: entities.World,
     server: entities.ServerRow,
     sources: list[Source],
-    own: int,
+    own_tokens: int,
 ) -> Source | None:
-    """Returns the source that saves the most time, None if none does."""
+    """Returns the source that saves the most time, or None if none does."""
     best: Source | None = None
-    best_saved = 0.0
-    least = _least_copy(world, server)
-    compute_us = pace.us_per_token(world, server) + REREAD_US
+    best_saved_us = 0.0
+    min_tokens = _min_copy_tokens(world, server)
+    compute_us = prefill_cost.us_per_token(world, server) + RECOMPUTE_EXTRA_US
     for source in sources:
-        gain = source.tokens - own
-        if gain < least or source.server is server:
+        gained_tokens = source.tokens - own_tokens
+        if gained_tokens < min_tokens or source.server is server:
             continue
-        saved = gain * (compute_us - source.cost_us(server))
-        if saved > best_saved:
-            best, best_saved = source, saved
+        saved_us = gained_tokens * (compute_us - source.cost_us(server))
+        if saved_us > best_saved_us:
+            best, best_saved_us = source, saved_us
     return best
 
 
 def _sources(
     world: entities.World, request: entities.RequestRow, version: str
 ) -> list[Source]:
-    """Returns engines with these weights, and stores, that have any of it."""
-    found: list[Source] = []
-    for engine in _holders(world, request):
+    """Returns engines with these weights, and stores, that hold a prefix."""
+    sources: list[Source] = []
+    for engine in _possible_holders(world, request):
         if engine.weights_version != version:
             continue
-        tokens = _ready_tokens(world, request, engine, version)
+        tokens = _copyable_tokens(world, request, engine, version)
         if tokens:
-            us_per_token = pace.us_per_token(world, engine)
-            doubt = _doubt(world, request, engine, version)
-            found.append(
+            us_per_token = prefill_cost.us_per_token(world, engine)
+            eviction_probability = _eviction_probability(
+                world, request, engine, version
+            )
+            sources.append(
                 Source(
                     engine,
                     tokens,
-                    us_per_token * ENGINE_COPY_PART,
-                    us_per_token * EVICTED_PART * doubt,
+                    us_per_token * ENGINE_COPY_COST_RATIO,
+                    us_per_token * EVICTED_COST_RATIO * eviction_probability,
                 )
             )
-    engines_us = _engines_us(world, request)
-    for store in holding.stores(world):
-        tokens = _ready_tokens(world, request, store, version)
+    engines_us_per_token = _engines_us_per_token(world, request)
+    for store in cached_state.stores(world):
+        tokens = _copyable_tokens(world, request, store, version)
         if tokens:
-            found.append(Source(store, tokens, engines_us * STORE_COPY_PART))
-    return found
+            sources.append(
+                Source(
+                    store, tokens, engines_us_per_token * STORE_COPY_COST_RATIO
+                )
+            )
+    return sources
 
 
-def _ready_tokens(
+def _copyable_tokens(
     world: entities.World,
     request: entities.RequestRow,
     server: entities.ServerRow,
     version: str,
 ) -> int:
-    """Returns the leading tokens that could be copied at this moment."""
-    return holding.held_tokens(
+    """Returns how many leading tokens can be copied from `server` now."""
+    return cached_state.cached_tokens(
         server, request, version, ready_by_ms=world.now_ms
     )
 
 
-def _engines_us(world: entities.World, request: entities.RequestRow) -> float:
-    """Returns the time that a token takes on the engines of a request."""
-    learnt = world.paces[request.work.target].us_per_token
-    return learnt or float(world.policy.prefill_us_per_token)
+def _engines_us_per_token(
+    world: entities.World, request: entities.RequestRow
+) -> float:
+    """Returns the microseconds per prompt token of the target's engines."""
+    estimated = world.paces[request.work.target].us_per_token
+    return estimated or float(world.policy.prefill_us_per_token)
 
 
-def _least_copy(world: entities.World, server: entities.ServerRow) -> float:
-    """Returns the tokens that a copy must save at least."""
-    return COPY_MS * 1000 / pace.us_per_token(world, server)
+def _min_copy_tokens(
+    world: entities.World, server: entities.ServerRow
+) -> float:
+    """Returns the minimum number of tokens that a copy must save."""
+    return COPY_MIN_SAVED_MS * 1000 / prefill_cost.us_per_token(world, server)
 
 
-def _doubt(
+def _eviction_probability(
     world: entities.World,
     request: entities.RequestRow,
-    other: entities.ServerRow,
+    engine: entities.ServerRow,
     version: str,
 ) -> float:
-    """Returns the doubt whether an engine still holds a prompt, 0 to 1.
+    """Estimates the probability that an engine has evicted a prompt.
 
-    Engines evict within seconds under load. A copy that is not there any more
-    is computed anew; a store, which holds far more, would have had it.
+    Engines evict within seconds under load. State that can no longer be copied
+    is computed again; a store, which has far more memory, would still have it.
     """
-    # Small levels are not told, so that only larger ones say when it was.
-    seen_ms = next(
-        seen_ms
+    # Small levels are not reported to peers, so the time of the first level
+    # that has one is used.
+    cached_at_ms = next(
+        cached_at_ms
         for level in request.work.levels
-        if (seen_ms := other.cache.seen_ms(holding.version_key(level, version)))
+        if (
+            cached_at_ms := engine.cache.cached_at_ms(
+                cached_state.level_key(level, version)
+            )
+        )
         is not None
     )
-    return min(1.0, max(0, world.now_ms - seen_ms) / EVICTED_AFTER_MS)
+    return min(1.0, max(0, world.now_ms - cached_at_ms) / EVICTED_AFTER_MS)
 
 
-def _far(one: entities.ServerRow, other: entities.ServerRow) -> float:
-    return 1.0 if one.failure_domain == other.failure_domain else FAR_FACTOR
+def _distance_factor(
+    one: entities.ServerRow, other: entities.ServerRow
+) -> float:
+    return (
+        1.0
+        if one.failure_domain == other.failure_domain
+        else CROSS_DOMAIN_FACTOR
+    )
 
 
 __all__ = [
-    "Placed",
+    "Placement",
     "Source",
     "choose",
 ]
--- a/src/godwittack/placement/levels.py
+++ b/src/godwittack/placement/levels.py
@@ -1,4 +1,4 @@
-"""Cuts a prompt into nested levels with chained hashes."""
+"""Splits a prompt into nested levels with chained hashes."""
 
 from __future__ import annotations
 
@@ -14,52 +14,58 @@
 
 BYTES_PER_TOKEN = 4
 MAX_LEVELS = 64
-# Tokens below which it does not matter where a level is cached: an engine
-# computes 157 a millisecond. Most levels are that small, and told between
-# daemons they were most of the bytes of news.
-SMALL_TOKENS = 256
+# Below this many tokens it does not matter where a level is cached: an engine
+# computes 157 tokens a millisecond. Most levels are that small; exchanged
+# between daemons, they made up most bytes of the peer updates.
+SMALL_LEVEL_TOKENS = 256
 
 
 @functools.lru_cache(maxsize=8_192)
-def versioned(key: int, weights_version: str) -> int:
-    """Returns a level's key as computed by one version of weights.
+def key_for_weights(key: int, weights_version: str) -> int:
+    """Returns the key of a level computed with one version of the weights.
 
-    Stores of cached state keep levels over a change of weights. Known by
-    the level alone, one of older weights would be taken for a newer one.
+    Stores of cached state keep levels across a change of weights. With the
+    level's own key alone, state of older weights would be used for newer ones.
     """
     return xxhash.xxh3_64_intdigest(f"{key}/{weights_version}".encode())
 
 
-def named(owner: str, level: str) -> int:
-    """Returns the key of a level that callers name, of an owner's alone."""
-    return xxhash.xxh3_64_intdigest(f"{owner}/{level}".encode())
+def key_for_name(owner: str, level_name: str) -> int:
+    """Returns the key of a level named by callers, unique to `owner`."""
+    return xxhash.xxh3_64_intdigest(f"{owner}/{level_name}".encode())
 
 
 def chain(
     *, workspace: str, target: str, parts: Iterable[bytes]
 ) -> tuple[work.Level, ...]:
-    """Returns a level a part, each hash covering all parts before it.
+    """Returns a level for each part, with a hash over all parts so far.
 
-    The seed holds workspace and model, so that equal prompts of two
-    workspaces never share a key. Parts beyond `MAX_LEVELS` are not levels of
-    their own: they still count in the last level's tokens and hash.
+    The seed contains workspace and model, so that equal prompts of two
+    workspaces never share a key. Parts after the first `MAX_LEVELS` are added
+    to the tokens and hash of the last level.
 
     Args:
-        workspace: Whose prompt it is.
+        workspace: Workspace that the prompt belongs to.
         target: Model name.
-        parts: Prompt pieces, outermost first, such as one a message.
+        parts: Parts of the prompt, outermost first, such as its messages.
     """
     seed = f"{len(workspace)}:{workspace}{target}".encode()
-    running = xxhash.xxh3_64(seed)
+    running_hash = xxhash.xxh3_64(seed)
     levels: list[work.Level] = []
     for part in parts:
-        running.update(len(part).to_bytes(8, "little"))
-        running.update(part)
+        running_hash.update(len(part).to_bytes(8, "little"))
+        running_hash.update(part)
         tokens = max(1, len(part) // BYTES_PER_TOKEN)
         if len(levels) == MAX_LEVELS:
             tokens += levels.pop().tokens
-        levels.append(work.Level(running.intdigest(), tokens))
+        levels.append(work.Level(running_hash.intdigest(), tokens))
     return tuple(levels)
 
 
-__all__ = ["BYTES_PER_TOKEN", "MAX_LEVELS", "SMALL_TOKENS", "chain", "named"]
+__all__ = [
+    "BYTES_PER_TOKEN",
+    "MAX_LEVELS",
+    "SMALL_LEVEL_TOKENS",
+    "chain",
+    "key_for_name",
+]
