--- a/src/godwittack/core/admission.py
+++ b/src/godwittack/core/admission.py
@@ -52,9 +52,11 @@
         next_frame=asked.resume_after + 1,
     )
     if asked.route is not None:
-        request.give_up_at_ms = arrived_at_ms + asked.route.timeout_ms
+        request.timeout_at_ms = arrived_at_ms + asked.route.timeout_ms
         if asked.route.streaming:
-            request.leaves_at_ms = arrived_at_ms + asked.route.patience_ms
+            request.caller_timeout_at_ms = (
+                arrived_at_ms + asked.route.patience_ms
+            )
     if not _within_limits(world, request, workspace):
         return
     world.requests[request.request_id] = request
--- a/src/godwittack/core/attempts.py
+++ b/src/godwittack/core/attempts.py
@@ -30,7 +30,7 @@
     if found is None:
         return
     request, attempt = found
-    attempt.heard_at_ms = world.now_ms
+    attempt.last_progress_ms = world.now_ms
     servers.heard(world, attempt.server_id)
     if _echo_holds(world, request, attempt, told.echoed_request, told.stamp):
         attempt.opened = True
@@ -46,7 +46,7 @@
     request, attempt = found
     if not attempt.opened:
         return
-    attempt.heard_at_ms = world.now_ms
+    attempt.last_progress_ms = world.now_ms
     servers.heard(world, attempt.server_id)
     fresh, gap = _in_order(request, told.frames)
     if fresh:
@@ -88,7 +88,7 @@
     if followup.answer_may_improve(request, told.answer):
         # The server's failure is kept: it is the answer where no other
         # attempt brings a better one.
-        request.sent = True
+        request.may_have_run = True
         followup.retry(world, request, attempt, f"status {told.answer.status}")
         return
     request.answered_at_ms = world.now_ms
@@ -113,7 +113,7 @@
     request = world.requests.get(attempt.request_id)
     if request is None:
         return
-    wasted = max(0, request.known_tokens - told.cached_tokens)
+    wasted = max(0, request.seen_tokens - told.cached_tokens)
     world.event(
         "usage",
         request.request_id,
@@ -137,9 +137,9 @@
         followup.place_anew(world, request, told.detail)
         return
     if told.phase is inputs.FailurePhase.SENT:
-        request.sent = True
+        request.may_have_run = True
     else:
-        request.runs -= 1
+        request.possible_runs -= 1
     world.event(
         "attempt_failed",
         request.request_id,
@@ -154,7 +154,7 @@
         doubt.ask(world, world.servers[attempt.server_id])
     if told.cause is not inputs.FailureCause.STREAM_GONE:
         servers.failed(world, attempt, told)
-    if request.begun or request.begun_elsewhere:
+    if request.answer_started or request.started_elsewhere:
         if told.cause is inputs.FailureCause.STREAM_GONE:
             followup.break_stream(
                 world, request, "the engine no longer has the stream"
@@ -163,7 +163,7 @@
             followup.resume_or_break(world, request, attempt, told.detail)
         return
     closing.close_attempt(world, attempt.attempt_id)
-    if request.at_most_once and request.sent:
+    if request.at_most_once and request.may_have_run:
         followup.outcome_lost(world, request, told.detail)
         return
     # One that rests is left out by that, and may be asked once it has rested.
@@ -256,13 +256,13 @@
         echoed=str(stamp),
     )
     servers.state_echoed(world, attempt.server_id, stamp)
-    if request.begun or request.begun_elsewhere:
+    if request.answer_started or request.started_elsewhere:
         followup.break_stream(
             world, request, "the engine restarted or changed weights"
         )
         return False
     closing.close_attempt(world, attempt.attempt_id)
-    request.sent = True
+    request.may_have_run = True
     # The engine itself is well, and its new state is known now.
     followup.retry(
         world,
@@ -300,7 +300,7 @@
     attempt: entities.AttemptRow,
     fresh: tuple[work.Frame, ...],
 ) -> None:
-    if not request.begun:
+    if not request.answer_started:
         _begin(world, request, attempt)
     request.resumes = 0
     world.emit(effects.Relay(request.request_id, fresh))
@@ -312,7 +312,7 @@
     attempt: entities.AttemptRow,
 ) -> None:
     assert attempt.stamp is not None
-    request.begun = True
+    request.answer_started = True
     server = world.servers.get(attempt.server_id)
     if server is not None and request.work.route is not None:
         pace.learn(world, attempt, server)
--- a/src/godwittack/core/closing.py
+++ b/src/godwittack/core/closing.py
@@ -18,11 +18,11 @@
     retry_after_ms: int = 0,
 ) -> None:
     """Ends a request without an answer."""
-    if request.answer is not None and not request.begun:
+    if request.answer is not None and not request.answer_started:
         # An earlier attempt's error answer from a server takes precedence.
         reply(world, request)
         return
-    if request.begun:
+    if request.answer_started:
         world.emit(effects.BreakStream(request.request_id, reason, detail))
         world.event(
             "stream_broken",
@@ -72,7 +72,7 @@
         "table": world.table.version,
         "waited_ms": world.now_ms - request.arrived_at_ms,
         "attempts": request.attempts,
-        "may_have_run": int(request.sent),
+        "may_have_run": int(request.may_have_run),
     }
 
 
--- a/src/godwittack/core/crashes.py
+++ b/src/godwittack/core/crashes.py
@@ -38,7 +38,7 @@
         return False
     crash = quarantine.Crash(
         content=request.content,
-        start=attempt.server_start,
+        start=attempt.incarnation_key,
         reporter=world.daemon,
         at_ms=world.now_ms,
     )
@@ -168,12 +168,16 @@
     """Takes a quarantined request from servers that have not begun it."""
     for request in list(world.requests.values()):
         attempt = world.attempts.get(request.attempt_id)
-        if request.content != content or attempt is None or request.begun:
+        if (
+            request.content != content
+            or attempt is None
+            or request.answer_started
+        ):
             continue
         if request.work.kind is work.WorkKind.PLAIN and request.at_most_once:
             continue
         world.emit(effects.CancelAttempt(attempt.attempt_id, True))
-        request.sent = True
+        request.may_have_run = True
         closing.refuse(
             world,
             request,
--- a/src/godwittack/core/dispatching.py
+++ b/src/godwittack/core/dispatching.py
@@ -72,7 +72,7 @@
     if not has_room or not resting.may_wait(world, request):
         refusing.no_server(world, request)
         return
-    request.awaits_rest = True
+    request.awaits_rest_end = True
     _hold(world, request, wait_ms=resting.left_ms(world, request) or 0)
 
 
@@ -85,7 +85,7 @@
     before = _waiting(world, request.work.target, rank)
     request.phase = entities.Phase.QUEUED
     request.queue_rank = rank
-    if not len(queue) and not request.awaits_rest:
+    if not len(queue) and not request.awaits_rest_end:
         turns.begin(world, request.work.target, rank)
     if request.work.route is not None:
         world.event(
@@ -124,7 +124,7 @@
         stamp=_stamp(request, server),
         stream_id=attempt_id,
         sent_at_ms=world.now_ms,
-        heard_at_ms=world.now_ms,
+        last_progress_ms=world.now_ms,
         expected_tokens=round(choice.uncached_tokens),
     )
     _open(world, request, attempt)
@@ -185,7 +185,7 @@
         stamp=broken.stamp,
         stream_id=broken.stream_id,
         sent_at_ms=world.now_ms,
-        heard_at_ms=world.now_ms,
+        last_progress_ms=world.now_ms,
     )
     request.resumes += 1
     _open(world, request, attempt)
@@ -232,7 +232,7 @@
                 if _rests_on(world, request):
                     refusing.no_server(world, request)
                     continue
-                if request.begin_by_ms > world.now_ms:
+                if request.answer_start_deadline_ms > world.now_ms:
                     continue
                 before = _waiting(world, target, rank)
                 wait_ms = turns.slots_wait_ms(world, target, before)
@@ -241,7 +241,7 @@
 
 def _rests_on(world: entities.World, request: entities.RequestRow) -> bool:
     """Returns whether the rests that a request waits for were made too long."""
-    return request.awaits_rest and resting.is_hopeless(world, request)
+    return request.awaits_rest_end and resting.is_hopeless(world, request)
 
 
 def _held(world: entities.World, target: str) -> int:
@@ -271,7 +271,10 @@
         choice = placing.choose(world, request)
         if choice is None or choice.wait_ms > world.policy.hold_ms:
             return
-        if choice.first_token_ms > request.begin_by_ms - world.now_ms:
+        if (
+            choice.first_token_ms
+            > request.answer_start_deadline_ms - world.now_ms
+        ):
             refusing.late(world, request, choice.wait_ms)
             continue
         queue.take(waiting)
@@ -280,9 +283,9 @@
             request.work.target,
             rank,
             left=len(queue),
-            tells_pace=not request.awaits_rest,
+            tells_pace=not request.awaits_rest_end,
         )
-        request.awaits_rest = False
+        request.awaits_rest_end = False
         dispatch(world, request, choice)
 
 
@@ -292,12 +295,12 @@
     attempt: entities.AttemptRow,
 ) -> None:
     server = world.servers[attempt.server_id]
-    attempt.server_start = crashes.start_of(world, server, attempt.stamp)
+    attempt.incarnation_key = crashes.start_of(world, server, attempt.stamp)
     request.phase = entities.Phase.RUNNING
     request.attempt_id = attempt.attempt_id
     request.attempts += 1
     # Taken back where the server is known not to have begun.
-    request.runs += 1
+    request.possible_runs += 1
     world.attempts[attempt.attempt_id] = attempt
 
 
@@ -313,7 +316,7 @@
     symptom is an overload in which everything is late.
     """
     expected_ms = choice.first_token_ms + queue_wait_ms
-    left_ms = request.begin_by_ms - world.now_ms
+    left_ms = request.answer_start_deadline_ms - world.now_ms
     if expected_ms <= left_ms * world.policy.deadline_part:
         return True
     refusing.not_run(
--- a/src/godwittack/core/doubt.py
+++ b/src/godwittack/core/doubt.py
@@ -130,7 +130,9 @@
 def _is_silent(world: entities.World, server: entities.ServerRow) -> bool:
     if server.ejected_until_ms > world.now_ms:
         return False
-    oldest_ms = min(attempt.heard_at_ms for attempt in server.sent.values())
+    oldest_ms = min(
+        attempt.last_progress_ms for attempt in server.sent.values()
+    )
     since_ms = max(oldest_ms, server.heard_at_ms)
     silent_ms = world.now_ms - since_ms
     return silent_ms >= SILENT_MS and silent_ms >= _patience_ms(world, server)
@@ -165,9 +167,9 @@
         if request.at_most_once or request.attempt_id != attempt.attempt_id:
             continue
         world.emit(effects.CancelAttempt(attempt.attempt_id, False))
-        request.sent = True
+        request.may_have_run = True
         detail = "its server gave no sign of life"
-        if request.begun:
+        if request.answer_started:
             followup.resume_or_break(world, request, attempt, detail)
         else:
             closing.close_attempt(world, attempt.attempt_id)
--- a/src/godwittack/core/entities.py
+++ b/src/godwittack/core/entities.py
@@ -29,18 +29,18 @@
 
     Attributes:
         deadline_at_ms: Time by which the answer should begin.
-        leaves_at_ms: When the caller disconnects unless the answer has begun;
-            0 if that is at the deadline.
-        known_tokens: Prompt tokens of levels seen in earlier requests.
+        caller_timeout_at_ms: When the caller disconnects unless the answer has
+            begun; 0 if that is at the deadline.
+        seen_tokens: Prompt tokens of levels seen in earlier requests.
         attempt_id: Current attempt; frames of any other are dropped.
         attempts: Dispatches so far.
-        avoid: Ids of servers on which this request failed.
+        excluded_servers: Ids of servers on which this request failed.
         next_frame: Number of the next frame the caller needs.
-        begun: Whether a byte of the answer was sent to the caller.
-        begun_elsewhere: Whether another daemon sent the first frames, so
+        answer_started: Whether a byte of the answer was sent to the caller.
+        started_elsewhere: Whether another daemon sent the first frames, so
             that the answer must not be restarted after a failure.
         late: Whether the deadline had passed when the answer began.
-        sent: Whether a byte of any attempt may have reached a server.
+        may_have_run: Whether a byte of any attempt may have reached a server.
         resumes: Resumptions since the last new frame.
         claim_key: Key under which the call is claimed; None if the call is
             repeatable.
@@ -50,11 +50,12 @@
         answer: Whole answer: held until its claim is updated, or an error
             answer to return unless a retry succeeds.
         answered_at_ms: When the held answer was received.
-        give_up_at_ms: When the request is ended in any case; 0 for never.
-        runs: Dispatches that may have been run by a server.
+        timeout_at_ms: When the request is ended in any case; 0 for never.
+        possible_runs: Dispatches that may have been run by a server.
         head: Status and headers from the stream's first server.
         queue_rank: Rank of the queue that holds the request.
-        awaits_rest: Whether it is queued until a server's requested rest ends.
+        awaits_rest_end: Whether it is queued until a server's requested rest
+            ends.
         cells: Limited cells that count the request while it is in flight.
     """
 
@@ -63,17 +64,17 @@
     workspace: str
     arrived_at_ms: int
     deadline_at_ms: int
-    leaves_at_ms: int = 0
-    known_tokens: int = 0
+    caller_timeout_at_ms: int = 0
+    seen_tokens: int = 0
     phase: Phase = Phase.CLAIMING
     attempt_id: str = ""
     attempts: int = 0
-    avoid: set[str] = dataclasses.field(default_factory=set)
+    excluded_servers: set[str] = dataclasses.field(default_factory=set)
     next_frame: int = 1
-    begun: bool = False
-    begun_elsewhere: bool = False
+    answer_started: bool = False
+    started_elsewhere: bool = False
     late: bool = False
-    sent: bool = False
+    may_have_run: bool = False
     resumes: int = 0
     claim_key: works.ClaimKey | None = None
     claim_tries: int = 0
@@ -81,19 +82,23 @@
     caller_gone: bool = False
     answer: works.Answer | None = None
     answered_at_ms: int = 0
-    give_up_at_ms: int = 0
-    runs: int = 0
+    timeout_at_ms: int = 0
+    possible_runs: int = 0
     head: works.Head | None = None
     queue_rank: int = 0
-    awaits_rest: bool = False
+    awaits_rest_end: bool = False
     cells: tuple[str, ...] = ()
 
     @property
-    def begin_by_ms(self) -> int:
+    def answer_start_deadline_ms(self) -> int:
         """Latest time at which the answer may begin."""
-        if self.begun or self.begun_elsewhere or not self.leaves_at_ms:
+        if (
+            self.answer_started
+            or self.started_elsewhere
+            or not self.caller_timeout_at_ms
+        ):
             return self.deadline_at_ms
-        return min(self.deadline_at_ms, self.leaves_at_ms)
+        return min(self.deadline_at_ms, self.caller_timeout_at_ms)
 
     @property
     def content(self) -> str:
@@ -116,9 +121,9 @@
 
     Attributes:
         stream_id: Id of the stream on the engine: the first attempt's id.
-        heard_at_ms: When the server last made progress on this attempt.
+        last_progress_ms: When the server last made progress on this attempt.
         expected_tokens: Prompt tokens that are expected not to be cached.
-        server_start: Key of the server and its incarnation at dispatch.
+        incarnation_key: Key of the server and its incarnation at dispatch.
     """
 
     attempt_id: str
@@ -127,10 +132,10 @@
     stamp: works.Stamp | None
     stream_id: str
     sent_at_ms: int
-    heard_at_ms: int
+    last_progress_ms: int
     expected_tokens: int = 0
     opened: bool = False
-    server_start: str = ""
+    incarnation_key: str = ""
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
@@ -225,15 +230,15 @@
     """A claim's outcome that the table service has not yet confirmed.
 
     Attributes:
-        since_ms: When the outcome was first written.
-        next_try_at_ms: When to write it again; 0 while a write is pending.
+        first_write_ms: When the outcome was first written.
+        next_retry_at_ms: When to write it again; 0 while a write is pending.
     """
 
     request_id: str
     key: works.ClaimKey
     claim: works.Claim
-    since_ms: int
-    next_try_at_ms: int = 0
+    first_write_ms: int
+    next_retry_at_ms: int = 0
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
--- a/src/godwittack/core/followup.py
+++ b/src/godwittack/core/followup.py
@@ -27,7 +27,7 @@
 ) -> None:
     """Sends a request elsewhere, or ends it where that is not allowed."""
     if avoid:
-        request.avoid.add(attempt.server_id)
+        request.excluded_servers.add(attempt.server_id)
     if retries.allowed(world, request):
         world.event(
             "retried",
@@ -41,7 +41,7 @@
         return
     outcome = effects.Outcome.NOT_RUN
     status = 502
-    if request.sent:
+    if request.may_have_run:
         outcome = effects.Outcome.UNKNOWN
     else:
         outcomes.store(world, request, work.ClaimState.RELEASED)
@@ -67,7 +67,7 @@
     """
     closing.close_attempt(world, request.attempt_id)
     request.attempts -= 1
-    request.runs -= 1
+    request.possible_runs -= 1
     world.event(
         "placed_anew",
         request.request_id,
@@ -129,7 +129,7 @@
     route = request.work.route
     assert route is not None
     closing.close_attempt(world, attempt.attempt_id)
-    request.avoid.add(attempt.server_id)
+    request.excluded_servers.add(attempt.server_id)
     if not route.resumable or not retries.allowed(world, request):
         break_stream(world, request, detail)
         return
--- a/src/godwittack/core/outcomes.py
+++ b/src/godwittack/core/outcomes.py
@@ -33,7 +33,7 @@
             fingerprint=request.work.fingerprint,
             answer=answer,
         ),
-        since_ms=world.now_ms,
+        first_write_ms=world.now_ms,
     )
     world.outcomes[request.request_id] = row
     _send(world, row)
@@ -47,15 +47,15 @@
     if told.stored:
         del world.outcomes[told.request_id]
         return True
-    row.next_try_at_ms = world.now_ms + world.policy.store_retry_ms
+    row.next_retry_at_ms = world.now_ms + world.policy.store_retry_ms
     return False
 
 
 def retry_due(world: entities.World) -> None:
     """Retries writes that the table service has not confirmed."""
     for row in list(world.outcomes.values()):
-        if row.next_try_at_ms and row.next_try_at_ms <= world.now_ms:
-            row.next_try_at_ms = 0
+        if row.next_retry_at_ms and row.next_retry_at_ms <= world.now_ms:
+            row.next_retry_at_ms = 0
             _send(world, row)
 
 
--- a/src/godwittack/core/placing.py
+++ b/src/godwittack/core/placing.py
@@ -142,7 +142,7 @@
     request: entities.RequestRow,
 ) -> bool:
     """Returns whether a server takes new work, but for a rest that it wants."""
-    if server.leaving or server.server_id in request.avoid:
+    if server.leaving or server.server_id in request.excluded_servers:
         return False
     if world.now_ms < max(server.ejected_until_ms, server.draining_until_ms):
         return False
@@ -232,7 +232,7 @@
     for level in request.work.levels:
         if not world.heat.knows(level.key):
             break
-        request.known_tokens += level.tokens
+        request.seen_tokens += level.tokens
     world.heat.add_total(target, now_ms=world.now_ms)
     for level in request.work.levels:
         world.heat.add(level.key, now_ms=world.now_ms)
--- a/src/godwittack/core/refusing.py
+++ b/src/godwittack/core/refusing.py
@@ -35,7 +35,7 @@
 
     The outcome is NOT_RUN only if no byte can have reached a server.
     """
-    if not request.sent:
+    if not request.may_have_run:
         outcomes.store(world, request, work.ClaimState.RELEASED)
         outcome = effects.Outcome.NOT_RUN
     else:
@@ -98,7 +98,7 @@
     """Refuses a request whose key or permission was revoked meanwhile."""
     outcome = effects.Outcome.NOT_RUN
     status = refusal.status
-    if request.sent:
+    if request.may_have_run:
         outcome, status = effects.Outcome.UNKNOWN, 502
     closing.refuse(
         world,
--- a/src/godwittack/core/resting.py
+++ b/src/godwittack/core/resting.py
@@ -81,11 +81,11 @@
 def _longest_wait_ms(
     world: entities.World, request: entities.RequestRow
 ) -> float:
-    ends_ms = request.begin_by_ms
-    if request.give_up_at_ms:
-        ends_ms = min(ends_ms, request.give_up_at_ms)
+    ends_ms = request.answer_start_deadline_ms
+    if request.timeout_at_ms:
+        ends_ms = min(ends_ms, request.timeout_at_ms)
     wait_ms = (ends_ms - world.now_ms) * world.policy.deadline_part
-    if request.begun:
+    if request.answer_started:
         wait_ms = min(wait_ms, world.policy.frame_gap_ms)
     return wait_ms
 
--- a/src/godwittack/core/resuming.py
+++ b/src/godwittack/core/resuming.py
@@ -59,9 +59,9 @@
         stamp=told.stamp,
         stream_id=told.stream_id,
         sent_at_ms=world.now_ms,
-        heard_at_ms=world.now_ms,
+        last_progress_ms=world.now_ms,
     )
-    request.begun_elsewhere = True
+    request.started_elsewhere = True
     dispatching.resume(world, request, placeholder)
 
 
--- a/src/godwittack/core/retries.py
+++ b/src/godwittack/core/retries.py
@@ -38,7 +38,7 @@
         target=request.work.target,
         limit=limit.value,
         attempts=request.attempts,
-        runs=request.runs,
+        runs=request.possible_runs,
         **budget_state(world, request.work.target),
     )
     return False
@@ -91,8 +91,10 @@
         return request.attempts >= world.policy.max_attempts
     # A server that declined has not run the request, so that it counts
     # against no limit of the route.
-    declined = request.attempts - request.runs
-    return request.runs >= route.max_attempts or declined > MAX_DECLINED
+    declined = request.attempts - request.possible_runs
+    return (
+        request.possible_runs >= route.max_attempts or declined > MAX_DECLINED
+    )
 
 
 def _shared_budget(world: entities.World, target: str) -> budget.SharedBudget:
--- a/src/godwittack/core/sending.py
+++ b/src/godwittack/core/sending.py
@@ -80,9 +80,9 @@
 
 def ends_at_ms(request: entities.RequestRow) -> int:
     """Returns when the time for an answer is over; 0 for no limit."""
-    if not request.give_up_at_ms:
+    if not request.timeout_at_ms:
         return 0
-    return min(request.deadline_at_ms, request.give_up_at_ms)
+    return min(request.deadline_at_ms, request.timeout_at_ms)
 
 
 __all__ = ["cached_keys", "count_prompt", "ends_at_ms", "tell_placed"]
--- a/src/godwittack/core/silence.py
+++ b/src/godwittack/core/silence.py
@@ -22,8 +22,8 @@
         request = world.requests.get(attempt.request_id)
         if request is None:
             continue
-        silent_ms = world.now_ms - attempt.heard_at_ms
-        if request.begun or request.begun_elsewhere:
+        silent_ms = world.now_ms - attempt.last_progress_ms
+        if request.answer_started or request.started_elsewhere:
             if silent_ms >= world.policy.frame_gap_ms:
                 _silent_stream(world, request, attempt)
         elif request.work.kind is work.WorkKind.GENERATION:
@@ -66,7 +66,7 @@
     world.emit(effects.CancelAttempt(attempt.attempt_id, True))
     servers.silent(world, attempt)
     closing.close_attempt(world, attempt.attempt_id)
-    request.sent = True
+    request.may_have_run = True
     followup.retry(world, request, attempt, "silent before the first frame")
 
 
@@ -107,7 +107,7 @@
 ) -> None:
     world.emit(effects.CancelAttempt(attempt.attempt_id, False))
     closing.close_attempt(world, attempt.attempt_id)
-    request.sent = True
+    request.may_have_run = True
     if request.claim_key is not None:
         followup.outcome_lost(world, request, "no answer came")
     else:
@@ -121,22 +121,22 @@
     can't come in time, and a place at a server that others could use.
     """
     for request in list(world.requests.values()):
-        if not 0 < request.give_up_at_ms <= world.now_ms:
+        if not 0 < request.timeout_at_ms <= world.now_ms:
             continue
         if request.attempt_id in world.attempts:
             world.emit(effects.CancelAttempt(request.attempt_id, False))
-            request.sent = True
+            request.may_have_run = True
         outcome = effects.Outcome.NOT_RUN
-        if request.sent:
+        if request.may_have_run:
             outcome = effects.Outcome.UNKNOWN
         closing.refuse(
             world,
             request,
-            status=504 if request.sent else 503,
+            status=504 if request.may_have_run else 503,
             outcome=outcome,
             reason=effects.Reason.TIMEOUT,
             detail="the route's time for an answer is over",
-            retry_after_ms=0 if request.sent else GIVEN_UP_RETRY_MS,
+            retry_after_ms=0 if request.may_have_run else GIVEN_UP_RETRY_MS,
         )
 
 
--- a/tests/cases/availability.py
+++ b/tests/cases/availability.py
@@ -309,7 +309,7 @@
         second = core.dispatch()
         assert second.server_id != first.server_id
         request = core.world.requests[name]
-        assert (request.attempts, request.runs) == (1, 1)
+        assert (request.attempts, request.possible_runs) == (1, 1)
         budget = core.world.target_budgets[routed_core.SERVICE]
         assert budget.tokens == tokens
         core.answer(second)
