--- a/src/godwittack/core/attempts.py
+++ b/src/godwittack/core/attempts.py
@@ -317,8 +317,8 @@
     if server is not None and request.work.route is not None:
         pace.learn(world, attempt, server)
         rank = routing.priority(world, request)
-        before_ms = server.begun_sent_ms.get(rank, 0)
-        server.begun_sent_ms[rank] = max(before_ms, attempt.sent_at_ms)
+        before_ms = server.last_answered_sent_ms.get(rank, 0)
+        server.last_answered_sent_ms[rank] = max(before_ms, attempt.sent_at_ms)
     request.late = world.now_ms > request.deadline_at_ms
     world.emit(
         effects.BeginStream(
--- a/src/godwittack/core/availability.py
+++ b/src/godwittack/core/availability.py
@@ -40,7 +40,7 @@
             "server_leaving",
             server=told.server_id,
             leaving=1,
-            start=notice.start,
+            start=notice.incarnation,
             source=told.source.value,
             **_of_request(told.request_id),
         )
@@ -62,7 +62,7 @@
         world.event(
             "server_rests",
             server=told.server_id,
-            start=notice.start,
+            start=notice.incarnation,
             rest_ms=told.rest_ms,
             **_of_request(told.request_id),
         )
@@ -72,7 +72,7 @@
     """Applies what is kept of a server to its row."""
     notice = world.notices.get(server.server_id)
     if notice is not None and _concerns(notice, server):
-        notice.start = notice.start or server.incarnation
+        notice.incarnation = notice.incarnation or server.incarnation
         server.leaving |= notice.is_leaving
         server.rest_until_ms = notice.rest_until_ms
 
@@ -95,7 +95,7 @@
     Nothing else would ever show that another one has begun.
     """
     notice = world.notices.get(server_id)
-    if notice is not None and not notice.start:
+    if notice is not None and not notice.incarnation:
         del world.notices[server_id]
 
 
@@ -136,7 +136,7 @@
         if server is not None:
             server.rest_until_ms = 0
             world.freed_targets.add(server.target)
-        world.event("server_rested", server=server_id, start=notice.start)
+        world.event("server_rested", server=server_id, start=notice.incarnation)
 
 
 def left_out(world: entities.World, target: str) -> dict[str, str]:
@@ -163,7 +163,7 @@
 
 def _notice(
     world: entities.World, server_id: str, told_start: str
-) -> entities.NoticeRow | None:
+) -> entities.AvailabilityNotice | None:
     """Returns what is kept of the start that spoke, None for an earlier one."""
     server = world.servers.get(server_id)
     known_start = server.incarnation if server is not None else ""
@@ -171,12 +171,12 @@
     kept = world.notices.get(server_id)
     if incarnations.is_older(start, known_start):
         return None
-    if kept is not None and _is_same_start(kept.start, start):
-        kept.start = kept.start or start
+    if kept is not None and _is_same_start(kept.incarnation, start):
+        kept.incarnation = kept.incarnation or start
         return kept
-    if kept is not None and incarnations.is_older(start, kept.start):
+    if kept is not None and incarnations.is_older(start, kept.incarnation):
         return None
-    kept = entities.NoticeRow(start=start)
+    kept = entities.AvailabilityNotice(incarnation=start)
     world.notices.pop(server_id, None)
     world.notices[server_id] = kept
     while len(world.notices) > MOST_NOTICES:
@@ -184,11 +184,13 @@
     return kept
 
 
-def _concerns(notice: entities.NoticeRow, server: entities.ServerRow) -> bool:
+def _concerns(
+    notice: entities.AvailabilityNotice, server: entities.ServerRow
+) -> bool:
     """Returns whether a notice is of the start of a row, or of a later one."""
-    if _is_same_start(notice.start, server.incarnation):
+    if _is_same_start(notice.incarnation, server.incarnation):
         return True
-    return incarnations.is_older(server.incarnation, notice.start)
+    return incarnations.is_older(server.incarnation, notice.incarnation)
 
 
 def _is_same_start(one: str, other: str) -> bool:
--- a/src/godwittack/core/backlog.py
+++ b/src/godwittack/core/backlog.py
@@ -39,8 +39,10 @@
     takes. What was sent is known at once, and computed at a known pace.
     """
     us_per_token = pace.us_per_token(world, server)
-    starts_ms = max(float(world.now_ms), server.backlog.get(priority, 0.0))
-    server.backlog[priority] = starts_ms + tokens * us_per_token / 1000
+    starts_ms = max(
+        float(world.now_ms), server.backlog_until_ms.get(priority, 0.0)
+    )
+    server.backlog_until_ms[priority] = starts_ms + tokens * us_per_token / 1000
 
 
 def is_long(
@@ -55,7 +57,7 @@
 ) -> float:
     """Returns how long a request of a priority waits for others' prompts."""
     total = 0.0
-    for other, ends_ms in server.backlog.items():
+    for other, ends_ms in server.backlog_until_ms.items():
         left_ms = max(0.0, ends_ms - world.now_ms)
         total += left_ms if other <= priority else left_ms * LESS_URGENT_PART
     return total
@@ -67,11 +69,11 @@
     """Estimates how long a request waits at a server for its first turn."""
     wait = wait_ms(world, server, priority=rank)
     fresh = world.now_ms - server.reported_at_ms < world.policy.report_stale_ms
-    in_flight = len(server.sent)
+    in_flight = len(server.in_flight)
     if fresh and server.reported_at_ms >= 0:
         since = sum(
             1
-            for attempt in server.sent.values()
+            for attempt in server.in_flight.values()
             if attempt.sent_at_ms > server.reported_at_ms
         )
         in_flight = max(in_flight, server.running + server.waiting + since)
@@ -106,7 +108,9 @@
     Until then no other server can copy it: a copy asked for too soon finds
     nothing, and the same levels are computed a second time.
     """
-    ready_ms = max(float(world.now_ms), server.backlog.get(priority, 0.0))
+    ready_ms = max(
+        float(world.now_ms), server.backlog_until_ms.get(priority, 0.0)
+    )
     for key in keys:
         known_ms = server.cache.seen_ms(key)
         if known_ms is not None and known_ms <= world.now_ms:
--- a/src/godwittack/core/closing.py
+++ b/src/godwittack/core/closing.py
@@ -137,9 +137,9 @@
     server = world.servers.get(attempt.server_id)
     if server is None:
         return
-    server.sent.pop(attempt_id, None)
-    if server.trial_attempt == attempt_id:
-        server.trial_attempt = ""
+    server.in_flight.pop(attempt_id, None)
+    if server.trial_attempt_id == attempt_id:
+        server.trial_attempt_id = ""
 
 
 def leave(world: entities.World, request: entities.RequestRow) -> None:
--- a/src/godwittack/core/crashes.py
+++ b/src/godwittack/core/crashes.py
@@ -43,19 +43,19 @@
         at_ms=world.now_ms,
     )
     is_before = attempt.sent_at_ms <= server.ended_at_ms
-    if crash.start == server.ended_start and is_before:
+    if crash.start == server.ended_incarnation_key and is_before:
         _count(world, server, [crash])
         return False
-    server.broken = [*_recent(world, server), crash]
+    server.possible_crashes = [*_recent(world, server), crash]
     return True
 
 
 def ended(world: entities.World, server: entities.ServerRow) -> None:
     """Takes in that the process which a server ran has ended."""
-    server.ended_start = start_of(world, server)
+    server.ended_incarnation_key = start_of(world, server)
     server.ended_at_ms = world.now_ms
     found = _recent(world, server)
-    server.broken = []
+    server.possible_crashes = []
     if found:
         _count(world, server, found)
 
@@ -64,10 +64,10 @@
     world: entities.World, server: entities.ServerRow, incarnation: str
 ) -> None:
     """Takes in a sign of life, which may show another process."""
-    if not incarnation or not server.broken:
+    if not incarnation or not server.possible_crashes:
         return
     if incarnation == server.incarnation:
-        server.broken = []
+        server.possible_crashes = []
     else:
         ended(world, server)
 
@@ -117,7 +117,9 @@
     world: entities.World, server: entities.ServerRow
 ) -> list[quarantine.Crash]:
     since_ms = world.now_ms - EXPLAINED_MS
-    return [crash for crash in server.broken if crash.at_ms >= since_ms]
+    return [
+        crash for crash in server.possible_crashes if crash.at_ms >= since_ms
+    ]
 
 
 def _count(
--- a/src/godwittack/core/dispatching.py
+++ b/src/godwittack/core/dispatching.py
@@ -128,10 +128,10 @@
         expected_tokens=round(choice.uncached_tokens),
     )
     _open(world, request, attempt)
-    server.sent[attempt_id] = attempt
+    server.in_flight[attempt_id] = attempt
     rate_limits.sent(world, server)
     if server.ejected_until_ms:
-        server.trial_attempt = attempt_id
+        server.trial_attempt_id = attempt_id
     keys = sending.cached_keys(request, server)
     if request.work.route is None:
         for key in keys:
@@ -189,7 +189,7 @@
     )
     request.resumes += 1
     _open(world, request, attempt)
-    server.sent[attempt_id] = attempt
+    server.in_flight[attempt_id] = attempt
     world.emit(
         effects.Dispatch(
             request_id=request.request_id,
--- a/src/godwittack/core/doubt.py
+++ b/src/godwittack/core/doubt.py
@@ -43,7 +43,7 @@
     if world.table.forwarding is None:
         return
     for server in world.servers.values():
-        if server.sent and _is_silent(world, server):
+        if server.in_flight and _is_silent(world, server):
             ask(world, server)
 
 
@@ -51,7 +51,7 @@
     """Looks for a sign of life of ejected servers when their pause is over."""
     for server in world.servers.values():
         due = 0 < server.ejected_until_ms <= world.now_ms
-        if not server.failures or not due or server.leaving:
+        if not server.consecutive_failures or not due or server.leaving:
             continue
         if availability.is_resting(world, server):
             continue
@@ -86,9 +86,9 @@
 
 def ask(world: entities.World, server: entities.ServerRow) -> None:
     """Asks a server for a sign of life, unless it was asked just now."""
-    if world.now_ms - server.asked_at_ms < ASK_AGAIN_MS:
+    if world.now_ms - server.last_probe_ms < ASK_AGAIN_MS:
         return
-    server.asked_at_ms = world.now_ms
+    server.last_probe_ms = world.now_ms
     world.emit(effects.Probe(server.server_id, server.address))
 
 
@@ -115,7 +115,7 @@
     elif answered.ended:
         crashes.ended(world, server)
     if answered.alive and not server.ejected_until_ms:
-        server.heard_at_ms = world.now_ms
+        server.last_contact_ms = world.now_ms
         return
     was_trusted = not server.ejected_until_ms
     servers.probed(world, answered)
@@ -131,9 +131,9 @@
     if server.ejected_until_ms > world.now_ms:
         return False
     oldest_ms = min(
-        attempt.last_progress_ms for attempt in server.sent.values()
+        attempt.last_progress_ms for attempt in server.in_flight.values()
     )
-    since_ms = max(oldest_ms, server.heard_at_ms)
+    since_ms = max(oldest_ms, server.last_contact_ms)
     silent_ms = world.now_ms - since_ms
     return silent_ms >= SILENT_MS and silent_ms >= _patience_ms(world, server)
 
@@ -152,7 +152,7 @@
 
 def _note_broken(world: entities.World, server: entities.ServerRow) -> None:
     """Notes what a dead server ran, in case its process ended under that."""
-    for attempt in server.sent.values():
+    for attempt in server.in_flight.values():
         request = world.requests.get(attempt.request_id)
         if request is not None:
             crashes.broke(world, request, attempt)
@@ -160,7 +160,7 @@
 
 def _move_away(world: entities.World, server: entities.ServerRow) -> None:
     """Lets other servers do what a dead one was asked and may be repeated."""
-    for attempt in list(server.sent.values()):
+    for attempt in list(server.in_flight.values()):
         request = world.requests.get(attempt.request_id)
         if request is None or request.work.route is None:
             continue
--- a/src/godwittack/core/entities.py
+++ b/src/godwittack/core/entities.py
@@ -147,28 +147,30 @@
         draining_until_ms: No new work before this time, so that weights can
             be loaded without interrupting a stream.
         reported_at_ms: Time to which the last load report applies.
-        sent: This daemon's unfinished dispatches, by attempt id.
-        backlog: Estimated time at which its queued prompts are computed, by
-            their priority.
-        begun_sent_ms: Latest send time of a request that it has begun to
-            answer, by priority.
-        heard_at_ms: When this daemon last received anything from it.
-        asked_at_ms: When it was last probed.
-        failures: Consecutive failures.
+        in_flight: This daemon's unfinished dispatches, by attempt id.
+        backlog_until_ms: Estimated time at which its queued prompts are
+            computed, by their priority.
+        last_answered_sent_ms: Latest send time of a request that it has begun
+            to answer, by priority.
+        last_contact_ms: When this daemon last received anything from it.
+        last_probe_ms: When it was last probed.
+        consecutive_failures: Consecutive failures.
         ejected_at_ms: When its last ejection began.
         ejected_until_ms: Ejected, so no new work, before this time.
         full_until_ms: Used only as a last resort before this time.
         rest_until_ms: No requests from this daemon before this time, at the
             server's request.
-        trial_attempt: Id of the attempt that tests it after an ejection.
-        limit: Rate limit that it advertises for all daemons together; None if
-            it has none.
-        limit_heard_ms: When it last advertised that limit or its absence.
-        limit_shared_ms: When a daemon last announced the limit to its peers.
-        ended_start: Key of the last incarnation known to have ended.
+        trial_attempt_id: Id of the attempt that tests it after an ejection.
+        rate_limit: Rate limit that it advertises for all daemons together;
+            None if it has none.
+        rate_limit_received_ms: When it last advertised that limit or its
+            absence.
+        rate_limit_announced_ms: When a daemon last announced the limit to its
+            peers.
+        ended_incarnation_key: Key of the last incarnation known to have ended.
         ended_at_ms: When this daemon learnt that it had ended.
-        broken: Recent requests whose connection closed, as possible crashes;
-            they count only if the server's process has ended.
+        possible_crashes: Recent requests whose connection closed; they count
+            as crashes only if the server's process has ended.
     """
 
     server_id: str
@@ -185,42 +187,46 @@
     waiting_tokens: int = 0
     prefill_us_per_token: int = 0
     slots: int = 0
-    sent: dict[str, AttemptRow] = dataclasses.field(default_factory=dict)
-    backlog: dict[int, float] = dataclasses.field(default_factory=dict)
-    begun_sent_ms: dict[int, int] = dataclasses.field(default_factory=dict)
-    heard_at_ms: int = -1_000_000
-    asked_at_ms: int = -1_000_000
-    failures: int = 0
+    in_flight: dict[str, AttemptRow] = dataclasses.field(default_factory=dict)
+    backlog_until_ms: dict[int, float] = dataclasses.field(default_factory=dict)
+    last_answered_sent_ms: dict[int, int] = dataclasses.field(
+        default_factory=dict
+    )
+    last_contact_ms: int = -1_000_000
+    last_probe_ms: int = -1_000_000
+    consecutive_failures: int = 0
     ejected_at_ms: int = 0
     ejected_until_ms: int = 0
     full_until_ms: int = 0
     rest_until_ms: int = 0
-    trial_attempt: str = ""
-    limit: advertised.AdvertisedLimit | None = None
-    limit_heard_ms: int = -1_000_000
-    limit_shared_ms: int = -1_000_000
-    ended_start: str = ""
+    trial_attempt_id: str = ""
+    rate_limit: advertised.AdvertisedLimit | None = None
+    rate_limit_received_ms: int = -1_000_000
+    rate_limit_announced_ms: int = -1_000_000
+    ended_incarnation_key: str = ""
     ended_at_ms: int = -1
-    broken: list[quarantine.Crash] = dataclasses.field(default_factory=list)
+    possible_crashes: list[quarantine.Crash] = dataclasses.field(
+        default_factory=list
+    )
     cache: residency.Residency = dataclasses.field(
         default_factory=residency.Residency
     )
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class NoticeRow:
+class AvailabilityNotice:
     """Availability announced by one incarnation of a server.
 
     It outlives the server's entry in the instance list.
 
     Attributes:
-        start: Incarnation that announced it; empty if not known.
+        incarnation: Incarnation that announced it; empty if not known.
         is_leaving: Whether it is about to stop.
         rest_until_ms: No requests from this daemon before this time; 0 if the
             server requested no rest.
     """
 
-    start: str
+    incarnation: str
     is_leaving: bool = False
     rest_until_ms: int = 0
 
@@ -319,7 +325,9 @@
     turns: dict[tuple[str, int], turns.Turn] = dataclasses.field(
         default_factory=dict
     )
-    notices: dict[str, NoticeRow] = dataclasses.field(default_factory=dict)
+    notices: dict[str, AvailabilityNotice] = dataclasses.field(
+        default_factory=dict
+    )
     resting: set[str] = dataclasses.field(default_factory=set)
     paces: dict[str, pace.Pace] = dataclasses.field(
         default_factory=lambda: collections.defaultdict(pace.Pace)
@@ -357,7 +365,7 @@
 
 __all__ = [
     "AttemptRow",
-    "NoticeRow",
+    "AvailabilityNotice",
     "OutcomeRow",
     "Phase",
     "RequestRow",
--- a/src/godwittack/core/placing.py
+++ b/src/godwittack/core/placing.py
@@ -148,7 +148,7 @@
         return False
     # A server back from a pause gets one request at a time until one of
     # them ends well: sending it its full share could fail all of them.
-    if server.ejected_until_ms and server.trial_attempt:
+    if server.ejected_until_ms and server.trial_attempt_id:
         return False
     if not rate_limits.has_room(world, server):
         return False
@@ -177,7 +177,7 @@
         in_flight = 0
     unseen = 0
     unseen_tokens = 0
-    for attempt in server.sent.values():
+    for attempt in server.in_flight.values():
         if stale or attempt.sent_at_ms > server.reported_at_ms:
             unseen += 1
             if not attempt.opened:
@@ -303,7 +303,7 @@
     def load(server: entities.ServerRow) -> int:
         unreported = sum(
             1
-            for attempt in server.sent.values()
+            for attempt in server.in_flight.values()
             if attempt.sent_at_ms > server.reported_at_ms
         )
         return server.running + server.waiting + unreported
--- a/src/godwittack/core/rate_limits.py
+++ b/src/godwittack/core/rate_limits.py
@@ -31,10 +31,10 @@
     if server is None:
         return
     is_news = _take(world, server, told.limit_per_s, told.at_ms, "server")
-    is_due = world.now_ms - server.limit_shared_ms >= TELL_EVERY_MS
+    is_due = world.now_ms - server.rate_limit_announced_ms >= TELL_EVERY_MS
     if not is_news and (told.limit_per_s is None or not is_due):
         return
-    server.limit_shared_ms = world.now_ms
+    server.rate_limit_announced_ms = world.now_ms
     world.emit(
         effects.TellRateLimit(
             server_id=server.server_id,
@@ -55,41 +55,41 @@
         return
     if incarnation.is_older(told.incarnation, server.incarnation):
         return
-    server.limit_shared_ms = world.now_ms
+    server.rate_limit_announced_ms = world.now_ms
     _take(world, server, told.limit_per_s, told.at_ms - told.age_ms, "peer")
 
 
 def deal_all(world: entities.World) -> None:
     """Works all parts out anew, as daemons come and go."""
     for server in world.servers.values():
-        if server.limit is not None:
-            _deal(world, server, server.limit)
+        if server.rate_limit is not None:
+            _deal(world, server, server.rate_limit)
 
 
 def is_limited(world: entities.World, server_id: str) -> bool:
     """Returns whether a limit of the server is known here."""
     server = world.servers.get(server_id)
-    return server is not None and server.limit is not None
+    return server is not None and server.rate_limit is not None
 
 
 def has_room(world: entities.World, server: entities.ServerRow) -> bool:
     """Returns whether a request may be sent to a server now."""
-    limit = server.limit
+    limit = server.rate_limit
     return limit is None or limit.wait_ms(now_ms=world.now_ms) <= 0
 
 
 def sent(world: entities.World, server: entities.ServerRow) -> None:
     """Counts a request sent to a server."""
-    if server.limit is not None:
-        server.limit.take(now_ms=world.now_ms)
+    if server.rate_limit is not None:
+        server.rate_limit.take(now_ms=world.now_ms)
 
 
 def retry_after_ms(world: entities.World, target: str) -> int:
     """Returns when a server of a target has room again; 0 without limits."""
     limits = [
-        server.limit
+        server.rate_limit
         for server in world.servers_by_target[target].values()
-        if server.limit is not None
+        if server.rate_limit is not None
         and not server.leaving
         and server.rest_until_ms <= world.now_ms
     ]
@@ -108,25 +108,25 @@
     source: str,
 ) -> bool:
     """Takes in a server's word; returns whether it says something new."""
-    if heard_ms < server.limit_heard_ms:
+    if heard_ms < server.rate_limit_received_ms:
         return False
-    server.limit_heard_ms = heard_ms
-    before = server.limit.per_s if server.limit is not None else None
+    server.rate_limit_received_ms = heard_ms
+    before = server.rate_limit.per_s if server.rate_limit is not None else None
     if before == per_s:
         return False
     if per_s is None:
-        server.limit = None
+        server.rate_limit = None
         world.freed_targets.add(server.target)
-    elif server.limit is None:
-        server.limit = advertised.AdvertisedLimit(
+    elif server.rate_limit is None:
+        server.rate_limit = advertised.AdvertisedLimit(
             per_s=per_s, filled_at_ms=world.now_ms
         )
-        _deal(world, server, server.limit)
+        _deal(world, server, server.rate_limit)
     else:
         # Up to now it holds by the rate before.
-        server.limit.wait_ms(now_ms=world.now_ms)
-        server.limit.per_s = per_s
-        _deal(world, server, server.limit)
+        server.rate_limit.wait_ms(now_ms=world.now_ms)
+        server.rate_limit.per_s = per_s
+        _deal(world, server, server.rate_limit)
     if not _is_news(before, per_s):
         return False
     world.event(
@@ -134,7 +134,9 @@
         server=server.server_id,
         per_s=_shown(per_s),
         before=_shown(before),
-        part_per_s=round(server.limit.part_per_s, 3) if server.limit else 0,
+        part_per_s=round(server.rate_limit.part_per_s, 3)
+        if server.rate_limit
+        else 0,
         carriers=len(world.carriers),
         source=source,
         age_ms=world.now_ms - heard_ms,
--- a/src/godwittack/core/servers.py
+++ b/src/godwittack/core/servers.py
@@ -133,7 +133,7 @@
     if server is None:
         return
     server.reported_at_ms = told.at_ms
-    server.heard_at_ms = max(server.heard_at_ms, told.at_ms)
+    server.last_contact_ms = max(server.last_contact_ms, told.at_ms)
     server.running = told.running
     server.waiting = told.waiting
     server.slots = told.slots or server.slots
@@ -168,7 +168,7 @@
     """Notes that a server said something."""
     server = world.servers.get(server_id)
     if server is not None:
-        server.heard_at_ms = world.now_ms
+        server.last_contact_ms = world.now_ms
 
 
 def probed(world: entities.World, told: server_inputs.ProbeAnswered) -> None:
@@ -188,7 +188,7 @@
     """Counts an attempt that ended well."""
     server = world.servers.get(attempt.server_id)
     if server is not None:
-        server.failures = 0
+        server.consecutive_failures = 0
         server.ejected_until_ms = 0
 
 
@@ -285,19 +285,19 @@
     """
     server.leaving = False
     server.draining_until_ms = 0
-    server.failures = 0
+    server.consecutive_failures = 0
     server.ejected_until_ms = 0
     server.full_until_ms = 0
     server.rest_until_ms = 0
-    server.limit = None
-    server.trial_attempt = ""
+    server.rate_limit = None
+    server.trial_attempt_id = ""
     server.reported_at_ms = -1
     server.running = 0
     server.waiting = 0
     server.waiting_tokens = 0
-    server.sent.clear()
-    server.backlog.clear()
-    server.begun_sent_ms.clear()
+    server.in_flight.clear()
+    server.backlog_until_ms.clear()
+    server.last_answered_sent_ms.clear()
 
 
 def _leaves(
@@ -343,8 +343,8 @@
     Pausing a server for one broken connection would refuse work that it
     could do; with a single server of a service, all of it.
     """
-    if server.failures + 1 < world.policy.failures_to_eject:
-        server.failures += 1
+    if server.consecutive_failures + 1 < world.policy.failures_to_eject:
+        server.consecutive_failures += 1
         return
     _eject(world, server, detail)
 
@@ -352,13 +352,13 @@
 def _eject(
     world: entities.World, server: entities.ServerRow, detail: str
 ) -> None:
-    server.failures += 1
+    server.consecutive_failures += 1
     server.ejected_at_ms = world.now_ms
     server.ejected_until_ms = world.now_ms + pause_ms(world, server)
     world.event(
         "server_ejected",
         server=server.server_id,
-        failures=server.failures,
+        failures=server.consecutive_failures,
         until_ms=server.ejected_until_ms - world.now_ms,
         detail=detail,
     )
@@ -366,7 +366,9 @@
 
 def pause_ms(world: entities.World, server: entities.ServerRow) -> int:
     """Returns the pause of a server by its failures in a row."""
-    doubled = world.policy.eject_ms * 2 ** min(server.failures - 1, 10)
+    doubled = world.policy.eject_ms * 2 ** min(
+        server.consecutive_failures - 1, 10
+    )
     return min(doubled, world.policy.eject_max_ms)
 
 
--- a/src/godwittack/core/silence.py
+++ b/src/godwittack/core/silence.py
@@ -86,13 +86,13 @@
     server = world.servers.get(attempt.server_id)
     if server is None:
         return False
-    if world.now_ms - server.heard_at_ms >= world.policy.first_frame_ms:
+    if world.now_ms - server.last_contact_ms >= world.policy.first_frame_ms:
         return False
     rank = routing.priority(world, request)
     overtaken_ms = max(
         (
             sent_ms
-            for other, sent_ms in server.begun_sent_ms.items()
+            for other, sent_ms in server.last_answered_sent_ms.items()
             if other >= rank
         ),
         default=-1,
--- a/src/godwittack/daemon/model_state.py
+++ b/src/godwittack/daemon/model_state.py
@@ -24,7 +24,7 @@
             server_id=row.server_id,
             incarnation=row.incarnation,
             weights_version=row.weights_version,
-            busy=row.running + row.waiting + len(row.sent),
+            busy=row.running + row.waiting + len(row.in_flight),
             is_reachable=row.ejected_until_ms <= world.now_ms,
             old_for_ms=weights.old_for_ms(world, row),
             gets_work=not weights.too_old(world, row),
--- a/src/godwittack/entry/status.py
+++ b/src/godwittack/entry/status.py
@@ -94,7 +94,7 @@
                     "incarnation": row.incarnation,
                     "weights_version": row.weights_version,
                     "leaving": row.leaving,
-                    "failures": row.failures,
+                    "failures": row.consecutive_failures,
                 }
                 for name, row in sorted(world.servers.items())
             },
--- a/src/godwittack/metric/meters.py
+++ b/src/godwittack/metric/meters.py
@@ -105,7 +105,7 @@
         "godwittack_queued": lambda: world.queued(),
         "godwittack_in_flight": lambda: len(world.requests),
         "godwittack_limited_servers": lambda: sum(
-            server.limit is not None for server in world.servers.values()
+            server.rate_limit is not None for server in world.servers.values()
         ),
         "godwittack_leaving_servers": lambda: sum(
             server.leaving for server in world.servers.values()
--- a/tests/cases/availability.py
+++ b/tests/cases/availability.py
@@ -122,7 +122,11 @@
     _rest(core, sent.server_id)
     core.fail(sent, DECLINED, REFUSED)
     row = core.world.servers[sent.server_id]
-    assert (row.failures, row.ejected_until_ms, row.broken) == (0, 0, [])
+    assert (
+        row.consecutive_failures,
+        row.ejected_until_ms,
+        row.possible_crashes,
+    ) == (0, 0, [])
     assert core.dispatch().server_id != sent.server_id
 
 
--- a/tests/cases/entries.py
+++ b/tests/cases/entries.py
@@ -269,10 +269,14 @@
     core.arrive("long", "r1", levels=(work.Level(11, 900), work.Level(20, 500)))
     _loaded(core, 1_000, running=9, leaving=True)
     server = _engine(core)
-    assert server.leaving and server.sent and server.backlog
+    assert server.leaving and server.in_flight and server.backlog_until_ms
     _listed(core, 2_000)
     assert _engine(core) is server
-    assert not server.leaving and not server.sent and not server.backlog
+    assert (
+        not server.leaving
+        and not server.in_flight
+        and not server.backlog_until_ms
+    )
     assert server.cache.seen_ms(11) is None and server.running == 0
     core.arrive("long", "r2")
     assert core.dispatch().server_id == "e1"
--- a/tests/cases/rate_limits.py
+++ b/tests/cases/rate_limits.py
@@ -178,7 +178,7 @@
     core.now_ms += 100
     late = {"server_id": "s1", "limit_per_s": 4.0, "age_ms": 150}
     core.tell_named(server_inputs.RateLimitTold, incarnation="s1", **late)
-    assert core.world.servers["s1"].limit is None
+    assert core.world.servers["s1"].rate_limit is None
 
 
 def a_limit_ends_with_the_start_that_named_it() -> None:
@@ -187,7 +187,7 @@
     core.list_server("e9", routed_core.ENGINES, incarnation="e9@1")
     _name_limit(core, "e9", 1.0)
     core.list_server("e9", routed_core.ENGINES, incarnation="e9@2")
-    assert core.world.servers["e9"].limit is None
+    assert core.world.servers["e9"].rate_limit is None
     core.now_ms += 10
     core.tell_named(
         server_inputs.RateLimitTold,
@@ -196,7 +196,7 @@
         limit_per_s=1.0,
         age_ms=0,
     )
-    assert core.world.servers["e9"].limit is None
+    assert core.world.servers["e9"].rate_limit is None
 
 
 def a_limit_is_told_again_while_it_holds() -> None:
@@ -216,9 +216,9 @@
     everyone = tuple(sorted([f"d{n}" for n in range(200)] + ["d"]))
     core.tell(inputs.MembersChanged, everyone, ("d", "d1"))
     _name_limit(core, "s1", 4.0)
-    assert core.world.servers["s1"].limit.part_per_s == 2.0
+    assert core.world.servers["s1"].rate_limit.part_per_s == 2.0
     core.tell(inputs.MembersChanged, everyone, ("d1", "d2"))
-    assert core.world.servers["s1"].limit.part_per_s == 0.0
+    assert core.world.servers["s1"].rate_limit.part_per_s == 0.0
     assert "s1" not in _sent_to(core, "release", 50)
 
 
@@ -227,12 +227,12 @@
     core = routed_core.Core()
     core.tell(inputs.MembersChanged, ("d",), ("d",), 4)
     _name_limit(core, "s1", 4.0)
-    assert core.world.servers["s1"].limit.part_per_s == 0.0
+    assert core.world.servers["s1"].rate_limit.part_per_s == 0.0
     core.tell(inputs.MembersChanged, ("d", "d1"), ("d", "d1"), 4)
-    assert core.world.servers["s1"].limit.part_per_s == 2.0
+    assert core.world.servers["s1"].rate_limit.part_per_s == 2.0
     # The others are gone: what is left of the fleet holds all of it.
     core.tell(inputs.MembersChanged, ("d",), ("d",), 4)
-    assert core.world.servers["s1"].limit.part_per_s == 4.0
+    assert core.world.servers["s1"].rate_limit.part_per_s == 4.0
 
 
 def limits_that_cannot_be_read_change_nothing() -> None:
--- a/tests/cases/routed.py
+++ b/tests/cases/routed.py
@@ -215,11 +215,11 @@
     core.arrive("long", "r1")
     assert core.refusal().status == 503
     core.world.servers["e1"].draining_until_ms = 0
-    core.world.servers["e1"].backlog[0] = core.now_ms + 1_000
+    core.world.servers["e1"].backlog_until_ms[0] = core.now_ms + 1_000
     core.arrive("long", "r2")
     assert not core.find(effects.Dispatch), core.made
     core.tell(inputs.TableChanged, routed_core.table(2, keys=()))
-    core.world.servers["e1"].backlog.clear()
+    core.world.servers["e1"].backlog_until_ms.clear()
     core.wait(50)
     assert not core.find(effects.Dispatch), core.made
     assert core.refusal().status == 401
@@ -423,7 +423,7 @@
     order = duty.askers("e1", names)
     core.world.daemon = order[0]
     assert [p.server_id for p in core.wait(350) if _is_probe(p)] == ["e1"]
-    core.world.servers["e1"].asked_at_ms = -10_000
+    core.world.servers["e1"].last_probe_ms = -10_000
     core.world.daemon = order[-1]
     assert not [p for p in core.wait(400) if _is_probe(p)]
     core.tell(server_inputs.ServerDoubted, "e1")
--- a/tests/cases/sourcing.py
+++ b/tests/cases/sourcing.py
@@ -81,7 +81,7 @@
     first = _ask(core, "r1")
     core.now_ms += 1_000
     holder = core.world.servers[first.server_id]
-    holder.backlog[0] = core.now_ms + 500.0
+    holder.backlog_until_ms[0] = core.now_ms + 500.0
     second = _ask(core, "r2")
     assert second.server_id != first.server_id
     assert second.kv_fetch_from in (holder.address, STORE)
@@ -338,7 +338,7 @@
     key = levels.versioned(SHARED.key, "1")
     for holder in ("e1", "keep"):
         _digest(core, holder, stored=(key,), tokens=(13_000,))
-    core.world.servers["e1"].backlog[0] = core.now_ms + 500.0
+    core.world.servers["e1"].backlog_until_ms[0] = core.now_ms + 500.0
     core.arrive("long", "r1", levels=(greeting, SHARED, OWN))
     sent = core.dispatch()
     assert sent.server_id != "e1"
--- a/tests/sim/large_fleets.py
+++ b/tests/sim/large_fleets.py
@@ -249,7 +249,7 @@
         if engine.is_dark(now_s - NOTICE_S) and engine.is_dark(now_s):
             row.ejected_until_ms = now_ms + round(NOTICE_S * 1000)
         if self.fleet.is_pressed and row.draining_until_ms <= now_ms:
-            row.backlog[0] = float(now_ms + WAITING_MS)
+            row.backlog_until_ms[0] = float(now_ms + WAITING_MS)
 
     def _report(self, engine: loading_engines.Engine):
         return server_inputs.LoadReported(
