--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -207,7 +207,7 @@
 
         def feed() -> object:
             for number in range(count):
-                core.world.heat.add(number, now_ms=number)
+                core.world.level_demand.add(number, now_ms=number)
             return core
 
         return feed
--- a/src/godwittack/core/admission.py
+++ b/src/godwittack/core/admission.py
@@ -105,7 +105,7 @@
     asked: work.Work,
     workspace: str,
 ) -> bool:
-    if not world.right_to_serve:
+    if not world.has_serving_lease:
         _turn_away(
             world,
             request_id,
@@ -245,7 +245,7 @@
         http_status=refusal.status,
         why=refusal.detail,
         table=world.table.version,
-        keys_good_for_ms=world.right_until_ms - world.now_ms,
+        keys_good_for_ms=world.serving_lease_until_ms - world.now_ms,
     )
 
 
--- a/src/godwittack/core/availability.py
+++ b/src/godwittack/core/availability.py
@@ -54,7 +54,7 @@
     is_news = notice.rest_until_ms <= world.now_ms
     until_ms = told.at_ms + told.rest_ms
     notice.rest_until_ms = max(notice.rest_until_ms, until_ms)
-    world.resting.add(told.server_id)
+    world.resting_servers.add(told.server_id)
     server = world.servers.get(told.server_id)
     if server is not None:
         apply(world, server)
@@ -70,7 +70,7 @@
 
 def apply(world: entities.World, server: entities.ServerRow) -> None:
     """Applies what is kept of a server to its row."""
-    notice = world.notices.get(server.server_id)
+    notice = world.availability_notices.get(server.server_id)
     if notice is not None and _concerns(notice, server):
         notice.incarnation = notice.incarnation or server.incarnation
         server.leaving |= notice.is_leaving
@@ -79,11 +79,11 @@
 
 def start_seen(world: entities.World, server: entities.ServerRow) -> None:
     """Drops what another start of a server had said than the one known now."""
-    notice = world.notices.get(server.server_id)
+    notice = world.availability_notices.get(server.server_id)
     if notice is None:
         return
     if not _concerns(notice, server):
-        del world.notices[server.server_id]
+        del world.availability_notices[server.server_id]
         server.leaving = False
         server.rest_until_ms = 0
     apply(world, server)
@@ -94,9 +94,9 @@
 
     Nothing else would ever show that another one has begun.
     """
-    notice = world.notices.get(server_id)
+    notice = world.availability_notices.get(server_id)
     if notice is not None and not notice.incarnation:
-        del world.notices[server_id]
+        del world.availability_notices[server_id]
 
 
 def is_resting(world: entities.World, server: entities.ServerRow) -> bool:
@@ -120,22 +120,22 @@
 
 def end_rests(world: entities.World) -> None:
     """Takes servers back into service whose rest is over."""
-    for server_id in list(world.resting):
-        notice = world.notices.get(server_id)
+    for server_id in list(world.resting_servers):
+        notice = world.availability_notices.get(server_id)
         if notice is None or not notice.rest_until_ms:
             # Another start has asked for nothing.
-            world.resting.discard(server_id)
+            world.resting_servers.discard(server_id)
             continue
         if notice.rest_until_ms > world.now_ms:
             continue
-        world.resting.discard(server_id)
+        world.resting_servers.discard(server_id)
         notice.rest_until_ms = 0
         if not notice.is_leaving:
-            del world.notices[server_id]
+            del world.availability_notices[server_id]
         server = world.servers.get(server_id)
         if server is not None:
             server.rest_until_ms = 0
-            world.freed_targets.add(server.target)
+            world.targets_to_dispatch.add(server.target)
         world.event("server_rested", server=server_id, start=notice.incarnation)
 
 
@@ -168,7 +168,7 @@
     server = world.servers.get(server_id)
     known_start = server.incarnation if server is not None else ""
     start = told_start or known_start
-    kept = world.notices.get(server_id)
+    kept = world.availability_notices.get(server_id)
     if incarnations.is_older(start, known_start):
         return None
     if kept is not None and _is_same_start(kept.incarnation, start):
@@ -177,10 +177,10 @@
     if kept is not None and incarnations.is_older(start, kept.incarnation):
         return None
     kept = entities.AvailabilityNotice(incarnation=start)
-    world.notices.pop(server_id, None)
-    world.notices[server_id] = kept
-    while len(world.notices) > MOST_NOTICES:
-        del world.notices[next(iter(world.notices))]
+    world.availability_notices.pop(server_id, None)
+    world.availability_notices[server_id] = kept
+    while len(world.availability_notices) > MOST_NOTICES:
+        del world.availability_notices[next(iter(world.availability_notices))]
     return kept
 
 
--- a/src/godwittack/core/backlog.py
+++ b/src/godwittack/core/backlog.py
@@ -78,7 +78,7 @@
         )
         in_flight = max(in_flight, server.running + server.waiting + since)
     slots = server.slots or world.policy.slots
-    turn_ms = world.service_ms.get(server.target, 0.0) / slots
+    turn_ms = world.service_time_ms.get(server.target, 0.0) / slots
     wait += turn_ms * _turns(in_flight, slots)
     # Every request in a batch makes each of its steps a little longer.
     return wait + in_flight * BATCH_MS
--- a/src/godwittack/core/closing.py
+++ b/src/godwittack/core/closing.py
@@ -125,8 +125,10 @@
     world: entities.World, target: str, took_ms: int
 ) -> None:
     """Updates the smoothed time from dispatch to end for `target`."""
-    before = world.service_ms.get(target, float(took_ms))
-    world.service_ms[target] = before + SERVICE_SMOOTHING * (took_ms - before)
+    before = world.service_time_ms.get(target, float(took_ms))
+    world.service_time_ms[target] = before + SERVICE_SMOOTHING * (
+        took_ms - before
+    )
 
 
 def close_attempt(world: entities.World, attempt_id: str) -> None:
@@ -151,7 +153,7 @@
         queue.drop(request.request_id)
     for cell in request.cells:
         world.shares.ended(cell)
-    world.freed_targets.add(request.work.target)
+    world.targets_to_dispatch.add(request.work.target)
     world.emit(effects.Forget(request.request_id))
 
 
--- a/src/godwittack/core/dispatching.py
+++ b/src/godwittack/core/dispatching.py
@@ -102,7 +102,7 @@
         weight=_weight(world, request),
         cost=_cost(request),
     )
-    world.freed_targets.add(request.work.target)
+    world.targets_to_dispatch.add(request.work.target)
 
 
 def dispatch(
@@ -210,19 +210,19 @@
     The most urgent rank comes first, as at the engines: a short prompt of an
     urgent route need not wait behind long ones that are held.
     """
-    for target in sorted(world.freed_targets):
+    for target in sorted(world.targets_to_dispatch):
         by_rank = world.queues.get(target, {})
         for rank in sorted(by_rank):
             _drain_queue(world, by_rank[rank], rank)
             if len(by_rank[rank]):
                 break
-    world.freed_targets.clear()
+    world.targets_to_dispatch.clear()
 
 
 def expire_queued(world: entities.World) -> None:
     """Refuses held-back requests that can no longer be in time."""
     for target, by_rank in world.queues.items():
-        world.freed_targets.add(target)
+        world.targets_to_dispatch.add(target)
         for rank, queue in by_rank.items():
             for request_id in queue.request_ids():
                 request = world.requests[request_id]
@@ -330,7 +330,7 @@
 
 
 def _queue_limit(world: entities.World, request: entities.RequestRow) -> int:
-    room = world.policy.queue_total - world.queued()
+    room = world.policy.queue_total - world.queued_count()
     model_row = world.table.models.get(request.work.target)
     if model_row is None:
         return room
--- a/src/godwittack/core/doubt.py
+++ b/src/godwittack/core/doubt.py
@@ -141,7 +141,7 @@
 def _patience_ms(world: entities.World, server: entities.ServerRow) -> float:
     least_ms = float(SILENT_MS)
     if server.target in world.table.services:
-        usual_ms = world.service_ms.get(server.target, 0.0)
+        usual_ms = world.service_time_ms.get(server.target, 0.0)
         least_ms = max(least_ms, SERVICE_TIMES * usual_ms)
     names = tuple(sorted(world.live_daemons))
     if len(names) <= duty.MESH_LIMIT or world.daemon not in names:
--- a/src/godwittack/core/entities.py
+++ b/src/godwittack/core/entities.py
@@ -254,34 +254,36 @@
     Attributes:
         daemon: This daemon's incarnation, as written into claims.
         started_at_ms: Time of the first input; -1 before it.
-        out: Effects of the input being processed.
+        pending_effects: Effects of the input being processed.
         queues: Queued requests, by target and rank.
         target_budgets: Retry budgets by target, if retries are limited for
             each target separately.
-        freed_targets: Targets whose queues are to be dispatched after this
-            input.
-        service_ms: Smoothed time from dispatch to completion, by target.
+        targets_to_dispatch: Targets whose queues are to be dispatched after
+            this input.
+        service_time_ms: Smoothed time from dispatch to completion, by target.
         live_daemons: Incarnations of daemons believed alive.
-        carriers: Those of them that send requests to servers.
-        right_until_ms: Until when the table may be treated as current.
-        weights_named: Requested versions of weights, oldest first, by target.
-        most_daemons: Maximum of `known_daemons` since the start.
-        known_daemons: Expected number of daemons, from the last membership
+        serving_daemons: Those of them that send requests to servers.
+        serving_lease_until_ms: Until when the table may be treated as current.
+        weights_history: Requested versions of weights, oldest first, by target.
+        max_expected_daemons: Maximum of `expected_daemons` since the start.
+        expected_daemons: Expected number of daemons, from the last membership
             change.
-        has_met_others: Whether another daemon was ever believed alive.
+        has_seen_peers: Whether another daemon was ever believed alive.
         members_changed_ms: When the membership last changed.
         quarantine: Contents of requests during which servers crashed.
-        turns: Dispatch rate of queued requests, by target and rank.
-        notices: Availability announced by servers, by server id.
-        resting: Ids of servers whose requested rest has not ended.
-        paces: Prefill cost learnt from first tokens, by target.
+        dispatch_pacing: Dispatch rate of queued requests, by target and rank.
+        availability_notices: Availability announced by servers, by server id.
+        resting_servers: Ids of servers whose requested rest has not ended.
+        prefill_costs: Prefill cost learnt from first tokens, by target.
     """
 
     daemon: str
     policy: policies.Policy
     now_ms: int = 0
     started_at_ms: int = -1
-    out: list[effects.Effect] = dataclasses.field(default_factory=list)
+    pending_effects: list[effects.Effect] = dataclasses.field(
+        default_factory=list
+    )
     table: model.Table = dataclasses.field(default_factory=model.Table)
     requests: dict[str, RequestRow] = dataclasses.field(default_factory=dict)
     attempts: dict[str, AttemptRow] = dataclasses.field(default_factory=dict)
@@ -303,46 +305,48 @@
     spill_budget: budget.Budget = dataclasses.field(
         default_factory=budget.Budget
     )
-    heat: residency.Heat = dataclasses.field(default_factory=residency.Heat)
-    freed_targets: set[str] = dataclasses.field(default_factory=set)
-    service_ms: dict[str, float] = dataclasses.field(default_factory=dict)
+    level_demand: residency.Heat = dataclasses.field(
+        default_factory=residency.Heat
+    )
+    targets_to_dispatch: set[str] = dataclasses.field(default_factory=set)
+    service_time_ms: dict[str, float] = dataclasses.field(default_factory=dict)
     live_daemons: frozenset[str] = frozenset()
-    carriers: frozenset[str] = frozenset()
-    right_until_ms: int = 0
+    serving_daemons: frozenset[str] = frozenset()
+    serving_lease_until_ms: int = 0
     stopping: bool = False
     stopped: bool = False
-    weights_named: dict[str, list[weights.Naming]] = dataclasses.field(
+    weights_history: dict[str, list[weights.Naming]] = dataclasses.field(
         default_factory=dict
     )
-    most_daemons: int = 1
-    known_daemons: int = 1
-    has_met_others: bool = False
+    max_expected_daemons: int = 1
+    expected_daemons: int = 1
+    has_seen_peers: bool = False
     members_changed_ms: int = 0
     attempt_counter: int = 0
     quarantine: quarantine.Quarantine = dataclasses.field(
         default_factory=quarantine.Quarantine
     )
-    turns: dict[tuple[str, int], turns.Turn] = dataclasses.field(
+    dispatch_pacing: dict[tuple[str, int], turns.Turn] = dataclasses.field(
         default_factory=dict
     )
-    notices: dict[str, AvailabilityNotice] = dataclasses.field(
+    availability_notices: dict[str, AvailabilityNotice] = dataclasses.field(
         default_factory=dict
     )
-    resting: set[str] = dataclasses.field(default_factory=set)
-    paces: dict[str, pace.Pace] = dataclasses.field(
+    resting_servers: set[str] = dataclasses.field(default_factory=set)
+    prefill_costs: dict[str, pace.Pace] = dataclasses.field(
         default_factory=lambda: collections.defaultdict(pace.Pace)
     )
 
     def emit(self, effect: effects.Effect) -> None:
         """Adds an effect to the current input's result."""
-        self.out.append(effect)
+        self.pending_effects.append(effect)
 
     def event(
         self, name: str, request_id: str = "", **fields: str | int | float
     ) -> None:
         """Emits a log event with its fields in the order given."""
         pairs = tuple(effects.Field(k, v) for k, v in fields.items())
-        self.out.append(effects.Event(name, request_id, pairs))
+        self.pending_effects.append(effects.Event(name, request_id, pairs))
 
     def next_attempt_id(self) -> str:
         """Returns an attempt id that is unique across daemons and restarts."""
@@ -350,11 +354,11 @@
         return f"{self.daemon}.{self.attempt_counter}"
 
     @property
-    def right_to_serve(self) -> bool:
+    def has_serving_lease(self) -> bool:
         """Whether new work may start at the current input's time."""
-        return self.now_ms < self.right_until_ms
+        return self.now_ms < self.serving_lease_until_ms
 
-    def queued(self) -> int:
+    def queued_count(self) -> int:
         """Returns the number of queued requests."""
         return sum(
             len(queue)
--- a/src/godwittack/core/pace.py
+++ b/src/godwittack/core/pace.py
@@ -93,7 +93,7 @@
     """
     if server.prefill_us_per_token:
         return float(server.prefill_us_per_token)
-    learnt = world.paces[server.target].us_per_token
+    learnt = world.prefill_costs[server.target].us_per_token
     return learnt or float(world.policy.prefill_us_per_token)
 
 
@@ -105,7 +105,7 @@
     """Takes in that the first token of an attempt came just now."""
     if not world.policy.learns_pace:
         return
-    known = world.paces[server.target]
+    known = world.prefill_costs[server.target]
     before = known.us_per_token
     known.saw_first_token(
         tokens=attempt.expected_tokens,
--- a/src/godwittack/core/placing.py
+++ b/src/godwittack/core/placing.py
@@ -189,7 +189,7 @@
     backlog_ms = max(0.0, tokens * us_per_token / 1000 - since_ms)
     slots = server.slots or world.policy.slots
     if in_flight >= slots:
-        turn_ms = world.service_ms.get(server.target, 0.0) / slots
+        turn_ms = world.service_time_ms.get(server.target, 0.0) / slots
         backlog_ms += (in_flight - slots + 1) * turn_ms
     return backlog_ms
 
@@ -215,10 +215,10 @@
     for level in request.work.levels:
         if len(names) == 1:
             break
-        share = world.heat.share(
+        share = world.level_demand.share(
             request.work.target, level.key, now_ms=world.now_ms
         )
-        keep = world.heat.spread(
+        keep = world.level_demand.spread(
             level.key, need=share * total * SPREAD_SLACK, most=len(names)
         )
         names = tuple(sorted(rendezvous.rank(level.key, names)[:keep]))
@@ -230,12 +230,12 @@
     target = request.work.target
     world.shares.arrived(model_cell(target))
     for level in request.work.levels:
-        if not world.heat.knows(level.key):
+        if not world.level_demand.knows(level.key):
             break
         request.seen_tokens += level.tokens
-    world.heat.add_total(target, now_ms=world.now_ms)
+    world.level_demand.add_total(target, now_ms=world.now_ms)
     for level in request.work.levels:
-        world.heat.add(level.key, now_ms=world.now_ms)
+        world.level_demand.add(level.key, now_ms=world.now_ms)
 
 
 def uncached_tokens(
--- a/src/godwittack/core/rate_limits.py
+++ b/src/godwittack/core/rate_limits.py
@@ -116,7 +116,7 @@
         return False
     if per_s is None:
         server.rate_limit = None
-        world.freed_targets.add(server.target)
+        world.targets_to_dispatch.add(server.target)
     elif server.rate_limit is None:
         server.rate_limit = advertised.AdvertisedLimit(
             per_s=per_s, filled_at_ms=world.now_ms
@@ -137,7 +137,7 @@
         part_per_s=round(server.rate_limit.part_per_s, 3)
         if server.rate_limit
         else 0,
-        carriers=len(world.carriers),
+        carriers=len(world.serving_daemons),
         source=source,
         age_ms=world.now_ms - heard_ms,
     )
@@ -156,11 +156,11 @@
     limit: advertised.AdvertisedLimit,
 ) -> None:
     # A daemon that has yet to meet the others would take the whole for its own.
-    is_unmet = world.known_daemons > 1 and not world.has_met_others
+    is_unmet = world.expected_daemons > 1 and not world.has_seen_peers
     limit.deal(
         server_id=server.server_id,
         own=world.daemon,
-        daemons=() if is_unmet else world.carriers,
+        daemons=() if is_unmet else world.serving_daemons,
     )
 
 
--- a/src/godwittack/core/resting.py
+++ b/src/godwittack/core/resting.py
@@ -75,7 +75,7 @@
         for server in world.servers_by_target[target].values()
         if not server.leaving
     )
-    return max(1, slots // max(1, len(world.carriers)))
+    return max(1, slots // max(1, len(world.serving_daemons)))
 
 
 def _longest_wait_ms(
--- a/src/godwittack/core/retries.py
+++ b/src/godwittack/core/retries.py
@@ -52,9 +52,9 @@
     return {
         "tokens": round(shared.tokens, 2),
         "part": round(shared.part, 2),
-        "daemons": world.most_daemons,
+        "daemons": world.max_expected_daemons,
         "live": len(world.live_daemons),
-        "known": world.known_daemons,
+        "known": world.expected_daemons,
         "view_age_ms": world.now_ms - world.members_changed_ms,
     }
 
@@ -104,7 +104,7 @@
     to more than the whole.
     """
     policy = world.policy
-    part = policy.retry_burst / world.most_daemons
+    part = policy.retry_burst / world.max_expected_daemons
     found = world.target_budgets.get(target)
     if found is None:
         found = world.target_budgets[target] = budget.SharedBudget(
--- a/src/godwittack/core/router.py
+++ b/src/godwittack/core/router.py
@@ -55,7 +55,7 @@
         """
         policy = policy or policies.Policy()
         world = entities.World(daemon=daemon, policy=policy)
-        world.live_daemons = world.carriers = frozenset({daemon})
+        world.live_daemons = world.serving_daemons = frozenset({daemon})
         world.retry_budget = budget.Budget(
             ratio=policy.retry_ratio,
             burst=policy.retry_burst,
@@ -74,15 +74,15 @@
     def step(self, told: inputs.Input) -> list[effects.Effect]:
         """Processes one input and returns its effects in order."""
         world = self.world
-        world.out = []
+        world.pending_effects = []
         world.now_ms = max(world.now_ms, told.at_ms)
         if world.started_at_ms < 0:
             world.started_at_ms = world.now_ms
         self._handle(told)
-        if world.freed_targets:
+        if world.targets_to_dispatch:
             dispatching.drain(world)
         self._check_stopped()
-        return world.out
+        return world.pending_effects
 
     def _handle(self, told: inputs.Input) -> None:
         world = self.world
@@ -151,21 +151,25 @@
                 self._peer_demand(told)
             case inputs.MembersChanged():
                 world.live_daemons = frozenset(told.live) | {world.daemon}
-                world.known_daemons = max(told.known, len(world.live_daemons))
-                world.most_daemons = max(
-                    world.most_daemons, world.known_daemons
+                world.expected_daemons = max(
+                    told.known, len(world.live_daemons)
                 )
-                world.has_met_others |= len(world.live_daemons) > 1
+                world.max_expected_daemons = max(
+                    world.max_expected_daemons, world.expected_daemons
+                )
+                world.has_seen_peers |= len(world.live_daemons) > 1
                 world.members_changed_ms = world.now_ms
                 world.shares.live = world.live_daemons
                 world.shares.groups.clear()
-                world.carriers = frozenset(told.carriers) or world.live_daemons
+                world.serving_daemons = (
+                    frozenset(told.carriers) or world.live_daemons
+                )
                 rate_limits.deal_all(world)
             case inputs.RightToServe():
                 held = told.until_ms > world.now_ms
-                if world.right_to_serve != held:
+                if world.has_serving_lease != held:
                     world.event("right_to_serve", held=int(held))
-                world.right_until_ms = told.until_ms
+                world.serving_lease_until_ms = told.until_ms
             case inputs.StopOrdered():
                 world.stopping = True
                 world.event("stopping", in_flight=len(world.requests))
--- a/src/godwittack/core/routing.py
+++ b/src/godwittack/core/routing.py
@@ -100,7 +100,7 @@
 ) -> Refusal | None:
     if anonymous:
         return None
-    if not world.right_to_serve:
+    if not world.has_serving_lease:
         return _not_current("this daemon can't confirm which keys are good")
     if token_sha256 not in world.table.workspace_by_token:
         return Refusal(
--- a/src/godwittack/core/sending.py
+++ b/src/godwittack/core/sending.py
@@ -26,7 +26,7 @@
         workspace=request.workspace,
         route=request.work.route.name,
         table=world.table.version,
-        keys_good_for_ms=world.right_until_ms - world.now_ms,
+        keys_good_for_ms=world.serving_lease_until_ms - world.now_ms,
         attempt=attempt_id,
         server=server.server_id,
         weights=server.weights_version,
--- a/src/godwittack/core/servers.py
+++ b/src/godwittack/core/servers.py
@@ -72,7 +72,7 @@
     if server.incarnation and not restarted and not newer:
         return
     _see_state(world, server, told.incarnation, told.weights_version)
-    world.freed_targets.add(server.target)
+    world.targets_to_dispatch.add(server.target)
 
 
 def draining_told(
@@ -105,7 +105,7 @@
     server.slots = told.slots or server.slots
     if told.leaving:
         _leaves(world, told, server_inputs.Source.REPORT)
-    world.freed_targets.add(server.target)
+    world.targets_to_dispatch.add(server.target)
 
 
 def _is_outdated(
@@ -137,7 +137,7 @@
     server.running = told.running
     server.waiting = told.waiting
     server.slots = told.slots or server.slots
-    world.freed_targets.add(server.target)
+    world.targets_to_dispatch.add(server.target)
 
 
 def digest(world: entities.World, told: server_inputs.CacheDigest) -> None:
@@ -179,7 +179,7 @@
     if told.alive:
         # Not 0: the next request is a trial.
         server.ejected_until_ms = world.now_ms
-        world.freed_targets.add(server.target)
+        world.targets_to_dispatch.add(server.target)
     else:
         _eject(world, server, "probe failed")
 
--- a/src/godwittack/core/sourcing.py
+++ b/src/godwittack/core/sourcing.py
@@ -278,7 +278,7 @@
 
 def _engines_us(world: entities.World, request: entities.RequestRow) -> float:
     """Returns the time that a token takes on the engines of a request."""
-    learnt = world.paces[request.work.target].us_per_token
+    learnt = world.prefill_costs[request.work.target].us_per_token
     return learnt or float(world.policy.prefill_us_per_token)
 
 
--- a/src/godwittack/core/turns.py
+++ b/src/godwittack/core/turns.py
@@ -89,12 +89,12 @@
     # Each held-back request takes a turn: the time a slot is busy over the
     # slots there are.
     slots = sum(server.slots or world.policy.slots for server in servers)
-    turn_ms = world.service_ms.get(target, 0.0) / slots
+    turn_ms = world.service_time_ms.get(target, 0.0) / slots
     return before * turn_ms
 
 
 def _turn(world: entities.World, target: str, rank: int) -> Turn:
-    return world.turns.setdefault((target, rank), Turn())
+    return world.dispatch_pacing.setdefault((target, rank), Turn())
 
 
 __all__ = ["Turn", "begin", "slots_wait_ms", "taken", "wait_ms"]
--- a/src/godwittack/core/weights.py
+++ b/src/godwittack/core/weights.py
@@ -28,7 +28,7 @@
         before = world.table.models.get(name)
         if before is not None and before.weights_version == row.weights_version:
             continue
-        known = world.weights_named.setdefault(name, [])
+        known = world.weights_history.setdefault(name, [])
         named_ms = _longest_ago_ms(world) if before is None else at_ms
         known.append(Naming(row.weights_version, named_ms))
         del known[:-MOST_NAMED]
@@ -97,7 +97,7 @@
     row = world.table.models.get(server.target)
     if row is None or row.weights_version == server.weights_version:
         return -1
-    for naming in world.weights_named.get(server.target, ()):
+    for naming in world.weights_history.get(server.target, ()):
         if is_newer(naming.version, server.weights_version):
             return world.now_ms - naming.at_ms
     return -1
--- a/src/godwittack/daemon/gossip.py
+++ b/src/godwittack/daemon/gossip.py
@@ -406,7 +406,7 @@
             own_version=self._keeper.table.version,
             now_ms=now_ms,
         )
-        if until_ms != self._runtime.core.world.right_until_ms:
+        if until_ms != self._runtime.core.world.serving_lease_until_ms:
             submit(inputs.RightToServe(now_ms, until_ms))
 
 
--- a/src/godwittack/entry/operate.py
+++ b/src/godwittack/entry/operate.py
@@ -150,7 +150,7 @@
         return web.json_response(
             {
                 "table_version": world.table.version,
-                "right_to_serve": world.right_to_serve,
+                "right_to_serve": world.has_serving_lease,
                 "daemons": rows,
             }
         )
--- a/src/godwittack/entry/status.py
+++ b/src/godwittack/entry/status.py
@@ -81,11 +81,11 @@
         """Says whether new work is taken, and why not."""
         del request
         world = self.runtime.core.world
-        ready = world.right_to_serve and not world.stopping
+        ready = world.has_serving_lease and not world.stopping
         body = {
             "ready": ready,
             "stopping": world.stopping,
-            "right_to_serve": world.right_to_serve,
+            "right_to_serve": world.has_serving_lease,
             "table_version": world.table.version,
             "in_flight": len(world.requests),
             "servers": {
--- a/src/godwittack/metric/meters.py
+++ b/src/godwittack/metric/meters.py
@@ -102,7 +102,7 @@
 
 def _gauges(world: entities.World) -> dict[str, Callable[[], float]]:
     return {
-        "godwittack_queued": lambda: world.queued(),
+        "godwittack_queued": lambda: world.queued_count(),
         "godwittack_in_flight": lambda: len(world.requests),
         "godwittack_limited_servers": lambda: sum(
             server.rate_limit is not None for server in world.servers.values()
@@ -119,10 +119,11 @@
             (shared.tokens for shared in world.target_budgets.values()),
             default=-1.0,
         ),
-        "godwittack_retry_daemons": lambda: world.most_daemons,
+        "godwittack_retry_daemons": lambda: world.max_expected_daemons,
         "godwittack_table_version": lambda: world.table.version,
         "godwittack_prefill_us_per_token": lambda: max(
-            (known.us_per_token for known in world.paces.values()), default=0.0
+            (known.us_per_token for known in world.prefill_costs.values()),
+            default=0.0,
         ),
         "godwittack_live_daemons": lambda: len(world.live_daemons),
         "godwittack_unstored_outcomes": lambda: len(world.outcomes),
--- a/tests/cases/availability.py
+++ b/tests/cases/availability.py
@@ -227,7 +227,7 @@
     _rest_all(core, 1_000)
     core.arrive("release", deadline_ms=3_000)
     core.wait(1_050)
-    (turn,) = core.world.turns.values()
+    (turn,) = core.world.dispatch_pacing.values()
     assert turn.smoothed_ms == 0
 
 
@@ -237,10 +237,10 @@
     for number in range(availability.MOST_NOTICES + 10):
         core.tell(server_inputs.ServerLeaving, f"gone{number}", "")
     _rest(core, "s1")
-    assert len(core.world.notices) == availability.MOST_NOTICES
+    assert len(core.world.availability_notices) == availability.MOST_NOTICES
     core.wait(3_100)
-    assert "s1" not in core.world.notices
-    assert not core.world.resting
+    assert "s1" not in core.world.availability_notices
+    assert not core.world.resting_servers
 
 
 def _read(status: int = 503, **told: str) -> signals.ServerSignals:
--- a/tests/cases/crash_rows.py
+++ b/tests/cases/crash_rows.py
@@ -168,9 +168,9 @@
         other.known.add(crash)
     work = types.SimpleNamespace(target="m", route=None)
     request = types.SimpleNamespace(content="desk/f", request_id="r", work=work)
-    other.core.world.out = []
+    other.core.world.pending_effects = []
     crashes.completed(other.core.world, request)
-    for told in other.core.world.out:
+    for told in other.core.world.pending_effects:
         if isinstance(told, effects.TellCrashes):
             other.rows.seen(told)
     await _settle()
--- a/tests/cases/routed.py
+++ b/tests/cases/routed.py
@@ -341,7 +341,7 @@
         name = ("long", "short")[number % 2]
         prompt = (work.Level(number, 4_000),)
         core.arrive(name, f"r{number}", levels=prompt)
-    assert core.world.queued() == 3, core.world.queued()
+    assert core.world.queued_count() == 3, core.world.queued_count()
 
 
 def a_busy_service_is_not_asked_for_each_slow_answer() -> None:
--- a/tests/cases/sourcing.py
+++ b/tests/cases/sourcing.py
@@ -145,7 +145,7 @@
     small = (work.Level(7, 55), work.Level(8, 37), work.Level(9, 300))
     for running, is_left in ((1, False), (7, True)):
         core = _core(servers=6)
-        core.world.service_ms[routed_core.ENGINES] = 350.0
+        core.world.service_time_ms[routed_core.ENGINES] = 350.0
         core.arrive("short", "first", levels=small)
         first = core.dispatch()
         core.open(first)
@@ -177,7 +177,7 @@
     sent = collections.Counter()
     for daemon in range(daemons):
         core = _core(servers=engines)
-        core.world.service_ms[routed_core.ENGINES] = 350.0
+        core.world.service_time_ms[routed_core.ENGINES] = 350.0
         for number in range(1, engines + 1):
             core.tell_named(
                 server_inputs.LoadReported,
--- a/tests/sim/fleet.py
+++ b/tests/sim/fleet.py
@@ -124,7 +124,7 @@
     def may_serve(self) -> bool:
         """Whether a request arriving now would be taken."""
         self.runtime.submit(inputs.Tick(self.fleet.clock.now_ms()))
-        return self.runtime.core.world.right_to_serve
+        return self.runtime.core.world.has_serving_lease
 
     def pause(self) -> None:
         """Stops the process."""
