--- a/src/godwittack/core/admission.py
+++ b/src/godwittack/core/admission.py
@@ -26,46 +26,51 @@
 NOT_CURRENT_RETRY_MS = 2_000
 
 
-def arrive(world: entities.World, arrived: inputs.RequestArrived) -> None:
+def admit(world: entities.World, arrival: inputs.RequestArrived) -> None:
     """Checks a new request and starts it, or refuses it."""
-    asked = arrived.work
-    if asked.host:
-        routed = routing.route(world, arrived)
+    requested = arrival.work
+    if requested.host:
+        routed = routing.route(world, arrival)
         if isinstance(routed, routing.Refusal):
-            turn_away(world, arrived.request_id, routed)
+            refuse_unrouted(world, arrival.request_id, routed)
             return
-        asked, workspace = routed.work, routed.workspace
+        requested, workspace = routed.work, routed.workspace
     else:
-        known = authenticate(world, arrived.request_id, asked.token_sha256)
-        if known is None:
+        authenticated = authenticate(
+            world, arrival.request_id, requested.token_sha256
+        )
+        if authenticated is None:
             return
-        workspace = known
-        if not _may_start(world, arrived.request_id, asked, workspace.name):
+        workspace = authenticated
+        if not _check_preconditions(
+            world, arrival.request_id, requested, workspace.name
+        ):
             return
-    arrived_at_ms = world.now_ms - arrived.waited_ms
+    arrived_at_ms = world.now_ms - arrival.waited_ms
     request = entities.RequestRow(
-        request_id=arrived.request_id,
-        work=asked,
+        request_id=arrival.request_id,
+        work=requested,
         workspace=workspace.name,
         arrived_at_ms=arrived_at_ms,
-        deadline_at_ms=arrived_at_ms + _deadline_ms(world, workspace, asked),
-        next_frame=asked.resume_after + 1,
+        deadline_at_ms=arrived_at_ms
+        + _deadline_ms(world, workspace, requested),
+        next_frame=requested.resume_after + 1,
     )
-    if asked.route is not None:
-        request.timeout_at_ms = arrived_at_ms + asked.route.timeout_ms
-        if asked.route.streaming:
+    if requested.route is not None:
+        request.timeout_at_ms = arrived_at_ms + requested.route.timeout_ms
+        if requested.route.streaming:
             request.caller_timeout_at_ms = (
-                arrived_at_ms + asked.route.patience_ms
+                arrived_at_ms + requested.route.patience_ms
             )
-    if not _within_limits(world, request, workspace):
+    if not _check_limits(world, request, workspace):
         return
     world.requests[request.request_id] = request
     for cell in request.cells:
         world.shares.began(cell)
-    retries.earn(world, asked.target)
+    retries.earn(world, requested.target)
     world.spill_budget.earn()
     placing.note_demand(world, request)
-    if needs_claim(world, asked):
+    if needs_claim(world, requested):
         claims.begin(world, request)
     else:
         dispatching.place(world, request)
@@ -79,7 +84,7 @@
     row = world.table.workspaces.get(name) if name else None
     if row and hmac.compare_digest(row.token_sha256, token_sha256):
         return row
-    _turn_away(
+    _refuse(
         world,
         request_id,
         status=401,
@@ -89,24 +94,24 @@
     return None
 
 
-def needs_claim(world: entities.World, asked: work.Work) -> bool:
+def needs_claim(world: entities.World, requested: work.Work) -> bool:
     """Returns whether the call must be claimed, to run at most once."""
-    if asked.kind is not work.WorkKind.PLAIN or asked.route is not None:
+    if requested.kind is not work.WorkKind.PLAIN or requested.route is not None:
         return False
-    if asked.method in READ_METHODS:
+    if requested.method in READ_METHODS:
         return False
-    row = world.table.services[asked.target]
+    row = world.table.services[requested.target]
     return row.repeatable is model.Repeatable.READS
 
 
-def _may_start(
+def _check_preconditions(
     world: entities.World,
     request_id: str,
-    asked: work.Work,
+    requested: work.Work,
     workspace: str,
 ) -> bool:
     if not world.has_serving_lease:
-        _turn_away(
+        _refuse(
             world,
             request_id,
             workspace=workspace,
@@ -118,29 +123,31 @@
         return False
     rows = (
         world.table.models
-        if asked.kind is work.WorkKind.GENERATION
+        if requested.kind is work.WorkKind.GENERATION
         else world.table.services
     )
-    if asked.target not in rows:
-        _turn_away(
+    if requested.target not in rows:
+        _refuse(
             world,
             request_id,
             workspace=workspace,
             status=404,
             reason=effects.Reason.UNKNOWN_TARGET,
-            detail=f"the table has no {asked.kind} row {asked.target!r}",
+            detail=(
+                f"the table has no {requested.kind} row {requested.target!r}"
+            ),
         )
         return False
-    if needs_claim(world, asked) and not asked.idempotency_key:
-        _turn_away(
+    if needs_claim(world, requested) and not requested.idempotency_key:
+        _refuse(
             world,
             request_id,
             workspace=workspace,
             status=400,
             reason=effects.Reason.KEY_REQUIRED,
             detail=(
-                f"{asked.method} calls of {asked.target} may run only once;"
-                " send an Idempotency-Key header"
+                f"{requested.method} calls of {requested.target} may run"
+                " only once; send an Idempotency-Key header"
             ),
         )
         return False
@@ -148,18 +155,18 @@
 
 
 def _deadline_ms(
-    world: entities.World, workspace: model.WorkspaceRow, asked: work.Work
+    world: entities.World, workspace: model.WorkspaceRow, requested: work.Work
 ) -> int:
-    if asked.deadline_ms:
-        return asked.deadline_ms
-    if asked.route is not None:
-        return asked.route.timeout_ms
-    if asked.kind is work.WorkKind.PLAIN:
-        return world.table.services[asked.target].deadline_ms
+    if requested.deadline_ms:
+        return requested.deadline_ms
+    if requested.route is not None:
+        return requested.route.timeout_ms
+    if requested.kind is work.WorkKind.PLAIN:
+        return world.table.services[requested.target].deadline_ms
     return workspace.deadline_ms
 
 
-def _within_limits(
+def _check_limits(
     world: entities.World,
     request: entities.RequestRow,
     workspace: model.WorkspaceRow,
@@ -173,7 +180,7 @@
         world.shares.arrived(cell)
     for cell, limit in limits.items():
         if not world.shares.room(cell, limit=limit):
-            _turn_away(
+            _refuse(
                 world,
                 request.request_id,
                 status=429,
@@ -187,7 +194,7 @@
     cell = splitting.workspace_cell(workspace)
     if world.shares.take_rate(cell, limit_per_s=rate, now_ms=world.now_ms):
         return True
-    _turn_away(
+    _refuse(
         world,
         request.request_id,
         status=429,
@@ -199,7 +206,7 @@
     return False
 
 
-def _turn_away(
+def _refuse(
     world: entities.World,
     request_id: str,
     *,
@@ -208,7 +215,7 @@
     detail: str,
     retry_after_ms: int = 0,
     workspace: str = "",
-    **inputs_told: str | int,
+    **log_fields: str | int,
 ) -> None:
     """Refuses a request that has no row yet."""
     world.emit(
@@ -227,15 +234,15 @@
         workspace=workspace,
         reason=reason.value,
         outcome=effects.Outcome.NOT_RUN.value,
-        **inputs_told,
+        **log_fields,
     )
 
 
-def turn_away(
+def refuse_unrouted(
     world: entities.World, request_id: str, refusal: routing.Refusal
 ) -> None:
     """Refuses a request for which routing found no permitted route."""
-    _turn_away(
+    _refuse(
         world,
         request_id,
         status=refusal.status,
@@ -249,4 +256,4 @@
     )
 
 
-__all__ = ["arrive", "authenticate", "needs_claim", "turn_away"]
+__all__ = ["admit", "authenticate", "needs_claim", "refuse_unrouted"]
--- a/src/godwittack/core/attempts.py
+++ b/src/godwittack/core/attempts.py
@@ -80,7 +80,7 @@
     servers.worked(world, attempt)
     servers.heard(world, attempt.server_id)
     crashes.completed(world, request)
-    closing.learn_service_time(
+    closing.update_service_time(
         world, request.work.target, world.now_ms - attempt.sent_at_ms
     )
     closing.close_attempt(world, attempt.attempt_id)
@@ -193,14 +193,14 @@
     if request.at_most_once and request.work.kind is work.WorkKind.PLAIN:
         # Broken off in the middle, a call that can't be repeated leaves its
         # caller without a way to bring it to an end.
-        closing.leave(world, request)
+        closing.remove(world, request)
         return
     if request.attempt_id in world.attempts:
         # The engine keeps the stream for a while, so that the caller can
         # resume it through any daemon.
         world.emit(effects.CancelAttempt(request.attempt_id, False))
     world.event("caller_gone", request.request_id, workspace=request.workspace)
-    closing.leave(world, request)
+    closing.remove(world, request)
 
 
 def reply_unstored(world: entities.World) -> None:
--- a/src/godwittack/core/claims.py
+++ b/src/godwittack/core/claims.py
@@ -64,7 +64,7 @@
     if request.caller_gone:
         # Nobody waits and nothing was sent: the key stays free.
         outcomes.store(world, request, work.ClaimState.RELEASED)
-        closing.leave(world, request)
+        closing.remove(world, request)
         return
     dispatching.place(world, request)
 
--- a/src/godwittack/core/closing.py
+++ b/src/godwittack/core/closing.py
@@ -4,7 +4,7 @@
 
 from godwittack.core import effects, entities
 
-SERVICE_SMOOTHING = 0.1
+SERVICE_TIME_SMOOTHING = 0.1
 
 
 def refuse(
@@ -49,12 +49,14 @@
             target=request.work.target,
             reason=reason.value,
             outcome=outcome.value,
-            **_refusal_inputs(world, request, status, detail, retry_after_ms),
+            **_refusal_log_fields(
+                world, request, status, detail, retry_after_ms
+            ),
         )
-    leave(world, request)
+    remove(world, request)
 
 
-def _refusal_inputs(
+def _refusal_log_fields(
     world: entities.World,
     request: entities.RequestRow,
     status: int,
@@ -115,19 +117,19 @@
     )
     attempt = world.attempts.get(request.attempt_id)
     if attempt:
-        learn_service_time(
+        update_service_time(
             world, request.work.target, world.now_ms - attempt.sent_at_ms
         )
-    leave(world, request)
+    remove(world, request)
 
 
-def learn_service_time(
+def update_service_time(
     world: entities.World, target: str, took_ms: int
 ) -> None:
     """Updates the smoothed time from dispatch to end for `target`."""
-    before = world.service_time_ms.get(target, float(took_ms))
-    world.service_time_ms[target] = before + SERVICE_SMOOTHING * (
-        took_ms - before
+    previous_ms = world.service_time_ms.get(target, float(took_ms))
+    world.service_time_ms[target] = previous_ms + SERVICE_TIME_SMOOTHING * (
+        took_ms - previous_ms
     )
 
 
@@ -144,7 +146,7 @@
         server.trial_attempt_id = ""
 
 
-def leave(world: entities.World, request: entities.RequestRow) -> None:
+def remove(world: entities.World, request: entities.RequestRow) -> None:
     """Removes a request's rows and releases its limits."""
     close_attempt(world, request.attempt_id)
     world.requests.pop(request.request_id, None)
@@ -160,8 +162,8 @@
 __all__ = [
     "close_attempt",
     "finish",
-    "learn_service_time",
-    "leave",
     "refuse",
+    "remove",
     "reply",
+    "update_service_time",
 ]
--- a/src/godwittack/core/crashes.py
+++ b/src/godwittack/core/crashes.py
@@ -108,7 +108,7 @@
     """Names the start of a server that runs now, or that a stamp names."""
     named = stamp.incarnation if stamp else server.incarnation
     start = f"{server.server_id}/{named}"
-    if incarnations.born_ms(named):
+    if incarnations.started_at_ms(named):
         return start
     return world.quarantine.unnamed_start(start)
 
--- a/src/godwittack/core/dispatching.py
+++ b/src/godwittack/core/dispatching.py
@@ -24,7 +24,7 @@
 def place(world: entities.World, request: entities.RequestRow) -> None:
     """Dispatches a request, holds it back, or refuses it at once."""
     if crashes.is_quarantined(world, request):
-        refusing.quarantined(world, request)
+        refusing.refuse_quarantined(world, request)
         return
     choice = placing.choose(world, request)
     if choice is None:
@@ -52,12 +52,12 @@
         return
     held = _held(world, request.work.target)
     if held >= _queue_limit(world, request):
-        refusing.not_run(
+        refusing.refuse_unassigned(
             world,
             request,
             effects.Reason.QUEUE_FULL,
             f"{held} requests wait for {request.work.target} already",
-            refusing.retry_after_ms(choice.wait_ms),
+            refusing.clamp_retry_after_ms(choice.wait_ms),
         )
         return
     _hold(world, request, wait_ms=choice.wait_ms)
@@ -70,7 +70,7 @@
         resting.room(world, target), _queue_limit(world, request)
     )
     if not has_room or not resting.may_wait(world, request):
-        refusing.no_server(world, request)
+        refusing.refuse_no_server(world, request)
         return
     request.awaits_rest_end = True
     _hold(world, request, wait_ms=resting.left_ms(world, request) or 0)
@@ -113,7 +113,7 @@
     """Opens a new attempt on the chosen server."""
     refusal = routing.still_allowed(world, request)
     if refusal is not None:
-        refusing.taken_away(world, request, refusal)
+        refusing.refuse_revoked(world, request, refusal)
         return
     server = choice.server
     attempt_id = world.next_attempt_id()
@@ -227,16 +227,16 @@
             for request_id in queue.request_ids():
                 request = world.requests[request_id]
                 if crashes.is_quarantined(world, request):
-                    refusing.quarantined(world, request)
+                    refusing.refuse_quarantined(world, request)
                     continue
                 if _rests_on(world, request):
-                    refusing.no_server(world, request)
+                    refusing.refuse_no_server(world, request)
                     continue
                 if request.answer_start_deadline_ms > world.now_ms:
                     continue
                 before = _waiting(world, target, rank)
                 wait_ms = turns.slots_wait_ms(world, target, before)
-                refusing.late(world, request, wait_ms)
+                refusing.refuse_late(world, request, wait_ms)
 
 
 def _rests_on(world: entities.World, request: entities.RequestRow) -> bool:
@@ -266,7 +266,7 @@
         waiting = queue.heads()[0]
         request = world.requests[waiting.request_id]
         if crashes.is_quarantined(world, request):
-            refusing.quarantined(world, request)
+            refusing.refuse_quarantined(world, request)
             continue
         choice = placing.choose(world, request)
         if choice is None or choice.wait_ms > world.policy.hold_ms:
@@ -275,7 +275,7 @@
             choice.first_token_ms
             > request.answer_start_deadline_ms - world.now_ms
         ):
-            refusing.late(world, request, choice.wait_ms)
+            refusing.refuse_late(world, request, choice.wait_ms)
             continue
         queue.take(waiting)
         turns.taken(
@@ -319,12 +319,12 @@
     left_ms = request.answer_start_deadline_ms - world.now_ms
     if expected_ms <= left_ms * world.policy.deadline_part:
         return True
-    refusing.not_run(
+    refusing.refuse_unassigned(
         world,
         request,
         effects.Reason.DEADLINE,
         f"would begin in {expected_ms:.0f} ms, its limit is {left_ms} ms",
-        refusing.retry_after_ms(expected_ms - left_ms),
+        refusing.clamp_retry_after_ms(expected_ms - left_ms),
     )
     return False
 
--- a/src/godwittack/core/incarnation.py
+++ b/src/godwittack/core/incarnation.py
@@ -11,29 +11,35 @@
 _SEPARATOR = "@"
 
 
-def named(server_id: str, born_ms: int) -> str:
+def make_name(server_id: str, started_at_ms: int) -> str:
     """Returns the name of an incarnation of a server.
 
     Args:
         server_id: The server's id.
-        born_ms: Unix milliseconds of its start; 0 if not reported.
+        started_at_ms: Unix milliseconds of its start; 0 if not reported.
     """
-    return f"{server_id}{_SEPARATOR}{born_ms}" if born_ms else server_id
+    return (
+        f"{server_id}{_SEPARATOR}{started_at_ms}"
+        if started_at_ms
+        else server_id
+    )
 
 
-def born_ms(incarnation: str) -> int:
+def started_at_ms(incarnation: str) -> int:
     """Returns an incarnation's start time; 0 if its name has none."""
-    _, separator, told = incarnation.rpartition(_SEPARATOR)
-    return int(told) if separator and told.isdecimal() else 0
+    _, separator, started = incarnation.rpartition(_SEPARATOR)
+    return int(started) if separator and started.isdecimal() else 0
 
 
-def is_older(one: str, than: str) -> bool:
+def is_older(incarnation: str, other: str) -> bool:
     """Returns whether an incarnation is known to be older than another.
 
     Both must belong to one server. A name without a start time is older than
     one that has it, as it does not prove which process it comes from.
     """
-    return one != than and born_ms(one) < born_ms(than)
+    return incarnation != other and (
+        started_at_ms(incarnation) < started_at_ms(other)
+    )
 
 
-__all__ = ["born_ms", "is_older", "named"]
+__all__ = ["is_older", "make_name", "started_at_ms"]
--- a/src/godwittack/core/outcomes.py
+++ b/src/godwittack/core/outcomes.py
@@ -39,19 +39,21 @@
     _send(world, row)
 
 
-def stored(world: entities.World, told: inputs.OutcomeStored) -> bool:
+def apply_write_result(
+    world: entities.World, result: inputs.OutcomeStored
+) -> bool:
     """Applies the result of a write; returns whether it succeeded."""
-    row = world.outcomes.get(told.request_id)
+    row = world.outcomes.get(result.request_id)
     if row is None:
         return False
-    if told.stored:
-        del world.outcomes[told.request_id]
+    if result.stored:
+        del world.outcomes[result.request_id]
         return True
     row.next_retry_at_ms = world.now_ms + world.policy.store_retry_ms
     return False
 
 
-def retry_due(world: entities.World) -> None:
+def retry_due_writes(world: entities.World) -> None:
     """Retries writes that the table service has not confirmed."""
     for row in list(world.outcomes.values()):
         if row.next_retry_at_ms and row.next_retry_at_ms <= world.now_ms:
@@ -63,4 +65,4 @@
     world.emit(effects.StoreOutcome(row.request_id, row.key, row.claim))
 
 
-__all__ = ["retry_due", "store", "stored"]
+__all__ = ["apply_write_result", "retry_due_writes", "store"]
--- a/src/godwittack/core/refusing.py
+++ b/src/godwittack/core/refusing.py
@@ -24,7 +24,7 @@
 MAX_RETRY_MS = 60_000
 
 
-def not_run(
+def refuse_unassigned(
     world: entities.World,
     request: entities.RequestRow,
     reason: effects.Reason,
@@ -51,24 +51,28 @@
     )
 
 
-def no_server(world: entities.World, request: entities.RequestRow) -> None:
+def refuse_no_server(
+    world: entities.World, request: entities.RequestRow
+) -> None:
     """Refuses a request that no server can accept in time."""
     target = request.work.target
-    left_out = availability.left_out(world, target)
-    why = "".join(f"; {name}: {ids}" for name, ids in left_out.items())
-    not_run(
+    excluded = availability.left_out(world, target)
+    reasons = "".join(f"; {name}: {ids}" for name, ids in excluded.items())
+    refuse_unassigned(
         world,
         request,
         effects.Reason.NO_SERVER,
-        f"no backend server of {target} takes work now{why}",
-        return_ms(world, request) or NO_SERVER_RETRY_MS,
+        f"no backend server of {target} takes work now{reasons}",
+        capacity_wait_ms(world, request) or NO_SERVER_RETRY_MS,
     )
 
 
-def quarantined(world: entities.World, request: entities.RequestRow) -> None:
+def refuse_quarantined(
+    world: entities.World, request: entities.RequestRow
+) -> None:
     """Refuses a request whose content is in quarantine."""
     world.event("in_quarantine", request.request_id, content=request.content)
-    not_run(
+    refuse_unassigned(
         world,
         request,
         effects.Reason.QUARANTINED,
@@ -77,20 +81,20 @@
     )
 
 
-def late(
+def refuse_late(
     world: entities.World, request: entities.RequestRow, wait_ms: float
 ) -> None:
     """Refuses a queued request that can no longer meet its deadline."""
-    not_run(
+    refuse_unassigned(
         world,
         request,
         effects.Reason.DEADLINE,
         "its turn did not come before the deadline",
-        retry_after_ms(wait_ms),
+        clamp_retry_after_ms(wait_ms),
     )
 
 
-def taken_away(
+def refuse_revoked(
     world: entities.World,
     request: entities.RequestRow,
     refusal: routing.Refusal,
@@ -111,7 +115,9 @@
     )
 
 
-def return_ms(world: entities.World, request: entities.RequestRow) -> int:
+def capacity_wait_ms(
+    world: entities.World, request: entities.RequestRow
+) -> int:
     """Returns the time until a server has capacity again; 0 if not known."""
     limit_ms = rate_limits.retry_after_ms(world, request.work.target)
     rested_ms = resting.return_ms(world, request)
@@ -120,7 +126,7 @@
     return limit_ms or rested_ms
 
 
-def retry_after_ms(wait_ms: float) -> int:
+def clamp_retry_after_ms(wait_ms: float) -> int:
     """Returns when to retry if the estimated wait is too long."""
     return int(min(MAX_RETRY_MS, max(MIN_RETRY_MS, wait_ms)))
 
@@ -134,11 +140,11 @@
 
 
 __all__ = [
-    "late",
-    "no_server",
-    "not_run",
-    "quarantined",
-    "retry_after_ms",
-    "return_ms",
-    "taken_away",
+    "capacity_wait_ms",
+    "clamp_retry_after_ms",
+    "refuse_late",
+    "refuse_no_server",
+    "refuse_quarantined",
+    "refuse_revoked",
+    "refuse_unassigned",
 ]
--- a/src/godwittack/core/router.py
+++ b/src/godwittack/core/router.py
@@ -71,88 +71,88 @@
             world.table = table
         return cls(world)
 
-    def step(self, told: inputs.Input) -> list[effects.Effect]:
+    def step(self, input_: inputs.Input) -> list[effects.Effect]:
         """Processes one input and returns its effects in order."""
         world = self.world
         world.pending_effects = []
-        world.now_ms = max(world.now_ms, told.at_ms)
+        world.now_ms = max(world.now_ms, input_.at_ms)
         if world.started_at_ms < 0:
             world.started_at_ms = world.now_ms
-        self._handle(told)
+        self._handle(input_)
         if world.targets_to_dispatch:
             dispatching.drain(world)
         self._check_stopped()
         return world.pending_effects
 
-    def _handle(self, told: inputs.Input) -> None:
+    def _handle(self, input_: inputs.Input) -> None:
         world = self.world
-        match told:
+        match input_:
             case inputs.FramesArrived():
-                attempts.frames(world, told)
+                attempts.frames(world, input_)
             case inputs.RequestArrived():
-                admission.arrive(world, told)
+                admission.admit(world, input_)
             case inputs.AttemptOpened():
-                attempts.opened(world, told)
+                attempts.opened(world, input_)
             case inputs.AnswerArrived():
-                attempts.answer(world, told)
+                attempts.answer(world, input_)
             case inputs.UsageReported():
-                attempts.usage(world, told)
+                attempts.usage(world, input_)
             case inputs.AttemptFailed():
-                attempts.failed(world, told)
+                attempts.failed(world, input_)
             case inputs.CallerGone():
-                attempts.caller_gone(world, told)
+                attempts.caller_gone(world, input_)
             case inputs.StreamResumed():
-                resuming.resume(world, told)
+                resuming.resume(world, input_)
             case inputs.ClaimAnswered():
-                claims.answered(world, told)
+                claims.answered(world, input_)
             case inputs.OutcomeStored():
-                self._outcome_stored(told)
+                self._apply_outcome_stored(input_)
             case server_inputs.LoadReported():
-                servers.load_reported(world, told)
+                servers.load_reported(world, input_)
             case server_inputs.LoadEchoed():
-                servers.load_echoed(world, told)
+                servers.load_echoed(world, input_)
             case server_inputs.RateLimitEchoed():
-                rate_limits.echoed(world, told)
+                rate_limits.echoed(world, input_)
             case server_inputs.RateLimitTold():
-                rate_limits.told_by_peer(world, told)
+                rate_limits.told_by_peer(world, input_)
             case server_inputs.CacheDigest():
-                servers.digest(world, told)
+                servers.digest(world, input_)
             case server_inputs.ServerListed():
-                servers.listed(world, told)
+                servers.listed(world, input_)
             case server_inputs.ServerDraining():
-                servers.draining_told(world, told)
+                servers.draining_told(world, input_)
             case server_inputs.ServerLeaving():
-                availability.leaving_told(world, told)
+                availability.leaving_told(world, input_)
             case server_inputs.RestAsked():
-                availability.rest_asked(world, told)
+                availability.rest_asked(world, input_)
             case server_inputs.ProbeAnswered():
-                doubt.probed(world, told)
+                doubt.probed(world, input_)
             case server_inputs.ServerDoubted():
-                doubt.told(world, told)
+                doubt.told(world, input_)
             case _:
-                self._handle_control(told)
+                self._handle_control(input_)
 
-    def _handle_control(self, told: inputs.Input) -> None:
+    def _handle_control(self, input_: inputs.Input) -> None:
         world = self.world
-        match told:
+        match input_:
             case inputs.Tick():
                 self._tick()
             case inputs.TableChanged():
                 # Peers, lagging replicas and the object store's copy may all
                 # deliver an older table than the active one.
-                if told.table.version > world.table.version:
-                    weights.named(world, told)
-                    world.table = told.table
+                if input_.table.version > world.table.version:
+                    weights.named(world, input_)
+                    world.table = input_.table
             case server_inputs.PeerDispatched():
-                backlog.peer_dispatched(world, told)
+                backlog.peer_dispatched(world, input_)
             case inputs.CrashesTold():
-                crashes.told(world, told)
+                crashes.told(world, input_)
             case inputs.PeerDemand():
-                self._peer_demand(told)
+                self._apply_peer_demand(input_)
             case inputs.MembersChanged():
-                world.live_daemons = frozenset(told.live) | {world.daemon}
+                world.live_daemons = frozenset(input_.live) | {world.daemon}
                 world.expected_daemons = max(
-                    told.known, len(world.live_daemons)
+                    input_.known, len(world.live_daemons)
                 )
                 world.max_expected_daemons = max(
                     world.max_expected_daemons, world.expected_daemons
@@ -162,14 +162,14 @@
                 world.shares.live = world.live_daemons
                 world.shares.groups.clear()
                 world.serving_daemons = (
-                    frozenset(told.carriers) or world.live_daemons
+                    frozenset(input_.carriers) or world.live_daemons
                 )
                 rate_limits.deal_all(world)
             case inputs.RightToServe():
-                held = told.until_ms > world.now_ms
-                if world.has_serving_lease != held:
-                    world.event("right_to_serve", held=int(held))
-                world.serving_lease_until_ms = told.until_ms
+                is_held = input_.until_ms > world.now_ms
+                if world.has_serving_lease != is_held:
+                    world.event("right_to_serve", held=int(is_held))
+                world.serving_lease_until_ms = input_.until_ms
             case inputs.StopOrdered():
                 world.stopping = True
                 world.event("stopping", in_flight=len(world.requests))
@@ -177,7 +177,7 @@
     def _tick(self) -> None:
         world = self.world
         world.shares.measure(world.now_ms)
-        outcomes.retry_due(world)
+        outcomes.retry_due_writes(world)
         attempts.reply_unstored(world)
         doubt.check(world)
         silence.check(world)
@@ -187,22 +187,22 @@
         dispatching.expire_queued(world)
         world.quarantine.forget(now_ms=world.now_ms)
 
-    def _outcome_stored(self, told: inputs.OutcomeStored) -> None:
-        held = outcomes.stored(self.world, told)
-        request = self.world.requests.get(told.request_id)
-        if held and request and request.phase is entities.Phase.STORING:
+    def _apply_outcome_stored(self, input_: inputs.OutcomeStored) -> None:
+        is_stored = outcomes.apply_write_result(self.world, input_)
+        request = self.world.requests.get(input_.request_id)
+        if is_stored and request and request.phase is entities.Phase.STORING:
             attempts.reply(self.world, request)
 
-    def _peer_demand(self, told: inputs.PeerDemand) -> None:
+    def _apply_peer_demand(self, input_: inputs.PeerDemand) -> None:
         shares = self.world.shares
-        if not told.alive:
-            shares.peer_gone(told.daemon_id)
+        if not input_.alive:
+            shares.peer_gone(input_.daemon_id)
             return
         # The peer has no more demand on cells that it no longer lists.
-        shares.peer_gone(told.daemon_id)
-        for cell in told.cells:
+        shares.peer_gone(input_.daemon_id)
+        for cell in input_.cells:
             shares.peer_told(
-                daemon=told.daemon_id,
+                daemon=input_.daemon_id,
                 cell=cell.cell,
                 wanted=cell.wanted,
                 rate_per_s=cell.rate_per_s,
--- a/src/godwittack/daemon/entries.py
+++ b/src/godwittack/daemon/entries.py
@@ -102,7 +102,7 @@
 
 
 def _born_ms(instance: protocol.Instance) -> int:
-    return incarnation.born_ms(instance.incarnation)
+    return incarnation.started_at_ms(instance.incarnation)
 
 
 class RefusalLog:
--- a/src/godwittack/platform/instances.py
+++ b/src/godwittack/platform/instances.py
@@ -47,7 +47,7 @@
             target=entry.service,
             failure_domain=entry.zone,
             leaving=entry.state != "ready",
-            incarnation=incarnation.named(row.key, entry.born),
+            incarnation=incarnation.make_name(row.key, entry.born),
             weights_version=(
                 str(entry.models[0].version) if entry.models else ""
             ),
--- a/src/godwittack/platform/servers.py
+++ b/src/godwittack/platform/servers.py
@@ -116,7 +116,7 @@
         report = _Report.model_validate_json(body)
         version = str(report.models[0].version) if report.models else ""
         return protocol.EngineLoad(
-            incarnation=incarnation.named(server_id, report.born),
+            incarnation=incarnation.make_name(server_id, report.born),
             weights_version=version,
             running=report.running,
             waiting=report.queue_depth,
@@ -157,7 +157,7 @@
             )
             newest = version
         return protocol.CacheEvents(
-            incarnation=incarnation.named(server_id, told.born),
+            incarnation=incarnation.make_name(server_id, told.born),
             weights_version=newest,
             oldest=0,
             events=tuple(events),
--- a/tests/cases/entries.py
+++ b/tests/cases/entries.py
@@ -220,7 +220,7 @@
         "e1",
         routed_core.ENGINES,
         address="10.0.0.1:1",
-        incarnation=incarnation.named("e1", born_ms),
+        incarnation=incarnation.make_name("e1", born_ms),
         **fields,
     )
 
@@ -229,7 +229,7 @@
     core.tell_named(
         server_inputs.LoadReported,
         server_id="e1",
-        incarnation=incarnation.named("e1", born_ms),
+        incarnation=incarnation.make_name("e1", born_ms),
         **{
             "weights_version": "1",
             "running": 0,
@@ -246,7 +246,7 @@
     core.tell_named(
         server_inputs.CacheDigest,
         server_id="e1",
-        incarnation=incarnation.named("e1", born_ms),
+        incarnation=incarnation.make_name("e1", born_ms),
         weights_version="1",
         cleared=False,
         stored=keys,
@@ -347,7 +347,7 @@
     def decide(started: int, now_ms: int) -> rollout.Decision:
         replica = rollout.Replica(
             server_id="e1",
-            incarnation=incarnation.named("e1", started),
+            incarnation=incarnation.make_name("e1", started),
             weights_version="1",
             busy=3,
         )
