--- a/src/godwittack/core/admission.py
+++ b/src/godwittack/core/admission.py
@@ -241,7 +241,7 @@
 def refuse_unrouted(
     world: entities.World, request_id: str, refusal: routing.Refusal
 ) -> None:
-    """Refuses a request for which routing found no permitted route."""
+    """Refuses a request that routing or the check of its key rejected."""
     _refuse(
         world,
         request_id,
--- a/src/godwittack/core/entities.py
+++ b/src/godwittack/core/entities.py
@@ -34,7 +34,8 @@
         seen_tokens: Prompt tokens of levels seen in earlier requests.
         attempt_id: Current attempt; frames of any other are dropped.
         attempts: Dispatches so far.
-        excluded_servers: Ids of servers on which this request failed.
+        excluded_servers: Ids of servers on which this request failed; they
+            are not tried again.
         next_frame: Number of the next frame the caller needs.
         answer_started: Whether a byte of the answer was sent to the caller.
         started_elsewhere: Whether another daemon sent the first frames, so
@@ -143,7 +144,7 @@
     """One backend server as this daemon knows it.
 
     Attributes:
-        incarnation: Last one seen; empty until the first contact.
+        incarnation: Last incarnation seen; empty until the first contact.
         draining_until_ms: No new work before this time, so that weights can
             be loaded without interrupting a stream.
         reported_at_ms: Time to which the last load report applies.
@@ -154,7 +155,7 @@
             to answer, by priority.
         last_contact_ms: When this daemon last received anything from it.
         last_probe_ms: When it was last probed.
-        consecutive_failures: Consecutive failures.
+        consecutive_failures: Failures since its last success.
         ejected_at_ms: When its last ejection began.
         ejected_until_ms: Ejected, so no new work, before this time.
         full_until_ms: Used only as a last resort before this time.
