--- a/src/godwittack/core/attempts.py
+++ b/src/godwittack/core/attempts.py
@@ -30,7 +30,7 @@
     if found is None:
         return
     request, attempt = found
-    attempt.heard_at_ms = world.now_ms
+    attempt.last_progress_ms = world.now_ms
     servers.heard(world, attempt.server_id)
     if _echo_holds(world, request, attempt, told.echoed_request, told.stamp):
         attempt.opened = True
@@ -46,7 +46,7 @@
     request, attempt = found
     if not attempt.opened:
         return
-    attempt.heard_at_ms = world.now_ms
+    attempt.last_progress_ms = world.now_ms
     servers.heard(world, attempt.server_id)
     fresh, gap = _in_order(request, told.frames)
     if fresh:
@@ -80,7 +80,7 @@
     servers.worked(world, attempt)
     servers.heard(world, attempt.server_id)
     crashes.completed(world, request)
-    closing.learn_service_time(
+    closing.update_service_time(
         world, request.work.target, world.now_ms - attempt.sent_at_ms
     )
     closing.close_attempt(world, attempt.attempt_id)
@@ -88,7 +88,7 @@
     if followup.answer_may_improve(request, told.answer):
         # The server's failure is kept: it is the answer where no other
         # attempt brings a better one.
-        request.sent = True
+        request.may_have_run = True
         followup.retry(world, request, attempt, f"status {told.answer.status}")
         return
     request.answered_at_ms = world.now_ms
@@ -113,7 +113,7 @@
     request = world.requests.get(attempt.request_id)
     if request is None:
         return
-    wasted = max(0, request.known_tokens - told.cached_tokens)
+    wasted = max(0, request.seen_tokens - told.cached_tokens)
     world.event(
         "usage",
         request.request_id,
@@ -137,9 +137,9 @@
         followup.place_anew(world, request, told.detail)
         return
     if told.phase is inputs.FailurePhase.SENT:
-        request.sent = True
+        request.may_have_run = True
     else:
-        request.runs -= 1
+        request.possible_runs -= 1
     world.event(
         "attempt_failed",
         request.request_id,
@@ -154,7 +154,7 @@
         doubt.ask(world, world.servers[attempt.server_id])
     if told.cause is not inputs.FailureCause.STREAM_GONE:
         servers.failed(world, attempt, told)
-    if request.begun or request.begun_elsewhere:
+    if request.answer_started or request.started_elsewhere:
         if told.cause is inputs.FailureCause.STREAM_GONE:
             followup.break_stream(
                 world, request, "the engine no longer has the stream"
@@ -163,7 +163,7 @@
             followup.resume_or_break(world, request, attempt, told.detail)
         return
     closing.close_attempt(world, attempt.attempt_id)
-    if request.at_most_once and request.sent:
+    if request.at_most_once and request.may_have_run:
         followup.outcome_lost(world, request, told.detail)
         return
     # One that rests is left out by that, and may be asked once it has rested.
@@ -193,14 +193,14 @@
     if request.at_most_once and request.work.kind is work.WorkKind.PLAIN:
         # Broken off in the middle, a call that can't be repeated leaves its
         # caller without a way to bring it to an end.
-        closing.leave(world, request)
+        closing.remove(world, request)
         return
     if request.attempt_id in world.attempts:
         # The engine keeps the stream for a while, so that the caller can
         # resume it through any daemon.
         world.emit(effects.CancelAttempt(request.attempt_id, False))
     world.event("caller_gone", request.request_id, workspace=request.workspace)
-    closing.leave(world, request)
+    closing.remove(world, request)
 
 
 def reply_unstored(world: entities.World) -> None:
@@ -256,13 +256,13 @@
         echoed=str(stamp),
     )
     servers.state_echoed(world, attempt.server_id, stamp)
-    if request.begun or request.begun_elsewhere:
+    if request.answer_started or request.started_elsewhere:
         followup.break_stream(
             world, request, "the engine restarted or changed weights"
         )
         return False
     closing.close_attempt(world, attempt.attempt_id)
-    request.sent = True
+    request.may_have_run = True
     # The engine itself is well, and its new state is known now.
     followup.retry(
         world,
@@ -300,7 +300,7 @@
     attempt: entities.AttemptRow,
     fresh: tuple[work.Frame, ...],
 ) -> None:
-    if not request.begun:
+    if not request.answer_started:
         _begin(world, request, attempt)
     request.resumes = 0
     world.emit(effects.Relay(request.request_id, fresh))
@@ -312,13 +312,13 @@
     attempt: entities.AttemptRow,
 ) -> None:
     assert attempt.stamp is not None
-    request.begun = True
+    request.answer_started = True
     server = world.servers.get(attempt.server_id)
     if server is not None and request.work.route is not None:
         prefill_cost.record_first_token(world, attempt, server)
         rank = routing.priority(world, request)
-        before_ms = server.begun_sent_ms.get(rank, 0)
-        server.begun_sent_ms[rank] = max(before_ms, attempt.sent_at_ms)
+        before_ms = server.last_answered_sent_ms.get(rank, 0)
+        server.last_answered_sent_ms[rank] = max(before_ms, attempt.sent_at_ms)
     request.late = world.now_ms > request.deadline_at_ms
     world.emit(
         effects.BeginStream(
--- a/src/godwittack/core/availability.py
+++ b/src/godwittack/core/availability.py
@@ -40,7 +40,7 @@
             "server_leaving",
             server=told.server_id,
             leaving=1,
-            start=notice.start,
+            start=notice.incarnation,
             source=told.source.value,
             **_of_request(told.request_id),
         )
@@ -54,7 +54,7 @@
     is_news = notice.rest_until_ms <= world.now_ms
     until_ms = told.at_ms + told.rest_ms
     notice.rest_until_ms = max(notice.rest_until_ms, until_ms)
-    world.resting.add(told.server_id)
+    world.resting_servers.add(told.server_id)
     server = world.servers.get(told.server_id)
     if server is not None:
         apply(world, server)
@@ -62,7 +62,7 @@
         world.event(
             "server_rests",
             server=told.server_id,
-            start=notice.start,
+            start=notice.incarnation,
             rest_ms=told.rest_ms,
             **_of_request(told.request_id),
         )
@@ -70,20 +70,20 @@
 
 def apply(world: entities.World, server: entities.ServerRow) -> None:
     """Applies what is kept of a server to its row."""
-    notice = world.notices.get(server.server_id)
+    notice = world.availability_notices.get(server.server_id)
     if notice is not None and _concerns(notice, server):
-        notice.start = notice.start or server.incarnation
+        notice.incarnation = notice.incarnation or server.incarnation
         server.leaving |= notice.is_leaving
         server.rest_until_ms = notice.rest_until_ms
 
 
 def start_seen(world: entities.World, server: entities.ServerRow) -> None:
     """Drops what another start of a server had said than the one known now."""
-    notice = world.notices.get(server.server_id)
+    notice = world.availability_notices.get(server.server_id)
     if notice is None:
         return
     if not _concerns(notice, server):
-        del world.notices[server.server_id]
+        del world.availability_notices[server.server_id]
         server.leaving = False
         server.rest_until_ms = 0
     apply(world, server)
@@ -94,9 +94,9 @@
 
     Nothing else would ever show that another one has begun.
     """
-    notice = world.notices.get(server_id)
-    if notice is not None and not notice.start:
-        del world.notices[server_id]
+    notice = world.availability_notices.get(server_id)
+    if notice is not None and not notice.incarnation:
+        del world.availability_notices[server_id]
 
 
 def is_resting(world: entities.World, server: entities.ServerRow) -> bool:
@@ -120,23 +120,23 @@
 
 def end_rests(world: entities.World) -> None:
     """Takes servers back into service whose rest is over."""
-    for server_id in list(world.resting):
-        notice = world.notices.get(server_id)
+    for server_id in list(world.resting_servers):
+        notice = world.availability_notices.get(server_id)
         if notice is None or not notice.rest_until_ms:
             # Another start has asked for nothing.
-            world.resting.discard(server_id)
+            world.resting_servers.discard(server_id)
             continue
         if notice.rest_until_ms > world.now_ms:
             continue
-        world.resting.discard(server_id)
+        world.resting_servers.discard(server_id)
         notice.rest_until_ms = 0
         if not notice.is_leaving:
-            del world.notices[server_id]
+            del world.availability_notices[server_id]
         server = world.servers.get(server_id)
         if server is not None:
             server.rest_until_ms = 0
-            world.freed_targets.add(server.target)
-        world.event("server_rested", server=server_id, start=notice.start)
+            world.targets_to_dispatch.add(server.target)
+        world.event("server_rested", server=server_id, start=notice.incarnation)
 
 
 def left_out(world: entities.World, target: str) -> dict[str, str]:
@@ -163,32 +163,34 @@
 
 def _notice(
     world: entities.World, server_id: str, told_start: str
-) -> entities.NoticeRow | None:
+) -> entities.AvailabilityNotice | None:
     """Returns what is kept of the start that spoke, None for an earlier one."""
     server = world.servers.get(server_id)
     known_start = server.incarnation if server is not None else ""
     start = told_start or known_start
-    kept = world.notices.get(server_id)
+    kept = world.availability_notices.get(server_id)
     if incarnations.is_older(start, known_start):
         return None
-    if kept is not None and _is_same_start(kept.start, start):
-        kept.start = kept.start or start
+    if kept is not None and _is_same_start(kept.incarnation, start):
+        kept.incarnation = kept.incarnation or start
         return kept
-    if kept is not None and incarnations.is_older(start, kept.start):
+    if kept is not None and incarnations.is_older(start, kept.incarnation):
         return None
-    kept = entities.NoticeRow(start=start)
-    world.notices.pop(server_id, None)
-    world.notices[server_id] = kept
-    while len(world.notices) > MOST_NOTICES:
-        del world.notices[next(iter(world.notices))]
+    kept = entities.AvailabilityNotice(incarnation=start)
+    world.availability_notices.pop(server_id, None)
+    world.availability_notices[server_id] = kept
+    while len(world.availability_notices) > MOST_NOTICES:
+        del world.availability_notices[next(iter(world.availability_notices))]
     return kept
 
 
-def _concerns(notice: entities.NoticeRow, server: entities.ServerRow) -> bool:
+def _concerns(
+    notice: entities.AvailabilityNotice, server: entities.ServerRow
+) -> bool:
     """Returns whether a notice is of the start of a row, or of a later one."""
-    if _is_same_start(notice.start, server.incarnation):
+    if _is_same_start(notice.incarnation, server.incarnation):
         return True
-    return incarnations.is_older(server.incarnation, notice.start)
+    return incarnations.is_older(server.incarnation, notice.incarnation)
 
 
 def _is_same_start(one: str, other: str) -> bool:
--- a/src/godwittack/core/backlog.py
+++ b/src/godwittack/core/backlog.py
@@ -40,8 +40,10 @@
     cost.
     """
     us_per_token = prefill_cost.us_per_token(world, server)
-    starts_ms = max(float(world.now_ms), server.backlog.get(priority, 0.0))
-    server.backlog[priority] = starts_ms + tokens * us_per_token / 1000
+    starts_ms = max(
+        float(world.now_ms), server.backlog_until_ms.get(priority, 0.0)
+    )
+    server.backlog_until_ms[priority] = starts_ms + tokens * us_per_token / 1000
 
 
 def is_long(
@@ -59,7 +61,7 @@
 ) -> float:
     """Estimates how long a request waits for the prompts sent before it."""
     total = 0.0
-    for other_priority, ends_ms in server.backlog.items():
+    for other_priority, ends_ms in server.backlog_until_ms.items():
         left_ms = max(0.0, ends_ms - world.now_ms)
         total += (
             left_ms
@@ -77,16 +79,16 @@
     is_fresh = (
         world.now_ms - server.reported_at_ms < world.policy.report_stale_ms
     )
-    in_flight = len(server.sent)
+    in_flight = len(server.in_flight)
     if is_fresh and server.reported_at_ms >= 0:
         unreported = sum(
             1
-            for attempt in server.sent.values()
+            for attempt in server.in_flight.values()
             if attempt.sent_at_ms > server.reported_at_ms
         )
         in_flight = max(in_flight, server.running + server.waiting + unreported)
     slots = server.slots or world.policy.slots
-    completion_interval_ms = world.service_ms.get(server.target, 0.0) / slots
+    completion_interval_ms = world.service_time_ms.get(server.target, 0.0) / slots
     wait += completion_interval_ms * _completions_needed(in_flight, slots)
     # Every request in a batch makes each of its steps slightly longer.
     return wait + in_flight * BATCH_DELAY_MS
@@ -116,7 +118,9 @@
     Until then no other server can copy it: a fetch that comes too early finds
     nothing, and the same levels are computed a second time.
     """
-    ready_ms = max(float(world.now_ms), server.backlog.get(priority, 0.0))
+    ready_ms = max(
+        float(world.now_ms), server.backlog_until_ms.get(priority, 0.0)
+    )
     for key in keys:
         cached_at_ms = server.cache.cached_at_ms(key)
         if cached_at_ms is not None and cached_at_ms <= world.now_ms:
--- a/src/godwittack/core/closing.py
+++ b/src/godwittack/core/closing.py
@@ -1,10 +1,10 @@
-"""Ends requests: the final effect, the rows removed, the event counted."""
+"""Ends requests: emits the final effect and event, and removes the rows."""
 
 from __future__ import annotations
 
 from godwittack.core import effects, entities
 
-SERVICE_SMOOTHING = 0.1
+SERVICE_TIME_SMOOTHING = 0.1
 
 
 def refuse(
@@ -18,11 +18,11 @@
     retry_after_ms: int = 0,
 ) -> None:
     """Ends a request without an answer."""
-    if request.answer is not None and not request.begun:
-        # A server's failure kept from an earlier attempt is the true answer.
+    if request.answer is not None and not request.answer_started:
+        # An earlier attempt's error answer from a server takes precedence.
         reply(world, request)
         return
-    if request.begun:
+    if request.answer_started:
         world.emit(effects.BreakStream(request.request_id, reason, detail))
         world.event(
             "stream_broken",
@@ -49,19 +49,21 @@
             target=request.work.target,
             reason=reason.value,
             outcome=outcome.value,
-            **_refusal_inputs(world, request, status, detail, retry_after_ms),
+            **_refusal_log_fields(
+                world, request, status, detail, retry_after_ms
+            ),
         )
-    leave(world, request)
+    remove(world, request)
 
 
-def _refusal_inputs(
+def _refusal_log_fields(
     world: entities.World,
     request: entities.RequestRow,
     status: int,
     detail: str,
     retry_after_ms: int,
 ) -> dict[str, str | int]:
-    """Returns what a refusal of a routed request was decided from."""
+    """Returns the log fields that explain a routed request's refusal."""
     if request.work.route is None:
         return {}
     return {
@@ -72,12 +74,12 @@
         "table": world.table.version,
         "waited_ms": world.now_ms - request.arrived_at_ms,
         "attempts": request.attempts,
-        "may_have_run": int(request.sent),
+        "may_have_run": int(request.may_have_run),
     }
 
 
 def reply(world: entities.World, request: entities.RequestRow) -> None:
-    """Hands a whole answer to the caller and ends the request."""
+    """Sends a whole answer to the caller and ends the request."""
     assert request.answer is not None
     world.emit(
         effects.Reply(
@@ -96,7 +98,7 @@
     *,
     replayed: bool = False,
 ) -> None:
-    """Counts a request that got its whole answer."""
+    """Logs and removes a request that got its whole answer."""
     took_ms = world.now_ms - request.arrived_at_ms
     world.event(
         "finished",
@@ -115,35 +117,37 @@
     )
     attempt = world.attempts.get(request.attempt_id)
     if attempt:
-        learn_service_time(
+        update_service_time(
             world, request.work.target, world.now_ms - attempt.sent_at_ms
         )
-    leave(world, request)
+    remove(world, request)
 
 
-def learn_service_time(
+def update_service_time(
     world: entities.World, target: str, took_ms: int
 ) -> None:
-    """Smooths the time that a dispatch of `target` takes to its end."""
-    before = world.service_ms.get(target, float(took_ms))
-    world.service_ms[target] = before + SERVICE_SMOOTHING * (took_ms - before)
+    """Updates the smoothed time from dispatch to end for `target`."""
+    previous_ms = world.service_time_ms.get(target, float(took_ms))
+    world.service_time_ms[target] = previous_ms + SERVICE_TIME_SMOOTHING * (
+        took_ms - previous_ms
+    )
 
 
 def close_attempt(world: entities.World, attempt_id: str) -> None:
-    """Forgets an attempt; whatever arrives for it later is dropped."""
+    """Removes an attempt; whatever arrives for it later is dropped."""
     attempt = world.attempts.pop(attempt_id, None)
     if attempt is None:
         return
     server = world.servers.get(attempt.server_id)
     if server is None:
         return
-    server.sent.pop(attempt_id, None)
-    if server.trial_attempt == attempt_id:
-        server.trial_attempt = ""
+    server.in_flight.pop(attempt_id, None)
+    if server.trial_attempt_id == attempt_id:
+        server.trial_attempt_id = ""
 
 
-def leave(world: entities.World, request: entities.RequestRow) -> None:
-    """Removes a request's rows and frees its limits."""
+def remove(world: entities.World, request: entities.RequestRow) -> None:
+    """Removes a request's rows and releases its limits."""
     close_attempt(world, request.attempt_id)
     world.requests.pop(request.request_id, None)
     if request.phase is entities.Phase.QUEUED:
@@ -151,15 +155,15 @@
         queue.drop(request.request_id)
     for cell in request.cells:
         world.shares.ended(cell)
-    world.freed_targets.add(request.work.target)
+    world.targets_to_dispatch.add(request.work.target)
     world.emit(effects.Forget(request.request_id))
 
 
 __all__ = [
     "close_attempt",
     "finish",
-    "learn_service_time",
-    "leave",
     "refuse",
+    "remove",
     "reply",
+    "update_service_time",
 ]
--- a/src/godwittack/core/crashes.py
+++ b/src/godwittack/core/crashes.py
@@ -38,24 +38,24 @@
         return False
     crash = quarantine.Crash(
         content=request.content,
-        start=attempt.server_start,
+        start=attempt.incarnation_key,
         reporter=world.daemon,
         at_ms=world.now_ms,
     )
     is_before = attempt.sent_at_ms <= server.ended_at_ms
-    if crash.start == server.ended_start and is_before:
+    if crash.start == server.ended_incarnation_key and is_before:
         _count(world, server, [crash])
         return False
-    server.broken = [*_recent(world, server), crash]
+    server.possible_crashes = [*_recent(world, server), crash]
     return True
 
 
 def ended(world: entities.World, server: entities.ServerRow) -> None:
     """Takes in that the process which a server ran has ended."""
-    server.ended_start = start_of(world, server)
+    server.ended_incarnation_key = start_of(world, server)
     server.ended_at_ms = world.now_ms
     found = _recent(world, server)
-    server.broken = []
+    server.possible_crashes = []
     if found:
         _count(world, server, found)
 
@@ -64,10 +64,10 @@
     world: entities.World, server: entities.ServerRow, incarnation: str
 ) -> None:
     """Takes in a sign of life, which may show another process."""
-    if not incarnation or not server.broken:
+    if not incarnation or not server.possible_crashes:
         return
     if incarnation == server.incarnation:
-        server.broken = []
+        server.possible_crashes = []
     else:
         ended(world, server)
 
@@ -108,7 +108,7 @@
     """Names the start of a server that runs now, or that a stamp names."""
     named = stamp.incarnation if stamp else server.incarnation
     start = f"{server.server_id}/{named}"
-    if incarnations.born_ms(named):
+    if incarnations.started_at_ms(named):
         return start
     return world.quarantine.unnamed_start(start)
 
@@ -117,7 +117,9 @@
     world: entities.World, server: entities.ServerRow
 ) -> list[quarantine.Crash]:
     since_ms = world.now_ms - EXPLAINED_MS
-    return [crash for crash in server.broken if crash.at_ms >= since_ms]
+    return [
+        crash for crash in server.possible_crashes if crash.at_ms >= since_ms
+    ]
 
 
 def _count(
@@ -168,12 +170,16 @@
     """Takes a quarantined request from servers that have not begun it."""
     for request in list(world.requests.values()):
         attempt = world.attempts.get(request.attempt_id)
-        if request.content != content or attempt is None or request.begun:
+        if (
+            request.content != content
+            or attempt is None
+            or request.answer_started
+        ):
             continue
         if request.work.kind is work.WorkKind.PLAIN and request.at_most_once:
             continue
         world.emit(effects.CancelAttempt(attempt.attempt_id, True))
-        request.sent = True
+        request.may_have_run = True
         closing.refuse(
             world,
             request,
--- a/src/godwittack/core/dispatching.py
+++ b/src/godwittack/core/dispatching.py
@@ -24,7 +24,7 @@
 def place(world: entities.World, request: entities.RequestRow) -> None:
     """Dispatches a request, holds it back, or refuses it at once."""
     if crashes.is_quarantined(world, request):
-        refusing.quarantined(world, request)
+        refusing.refuse_quarantined(world, request)
         return
     choice = placing.choose(world, request)
     if choice is None:
@@ -52,12 +52,12 @@
         return
     held = _held(world, request.work.target)
     if held >= _queue_limit(world, request):
-        refusing.not_run(
+        refusing.refuse_unassigned(
             world,
             request,
             effects.Reason.QUEUE_FULL,
             f"{held} requests wait for {request.work.target} already",
-            refusing.retry_after_ms(choice.wait_ms),
+            refusing.clamp_retry_after_ms(choice.wait_ms),
         )
         return
     _hold(world, request, wait_ms=choice.wait_ms)
@@ -70,9 +70,9 @@
         resting.room(world, target), _queue_limit(world, request)
     )
     if not has_room or not resting.may_wait(world, request):
-        refusing.no_server(world, request)
+        refusing.refuse_no_server(world, request)
         return
-    request.awaits_rest = True
+    request.awaits_rest_end = True
     _hold(world, request, wait_ms=resting.left_ms(world, request) or 0)
 
 
@@ -85,7 +85,7 @@
     before = _waiting(world, request.work.target, rank)
     request.phase = entities.Phase.QUEUED
     request.queue_rank = rank
-    if not len(queue) and not request.awaits_rest:
+    if not len(queue) and not request.awaits_rest_end:
         turns.begin(world, request.work.target, rank)
     if request.work.route is not None:
         world.event(
@@ -102,7 +102,7 @@
         weight=_weight(world, request),
         cost=_cost(request),
     )
-    world.freed_targets.add(request.work.target)
+    world.targets_to_dispatch.add(request.work.target)
 
 
 def dispatch(
@@ -113,7 +113,7 @@
     """Opens a new attempt on the chosen server."""
     refusal = routing.recheck_key(world, request)
     if refusal is not None:
-        refusing.taken_away(world, request, refusal)
+        refusing.refuse_revoked(world, request, refusal)
         return
     server = choice.server
     attempt_id = world.next_attempt_id()
@@ -124,14 +124,14 @@
         stamp=_stamp(request, server),
         stream_id=attempt_id,
         sent_at_ms=world.now_ms,
-        heard_at_ms=world.now_ms,
+        last_progress_ms=world.now_ms,
         expected_tokens=round(choice.uncached_tokens),
     )
     _open(world, request, attempt)
-    server.sent[attempt_id] = attempt
+    server.in_flight[attempt_id] = attempt
     rate_limits.sent(world, server)
     if server.ejected_until_ms:
-        server.trial_attempt = attempt_id
+        server.trial_attempt_id = attempt_id
     keys = sending.cached_keys(request, server)
     if request.work.route is None:
         for key in keys:
@@ -187,11 +187,11 @@
         stamp=broken.stamp,
         stream_id=broken.stream_id,
         sent_at_ms=world.now_ms,
-        heard_at_ms=world.now_ms,
+        last_progress_ms=world.now_ms,
     )
     request.resumes += 1
     _open(world, request, attempt)
-    server.sent[attempt_id] = attempt
+    server.in_flight[attempt_id] = attempt
     world.emit(
         effects.Dispatch(
             request_id=request.request_id,
@@ -212,38 +212,38 @@
     The most urgent rank comes first, as at the engines: a short prompt of an
     urgent route need not wait behind long ones that are held.
     """
-    for target in sorted(world.freed_targets):
+    for target in sorted(world.targets_to_dispatch):
         by_rank = world.queues.get(target, {})
         for rank in sorted(by_rank):
             _drain_queue(world, by_rank[rank], rank)
             if len(by_rank[rank]):
                 break
-    world.freed_targets.clear()
+    world.targets_to_dispatch.clear()
 
 
 def expire_queued(world: entities.World) -> None:
     """Refuses held-back requests that can no longer be in time."""
     for target, by_rank in world.queues.items():
-        world.freed_targets.add(target)
+        world.targets_to_dispatch.add(target)
         for rank, queue in by_rank.items():
             for request_id in queue.request_ids():
                 request = world.requests[request_id]
                 if crashes.is_quarantined(world, request):
-                    refusing.quarantined(world, request)
+                    refusing.refuse_quarantined(world, request)
                     continue
                 if _rests_on(world, request):
-                    refusing.no_server(world, request)
+                    refusing.refuse_no_server(world, request)
                     continue
-                if request.begin_by_ms > world.now_ms:
+                if request.answer_start_deadline_ms > world.now_ms:
                     continue
                 before = _waiting(world, target, rank)
                 wait_ms = turns.slots_wait_ms(world, target, before)
-                refusing.late(world, request, wait_ms)
+                refusing.refuse_late(world, request, wait_ms)
 
 
 def _rests_on(world: entities.World, request: entities.RequestRow) -> bool:
     """Returns whether the rests that a request waits for were made too long."""
-    return request.awaits_rest and resting.is_hopeless(world, request)
+    return request.awaits_rest_end and resting.is_hopeless(world, request)
 
 
 def _held(world: entities.World, target: str) -> int:
@@ -268,13 +268,16 @@
         waiting = queue.heads()[0]
         request = world.requests[waiting.request_id]
         if crashes.is_quarantined(world, request):
-            refusing.quarantined(world, request)
+            refusing.refuse_quarantined(world, request)
             continue
         choice = placing.choose(world, request)
         if choice is None or choice.wait_ms > world.policy.hold_ms:
             return
-        if choice.first_token_ms > request.begin_by_ms - world.now_ms:
-            refusing.late(world, request, choice.wait_ms)
+        if (
+            choice.first_token_ms
+            > request.answer_start_deadline_ms - world.now_ms
+        ):
+            refusing.refuse_late(world, request, choice.wait_ms)
             continue
         queue.take(waiting)
         turns.taken(
@@ -282,9 +285,9 @@
             request.work.target,
             rank,
             left=len(queue),
-            tells_pace=not request.awaits_rest,
+            tells_pace=not request.awaits_rest_end,
         )
-        request.awaits_rest = False
+        request.awaits_rest_end = False
         dispatch(world, request, choice)
 
 
@@ -294,12 +297,12 @@
     attempt: entities.AttemptRow,
 ) -> None:
     server = world.servers[attempt.server_id]
-    attempt.server_start = crashes.start_of(world, server, attempt.stamp)
+    attempt.incarnation_key = crashes.start_of(world, server, attempt.stamp)
     request.phase = entities.Phase.RUNNING
     request.attempt_id = attempt.attempt_id
     request.attempts += 1
     # Taken back where the server is known not to have begun.
-    request.runs += 1
+    request.possible_runs += 1
     world.attempts[attempt.attempt_id] = attempt
 
 
@@ -315,21 +318,21 @@
     symptom is an overload in which everything is late.
     """
     expected_ms = choice.first_token_ms + queue_wait_ms
-    left_ms = request.begin_by_ms - world.now_ms
+    left_ms = request.answer_start_deadline_ms - world.now_ms
     if expected_ms <= left_ms * world.policy.deadline_part:
         return True
-    refusing.not_run(
+    refusing.refuse_unassigned(
         world,
         request,
         effects.Reason.DEADLINE,
         f"would begin in {expected_ms:.0f} ms, its limit is {left_ms} ms",
-        refusing.retry_after_ms(expected_ms - left_ms),
+        refusing.clamp_retry_after_ms(expected_ms - left_ms),
     )
     return False
 
 
 def _queue_limit(world: entities.World, request: entities.RequestRow) -> int:
-    room = world.policy.queue_total - world.queued()
+    room = world.policy.queue_total - world.queued_count()
     model_row = world.table.models.get(request.work.target)
     if model_row is None:
         return room
--- a/src/godwittack/core/entities.py
+++ b/src/godwittack/core/entities.py
@@ -1,4 +1,4 @@
-"""The core's tables: one row type an entity, one mapping a table."""
+"""The core's in-memory tables and the types of their rows."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Phase(enum.StrEnum):
-    """Where a request stands."""
+    """Phase of a request's life cycle."""
 
     CLAIMING = "claiming"
     QUEUED = "queued"
@@ -28,32 +28,36 @@
     """One caller's request from arrival to its final effect.
 
     Attributes:
-        deadline_at_ms: When the answer should have begun.
-        leaves_at_ms: When the caller leaves unless an answer has begun; 0 for
-            at the deadline.
-        known_tokens: Prompt tokens of levels that earlier requests brought.
+        deadline_at_ms: Time by which the answer should begin.
+        caller_timeout_at_ms: When the caller disconnects unless the answer has
+            begun; 0 if that is at the deadline.
+        seen_tokens: Prompt tokens of levels seen in earlier requests.
         attempt_id: Current attempt; frames of any other are dropped.
         attempts: Dispatches so far.
-        avoid: Servers that failed this request.
+        excluded_servers: Ids of servers on which this request failed; they
+            are not tried again.
         next_frame: Number of the next frame the caller needs.
-        begun: Whether a byte of the answer went out.
-        begun_elsewhere: Whether another daemon sent the first frames, so
-            that a failure may not start the answer anew.
+        answer_started: Whether a byte of the answer was sent to the caller.
+        started_elsewhere: Whether another daemon sent the first frames, so
+            that the answer must not be restarted after a failure.
         late: Whether the deadline had passed when the answer began.
-        sent: Whether a byte of any attempt may have reached a server.
+        may_have_run: Whether a byte of any attempt may have reached a server.
         resumes: Resumptions since the last new frame.
-        claim_key: Key under which the call is claimed; None where it may be
-            repeated.
+        claim_key: Key under which the call is claimed; None if the call is
+            repeatable.
         claim_tries: Claim writes that got no reply.
-        caller_gone: Whether nobody waits any more.
-        answer: Whole answer waiting for its record.
-        answered_at_ms: When that answer came.
-        give_up_at_ms: When a final answer is due in any case; 0 for never.
-        runs: Dispatches that may have run.
-        head: Status and headers of the stream's first server.
-        queue_rank: Rank of the queue in which it is held back.
-        awaits_rest: Whether it is held until a server has rested.
-        cells: Cells with a limit in which it counts while it is in flight.
+        nonce: Identifies this request's claim writes.
+        caller_gone: Whether the caller has disconnected.
+        answer: Whole answer: held until its claim is updated, or an error
+            answer to return unless a retry succeeds.
+        answered_at_ms: When the held answer was received.
+        timeout_at_ms: When the request is ended in any case; 0 for never.
+        possible_runs: Dispatches that may have been run by a server.
+        head: Status and headers from the stream's first server.
+        queue_rank: Rank of the queue that holds the request.
+        awaits_rest_end: Whether it is queued until a server's requested rest
+            ends.
+        cells: Limited cells that count the request while it is in flight.
     """
 
     request_id: str
@@ -61,17 +65,17 @@
     workspace: str
     arrived_at_ms: int
     deadline_at_ms: int
-    leaves_at_ms: int = 0
-    known_tokens: int = 0
+    caller_timeout_at_ms: int = 0
+    seen_tokens: int = 0
     phase: Phase = Phase.CLAIMING
     attempt_id: str = ""
     attempts: int = 0
-    avoid: set[str] = dataclasses.field(default_factory=set)
+    excluded_servers: set[str] = dataclasses.field(default_factory=set)
     next_frame: int = 1
-    begun: bool = False
-    begun_elsewhere: bool = False
+    answer_started: bool = False
+    started_elsewhere: bool = False
     late: bool = False
-    sent: bool = False
+    may_have_run: bool = False
     resumes: int = 0
     claim_key: works.ClaimKey | None = None
     claim_tries: int = 0
@@ -79,29 +83,33 @@
     caller_gone: bool = False
     answer: works.Answer | None = None
     answered_at_ms: int = 0
-    give_up_at_ms: int = 0
-    runs: int = 0
+    timeout_at_ms: int = 0
+    possible_runs: int = 0
     head: works.Head | None = None
     queue_rank: int = 0
-    awaits_rest: bool = False
+    awaits_rest_end: bool = False
     cells: tuple[str, ...] = ()
 
     @property
-    def begin_by_ms(self) -> int:
-        """Until when the answer is of use, as long as it has not begun."""
-        if self.begun or self.begun_elsewhere or not self.leaves_at_ms:
+    def answer_start_deadline_ms(self) -> int:
+        """Latest time at which the answer may begin."""
+        if (
+            self.answer_started
+            or self.started_elsewhere
+            or not self.caller_timeout_at_ms
+        ):
             return self.deadline_at_ms
-        return min(self.deadline_at_ms, self.leaves_at_ms)
+        return min(self.deadline_at_ms, self.caller_timeout_at_ms)
 
     @property
     def content(self) -> str:
-        """Names what is asked and by whom; empty where that is not known."""
+        """Key of workspace and request content; empty if not known."""
         fingerprint = self.work.fingerprint
         return f"{self.workspace}/{fingerprint}" if fingerprint else ""
 
     @property
     def at_most_once(self) -> bool:
-        """Whether running the request twice would do harm."""
+        """Whether the request must not run more than once."""
         route = self.work.route
         if route is None:
             return self.claim_key is not None
@@ -113,10 +121,10 @@
     """One dispatch of a request to one backend server.
 
     Attributes:
-        stream_id: The engine's name of the stream; the first attempt's id.
-        expected_tokens: Prompt tokens this daemon expects not to be cached.
-        heard_at_ms: When the server last showed progress on this attempt.
-        server_start: Names the start of the server that it was sent to.
+        stream_id: Id of the stream on the engine: the first attempt's id.
+        last_progress_ms: When the server last made progress on this attempt.
+        expected_tokens: Prompt tokens that are expected not to be cached.
+        incarnation_key: Key of the server and its incarnation at dispatch.
     """
 
     attempt_id: str
@@ -125,10 +133,10 @@
     stamp: works.Stamp | None
     stream_id: str
     sent_at_ms: int
-    heard_at_ms: int
+    last_progress_ms: int
     expected_tokens: int = 0
     opened: bool = False
-    server_start: str = ""
+    incarnation_key: str = ""
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
@@ -136,29 +144,34 @@
     """One backend server as this daemon knows it.
 
     Attributes:
-        incarnation: Last one seen; empty until the server was heard.
+        incarnation: Last incarnation seen; empty until the first contact.
         draining_until_ms: No new work before this time, so that weights can
-            be loaded without cutting a stream.
-        reported_at_ms: When the state in the last report was true.
-        sent: Own dispatches not finished: attempt id to its send time and
-            expected tokens.
-        failures: Failures in a row.
-        ejected_at_ms: When the last such pause began.
-        ejected_until_ms: No new work before this time.
-        full_until_ms: Used only where no other server is, before this time.
-        rest_until_ms: It wants nothing from this daemon before this time.
-        backlog: Until when it computes prompts, by their priority.
-        begun_sent_ms: When the last request was sent that it has begun to
-            answer, by priority.
-        heard_at_ms: When it last said anything to this daemon.
-        asked_at_ms: When it was last asked for a sign of life.
-        limit: The rate that it takes from all daemons together; None for any.
-        limit_heard_ms: When it last said so, or that there is none.
-        limit_shared_ms: When a daemon last told the others of it.
-        ended_start: The start of it that is known to have ended last.
-        ended_at_ms: When that was known.
-        broken: Requests whose connection to it closed lately, as crashes that
-            are none unless its process ends.
+            be loaded without interrupting a stream.
+        reported_at_ms: Time to which the last load report applies.
+        in_flight: This daemon's unfinished dispatches, by attempt id.
+        backlog_until_ms: Estimated time at which its queued prompts are
+            computed, by their priority.
+        last_answered_sent_ms: Latest send time of a request that it has begun
+            to answer, by priority.
+        last_contact_ms: When this daemon last received anything from it.
+        last_probe_ms: When it was last probed.
+        consecutive_failures: Failures since its last success.
+        ejected_at_ms: When its last ejection began.
+        ejected_until_ms: Ejected, so no new work, before this time.
+        full_until_ms: Used only as a last resort before this time.
+        rest_until_ms: No requests from this daemon before this time, at the
+            server's request.
+        trial_attempt_id: Id of the attempt that tests it after an ejection.
+        rate_limit: Rate limit that it advertises for all daemons together;
+            None if it has none.
+        rate_limit_received_ms: When it last advertised that limit or its
+            absence.
+        rate_limit_announced_ms: When a daemon last announced the limit to its
+            peers.
+        ended_incarnation_key: Key of the last incarnation known to have ended.
+        ended_at_ms: When this daemon learnt that it had ended.
+        possible_crashes: Recent requests whose connection closed; they count
+            as crashes only if the server's process has ended.
     """
 
     server_id: str
@@ -175,40 +188,46 @@
     waiting_tokens: int = 0
     prefill_us_per_token: int = 0
     slots: int = 0
-    sent: dict[str, AttemptRow] = dataclasses.field(default_factory=dict)
-    backlog: dict[int, float] = dataclasses.field(default_factory=dict)
-    begun_sent_ms: dict[int, int] = dataclasses.field(default_factory=dict)
-    heard_at_ms: int = -1_000_000
-    asked_at_ms: int = -1_000_000
-    failures: int = 0
+    in_flight: dict[str, AttemptRow] = dataclasses.field(default_factory=dict)
+    backlog_until_ms: dict[int, float] = dataclasses.field(default_factory=dict)
+    last_answered_sent_ms: dict[int, int] = dataclasses.field(
+        default_factory=dict
+    )
+    last_contact_ms: int = -1_000_000
+    last_probe_ms: int = -1_000_000
+    consecutive_failures: int = 0
     ejected_at_ms: int = 0
     ejected_until_ms: int = 0
     full_until_ms: int = 0
     rest_until_ms: int = 0
-    trial_attempt: str = ""
-    limit: advertised.AdvertisedLimit | None = None
-    limit_heard_ms: int = -1_000_000
-    limit_shared_ms: int = -1_000_000
-    ended_start: str = ""
+    trial_attempt_id: str = ""
+    rate_limit: advertised.AdvertisedLimit | None = None
+    rate_limit_received_ms: int = -1_000_000
+    rate_limit_announced_ms: int = -1_000_000
+    ended_incarnation_key: str = ""
     ended_at_ms: int = -1
-    broken: list[quarantine.Crash] = dataclasses.field(default_factory=list)
+    possible_crashes: list[quarantine.Crash] = dataclasses.field(
+        default_factory=list
+    )
     cache: residency.Residency = dataclasses.field(
         default_factory=residency.Residency
     )
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class NoticeRow:
-    """What one start of a server has said, kept beyond its entry in the list.
+class AvailabilityNotice:
+    """Availability announced by one incarnation of a server.
+
+    It outlives the server's entry in the instance list.
 
     Attributes:
-        start: The start that said it; empty where that is not known.
+        incarnation: Incarnation that announced it; empty if not known.
         is_leaving: Whether it is about to stop.
-        rest_until_ms: Until when it wants nothing from this daemon; 0 where it
-            asked for no rest.
+        rest_until_ms: No requests from this daemon before this time; 0 if the
+            server requested no rest.
     """
 
-    start: str
+    incarnation: str
     is_leaving: bool = False
     rest_until_ms: int = 0
 
@@ -218,50 +237,54 @@
     """A claim's outcome that the table service has not yet confirmed.
 
     Attributes:
-        next_try_at_ms: When to send it again; 0 while a write is on its way.
+        first_write_ms: When the outcome was first written.
+        next_retry_at_ms: When to write it again; 0 while a write is pending.
     """
 
     request_id: str
     key: works.ClaimKey
     claim: works.Claim
-    since_ms: int
-    next_try_at_ms: int = 0
+    first_write_ms: int
+    next_retry_at_ms: int = 0
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class World:
-    """All tables of one daemon's core.
+    """All state of one daemon's core.
 
     Attributes:
         daemon: This daemon's incarnation, as written into claims.
-        out: Effects of the input being worked on.
-        right_until_ms: Until when the table here may be called current.
+        started_at_ms: Time of the first input; -1 before it.
+        pending_effects: Effects of the input being processed.
+        queues: Queued requests, by target and rank.
+        target_budgets: Retry budgets by target, if retries are limited for
+            each target separately.
+        targets_to_dispatch: Targets whose queues are to be dispatched after
+            this input.
+        service_time_ms: Smoothed time from dispatch to completion, by target.
         live_daemons: Incarnations of daemons believed alive.
-        carriers: Those of them that requests are sent by.
-        weights_named: Versions of weights in the order in which they were
-            wanted, by target.
-        started_at_ms: When the first input came; -1 before it.
-        known_daemons: Daemons that there should be, by the last account.
-        most_daemons: Most that there ever should have been.
-        has_met_others: Whether another daemon was ever believed alive.
-        members_changed_ms: When they last changed.
-        target_budgets: Retry budgets by target, where the limit on retries
-            holds for each target by itself.
-        queues: Requests held back, by target and rank.
-        freed_targets: Targets whose queues may move after this input.
-        service_ms: Smoothed time from dispatch to end, by target.
-        turns: How fast held-back requests go out, by target and rank.
-        paces: What first tokens have shown of engines, by target.
-        quarantine: Requests under which servers ended.
-        notices: What servers have said of their availability, by server.
-        resting: Servers that have asked for a rest that is not over yet.
+        serving_daemons: Those of them that send requests to servers.
+        serving_lease_until_ms: Until when the table may be treated as current.
+        weights_history: Requested versions of weights, oldest first, by target.
+        max_expected_daemons: Maximum of `expected_daemons` since the start.
+        expected_daemons: Expected number of daemons, from the last membership
+            change.
+        has_seen_peers: Whether another daemon was ever believed alive.
+        members_changed_ms: When the membership last changed.
+        quarantine: Contents of requests during which servers crashed.
+        dispatch_pacing: Dispatch rate of queued requests, by target and rank.
+        availability_notices: Availability announced by servers, by server id.
+        resting_servers: Ids of servers whose requested rest has not ended.
+        prefill_costs: Prefill cost learnt from first tokens, by target.
     """
 
     daemon: str
     policy: policies.Policy
     now_ms: int = 0
     started_at_ms: int = -1
-    out: list[effects.Effect] = dataclasses.field(default_factory=list)
+    pending_effects: list[effects.Effect] = dataclasses.field(
+        default_factory=list
+    )
     table: model.Table = dataclasses.field(default_factory=model.Table)
     requests: dict[str, RequestRow] = dataclasses.field(default_factory=dict)
     attempts: dict[str, AttemptRow] = dataclasses.field(default_factory=dict)
@@ -283,31 +306,35 @@
     spill_budget: budget.Budget = dataclasses.field(
         default_factory=budget.Budget
     )
-    heat: residency.Heat = dataclasses.field(default_factory=residency.Heat)
-    freed_targets: set[str] = dataclasses.field(default_factory=set)
-    service_ms: dict[str, float] = dataclasses.field(default_factory=dict)
+    level_demand: residency.Heat = dataclasses.field(
+        default_factory=residency.Heat
+    )
+    targets_to_dispatch: set[str] = dataclasses.field(default_factory=set)
+    service_time_ms: dict[str, float] = dataclasses.field(default_factory=dict)
     live_daemons: frozenset[str] = frozenset()
-    carriers: frozenset[str] = frozenset()
-    right_until_ms: int = 0
+    serving_daemons: frozenset[str] = frozenset()
+    serving_lease_until_ms: int = 0
     stopping: bool = False
     stopped: bool = False
-    weights_named: dict[str, list[weights.Naming]] = dataclasses.field(
+    weights_history: dict[str, list[weights.Naming]] = dataclasses.field(
         default_factory=dict
     )
-    most_daemons: int = 1
-    known_daemons: int = 1
-    has_met_others: bool = False
+    max_expected_daemons: int = 1
+    expected_daemons: int = 1
+    has_seen_peers: bool = False
     members_changed_ms: int = 0
     attempt_counter: int = 0
     quarantine: quarantine.Quarantine = dataclasses.field(
         default_factory=quarantine.Quarantine
     )
-    turns: dict[tuple[str, int], turns.Turn] = dataclasses.field(
+    dispatch_pacing: dict[tuple[str, int], turns.Turn] = dataclasses.field(
+        default_factory=dict
+    )
+    availability_notices: dict[str, AvailabilityNotice] = dataclasses.field(
         default_factory=dict
     )
-    notices: dict[str, NoticeRow] = dataclasses.field(default_factory=dict)
-    resting: set[str] = dataclasses.field(default_factory=set)
-    paces: dict[str, prefill_cost.PrefillCost] = dataclasses.field(
+    resting_servers: set[str] = dataclasses.field(default_factory=set)
+    prefill_costs: dict[str, prefill_cost.PrefillCost] = dataclasses.field(
         default_factory=lambda: collections.defaultdict(
             prefill_cost.PrefillCost
         )
@@ -315,27 +342,27 @@
 
     def emit(self, effect: effects.Effect) -> None:
         """Adds an effect to the current input's result."""
-        self.out.append(effect)
+        self.pending_effects.append(effect)
 
     def event(
         self, name: str, request_id: str = "", **fields: str | int | float
     ) -> None:
-        """Emits a log line with its pairs in the order given."""
+        """Emits a log event with its fields in the order given."""
         pairs = tuple(effects.Field(k, v) for k, v in fields.items())
-        self.out.append(effects.Event(name, request_id, pairs))
+        self.pending_effects.append(effects.Event(name, request_id, pairs))
 
     def next_attempt_id(self) -> str:
-        """Returns an id that no other daemon or incarnation uses."""
+        """Returns an attempt id that is unique across daemons and restarts."""
         self.attempt_counter += 1
         return f"{self.daemon}.{self.attempt_counter}"
 
     @property
-    def right_to_serve(self) -> bool:
-        """Whether new work may start, as of the current input's time."""
-        return self.now_ms < self.right_until_ms
+    def has_serving_lease(self) -> bool:
+        """Whether new work may start at the current input's time."""
+        return self.now_ms < self.serving_lease_until_ms
 
-    def queued(self) -> int:
-        """Returns how many requests are held back."""
+    def queued_count(self) -> int:
+        """Returns the number of queued requests."""
         return sum(
             len(queue)
             for by_rank in self.queues.values()
@@ -345,7 +372,7 @@
 
 __all__ = [
     "AttemptRow",
-    "NoticeRow",
+    "AvailabilityNotice",
     "OutcomeRow",
     "Phase",
     "RequestRow",
--- a/src/godwittack/core/outcomes.py
+++ b/src/godwittack/core/outcomes.py
@@ -1,4 +1,4 @@
-"""Writes what became of claimed calls until the table service has it."""
+"""Writes outcomes of claimed calls until the table service confirms them."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
     state: work.ClaimState,
     answer: work.Answer | None = None,
 ) -> None:
-    """Writes the outcome of a request's claim, now and until it holds.
+    """Writes the outcome of a request's claim, and retries until confirmed.
 
-    The row outlives the request: a caller that was told "not run" may come
-    back, and finds its key released once the write has taken effect.
+    The row outlives the request: a caller that got "not run" may retry the
+    call, and finds its key released once the write has taken effect.
     """
     if request.claim_key is None:
         return
@@ -33,29 +33,31 @@
             fingerprint=request.work.fingerprint,
             answer=answer,
         ),
-        since_ms=world.now_ms,
+        first_write_ms=world.now_ms,
     )
     world.outcomes[request.request_id] = row
     _send(world, row)
 
 
-def stored(world: entities.World, told: inputs.OutcomeStored) -> bool:
-    """Takes in whether a write held; returns True where it did."""
-    row = world.outcomes.get(told.request_id)
+def apply_write_result(
+    world: entities.World, result: inputs.OutcomeStored
+) -> bool:
+    """Applies the result of a write; returns whether it succeeded."""
+    row = world.outcomes.get(result.request_id)
     if row is None:
         return False
-    if told.stored:
-        del world.outcomes[told.request_id]
+    if result.stored:
+        del world.outcomes[result.request_id]
         return True
-    row.next_try_at_ms = world.now_ms + world.policy.store_retry_ms
+    row.next_retry_at_ms = world.now_ms + world.policy.store_retry_ms
     return False
 
 
-def retry_due(world: entities.World) -> None:
-    """Sends again what the table service has not confirmed."""
+def retry_due_writes(world: entities.World) -> None:
+    """Retries writes that the table service has not confirmed."""
     for row in list(world.outcomes.values()):
-        if row.next_try_at_ms and row.next_try_at_ms <= world.now_ms:
-            row.next_try_at_ms = 0
+        if row.next_retry_at_ms and row.next_retry_at_ms <= world.now_ms:
+            row.next_retry_at_ms = 0
             _send(world, row)
 
 
@@ -63,4 +65,4 @@
     world.emit(effects.StoreOutcome(row.request_id, row.key, row.claim))
 
 
-__all__ = ["retry_due", "store", "stored"]
+__all__ = ["apply_write_result", "retry_due_writes", "store"]
--- a/src/godwittack/core/placing.py
+++ b/src/godwittack/core/placing.py
@@ -150,13 +150,13 @@
     request: entities.RequestRow,
 ) -> bool:
     """Returns whether a server accepts new work, rest periods aside."""
-    if server.leaving or server.server_id in request.avoid:
+    if server.leaving or server.server_id in request.excluded_servers:
         return False
     if world.now_ms < max(server.ejected_until_ms, server.draining_until_ms):
         return False
     # After an ejection a server gets one request at a time until one of them
     # succeeds: if it still fails, its full share of requests would fail.
-    if server.ejected_until_ms and server.trial_attempt:
+    if server.ejected_until_ms and server.trial_attempt_id:
         return False
     if not rate_limits.has_room(world, server):
         return False
@@ -186,7 +186,7 @@
         in_flight = 0
     unreported = 0
     unreported_tokens = 0
-    for attempt in server.sent.values():
+    for attempt in server.in_flight.values():
         if stale or attempt.sent_at_ms > server.reported_at_ms:
             unreported += 1
             if not attempt.opened:
@@ -200,7 +200,7 @@
     slots = server.slots or world.policy.slots
     if in_flight >= slots:
         completion_interval_ms = (
-            world.service_ms.get(server.target, 0.0) / slots
+            world.service_time_ms.get(server.target, 0.0) / slots
         )
         backlog_ms += (in_flight - slots + 1) * completion_interval_ms
     return backlog_ms
@@ -227,10 +227,10 @@
     for level in request.work.levels:
         if len(names) == 1:
             break
-        share = world.heat.share(
+        share = world.level_demand.share(
             request.work.target, level.key, now_ms=world.now_ms
         )
-        server_count = world.heat.server_count(
+        server_count = world.level_demand.server_count(
             level.key,
             servers_needed=share * total * SPREAD_FACTOR,
             max_servers=len(names),
@@ -244,12 +244,12 @@
     target = request.work.target
     world.shares.arrived(model_cell(target))
     for level in request.work.levels:
-        if not world.heat.has_key(level.key):
+        if not world.level_demand.has_key(level.key):
             break
-        request.known_tokens += level.tokens
-    world.heat.add_total(target, now_ms=world.now_ms)
+        request.seen_tokens += level.tokens
+    world.level_demand.add_total(target, now_ms=world.now_ms)
     for level in request.work.levels:
-        world.heat.add(level.key, now_ms=world.now_ms)
+        world.level_demand.add(level.key, now_ms=world.now_ms)
 
 
 def uncached_tokens(
@@ -319,7 +319,7 @@
     def load(server: entities.ServerRow) -> int:
         unreported = sum(
             1
-            for attempt in server.sent.values()
+            for attempt in server.in_flight.values()
             if attempt.sent_at_ms > server.reported_at_ms
         )
         return server.running + server.waiting + unreported
--- a/src/godwittack/core/prefill_cost.py
+++ b/src/godwittack/core/prefill_cost.py
@@ -99,7 +99,7 @@
     """
     if server.prefill_us_per_token:
         return float(server.prefill_us_per_token)
-    estimated = world.paces[server.target].us_per_token
+    estimated = world.prefill_costs[server.target].us_per_token
     return estimated or float(world.policy.prefill_us_per_token)
 
 
@@ -111,7 +111,7 @@
     """Updates the estimate when the first token of an attempt arrives."""
     if not world.policy.learns_pace:
         return
-    estimate = world.paces[server.target]
+    estimate = world.prefill_costs[server.target]
     before = estimate.us_per_token
     estimate.add_sample(
         tokens=attempt.expected_tokens,
--- a/src/godwittack/core/refusing.py
+++ b/src/godwittack/core/refusing.py
@@ -1,4 +1,4 @@
-"""Refuses requests that were let in, and says when to come back."""
+"""Refuses admitted requests, with the time after which to retry."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
 MAX_RETRY_MS = 60_000
 
 
-def not_run(
+def refuse_unassigned(
     world: entities.World,
     request: entities.RequestRow,
     reason: effects.Reason,
     detail: str,
     retry_after_ms: int,
 ) -> None:
-    """Refuses a request that waits for nothing at any server.
+    """Refuses a request that has no attempt in flight.
 
-    That it has not run is said only where no byte can have reached a server.
+    The outcome is NOT_RUN only if no byte can have reached a server.
     """
-    if not request.sent:
+    if not request.may_have_run:
         outcomes.store(world, request, work.ClaimState.RELEASED)
         outcome = effects.Outcome.NOT_RUN
     else:
@@ -51,24 +51,28 @@
     )
 
 
-def no_server(world: entities.World, request: entities.RequestRow) -> None:
-    """Refuses a request that no server takes in its time."""
+def refuse_no_server(
+    world: entities.World, request: entities.RequestRow
+) -> None:
+    """Refuses a request that no server can accept in time."""
     target = request.work.target
-    left_out = availability.left_out(world, target)
-    why = "".join(f"; {name}: {ids}" for name, ids in left_out.items())
-    not_run(
+    excluded = availability.left_out(world, target)
+    reasons = "".join(f"; {name}: {ids}" for name, ids in excluded.items())
+    refuse_unassigned(
         world,
         request,
         effects.Reason.NO_SERVER,
-        f"no backend server of {target} takes work now{why}",
-        return_ms(world, request) or NO_SERVER_RETRY_MS,
+        f"no backend server of {target} takes work now{reasons}",
+        capacity_wait_ms(world, request) or NO_SERVER_RETRY_MS,
     )
 
 
-def quarantined(world: entities.World, request: entities.RequestRow) -> None:
-    """Refuses a request under which servers ended."""
+def refuse_quarantined(
+    world: entities.World, request: entities.RequestRow
+) -> None:
+    """Refuses a request whose content is in quarantine."""
     world.event("in_quarantine", request.request_id, content=request.content)
-    not_run(
+    refuse_unassigned(
         world,
         request,
         effects.Reason.QUARANTINED,
@@ -77,28 +81,28 @@
     )
 
 
-def late(
+def refuse_late(
     world: entities.World, request: entities.RequestRow, wait_ms: float
 ) -> None:
-    """Refuses a held-back request that can no longer be in time."""
-    not_run(
+    """Refuses a queued request that can no longer meet its deadline."""
+    refuse_unassigned(
         world,
         request,
         effects.Reason.DEADLINE,
         "its turn did not come before the deadline",
-        retry_after_ms(wait_ms),
+        clamp_retry_after_ms(wait_ms),
     )
 
 
-def taken_away(
+def refuse_revoked(
     world: entities.World,
     request: entities.RequestRow,
     refusal: routing.Refusal,
 ) -> None:
-    """Refuses a request whose key or right was taken away while it waited."""
+    """Refuses a request whose key or permission was revoked meanwhile."""
     outcome = effects.Outcome.NOT_RUN
     status = refusal.status
-    if request.sent:
+    if request.may_have_run:
         outcome, status = effects.Outcome.UNKNOWN, 502
     closing.refuse(
         world,
@@ -111,8 +115,10 @@
     )
 
 
-def return_ms(world: entities.World, request: entities.RequestRow) -> int:
-    """Returns when a server has room or is rested; 0 where none tells."""
+def capacity_wait_ms(
+    world: entities.World, request: entities.RequestRow
+) -> int:
+    """Returns the time until a server has capacity again; 0 if not known."""
     limit_ms = rate_limits.retry_after_ms(world, request.work.target)
     rested_ms = resting.return_ms(world, request)
     if limit_ms and rested_ms:
@@ -120,25 +126,25 @@
     return limit_ms or rested_ms
 
 
-def retry_after_ms(wait_ms: float) -> int:
-    """Returns when to come back after a wait that would be too long."""
+def clamp_retry_after_ms(wait_ms: float) -> int:
+    """Returns when to retry if the estimated wait is too long."""
     return int(min(MAX_RETRY_MS, max(MIN_RETRY_MS, wait_ms)))
 
 
 def _not_served_status(
     request: entities.RequestRow, outcome: effects.Outcome
 ) -> int:
-    # To callers that come by a route, 503 alone says that nothing has run.
+    # Callers that use a route take 503 to mean that nothing has run.
     may_have_run = outcome is not effects.Outcome.NOT_RUN
     return 502 if request.work.route and may_have_run else 503
 
 
 __all__ = [
-    "late",
-    "no_server",
-    "not_run",
-    "quarantined",
-    "retry_after_ms",
-    "return_ms",
-    "taken_away",
+    "capacity_wait_ms",
+    "clamp_retry_after_ms",
+    "refuse_late",
+    "refuse_no_server",
+    "refuse_quarantined",
+    "refuse_revoked",
+    "refuse_unassigned",
 ]
--- a/src/godwittack/core/retries.py
+++ b/src/godwittack/core/retries.py
@@ -38,7 +38,7 @@
         target=request.work.target,
         limit=limit.value,
         attempts=request.attempts,
-        runs=request.runs,
+        runs=request.possible_runs,
         **budget_state(world, request.work.target),
     )
     return False
@@ -52,9 +52,9 @@
     return {
         "tokens": round(shared.tokens, 2),
         "part": round(shared.part, 2),
-        "daemons": world.most_daemons,
+        "daemons": world.max_expected_daemons,
         "live": len(world.live_daemons),
-        "known": world.known_daemons,
+        "known": world.expected_daemons,
         "view_age_ms": world.now_ms - world.members_changed_ms,
     }
 
@@ -91,8 +91,10 @@
         return request.attempts >= world.policy.max_attempts
     # A server that declined has not run the request, so that it counts
     # against no limit of the route.
-    declined = request.attempts - request.runs
-    return request.runs >= route.max_attempts or declined > MAX_DECLINED
+    declined = request.attempts - request.possible_runs
+    return (
+        request.possible_runs >= route.max_attempts or declined > MAX_DECLINED
+    )
 
 
 def _shared_budget(world: entities.World, target: str) -> budget.SharedBudget:
@@ -102,7 +104,7 @@
     to more than the whole.
     """
     policy = world.policy
-    part = policy.retry_burst / world.most_daemons
+    part = policy.retry_burst / world.max_expected_daemons
     found = world.target_budgets.get(target)
     if found is None:
         found = world.target_budgets[target] = budget.SharedBudget(
--- a/src/godwittack/core/sourcing.py
+++ b/src/godwittack/core/sourcing.py
@@ -304,7 +304,7 @@
     world: entities.World, request: entities.RequestRow
 ) -> float:
     """Returns the microseconds per prompt token of the target's engines."""
-    estimated = world.paces[request.work.target].us_per_token
+    estimated = world.prefill_costs[request.work.target].us_per_token
     return estimated or float(world.policy.prefill_us_per_token)
 
 
--- a/tests/cases/availability.py
+++ b/tests/cases/availability.py
@@ -122,7 +122,11 @@
     _rest(core, sent.server_id)
     core.fail(sent, DECLINED, REFUSED)
     row = core.world.servers[sent.server_id]
-    assert (row.failures, row.ejected_until_ms, row.broken) == (0, 0, [])
+    assert (
+        row.consecutive_failures,
+        row.ejected_until_ms,
+        row.possible_crashes,
+    ) == (0, 0, [])
     assert core.dispatch().server_id != sent.server_id
 
 
@@ -223,7 +227,7 @@
     _rest_all(core, 1_000)
     core.arrive("release", deadline_ms=3_000)
     core.wait(1_050)
-    (turn,) = core.world.turns.values()
+    (turn,) = core.world.dispatch_pacing.values()
     assert turn.smoothed_ms == 0
 
 
@@ -233,10 +237,10 @@
     for number in range(availability.MOST_NOTICES + 10):
         core.tell(server_inputs.ServerLeaving, f"gone{number}", "")
     _rest(core, "s1")
-    assert len(core.world.notices) == availability.MOST_NOTICES
+    assert len(core.world.availability_notices) == availability.MOST_NOTICES
     core.wait(3_100)
-    assert "s1" not in core.world.notices
-    assert not core.world.resting
+    assert "s1" not in core.world.availability_notices
+    assert not core.world.resting_servers
 
 
 def _read(status: int = 503, **told: str) -> signals.ServerSignals:
@@ -309,7 +313,7 @@
         second = core.dispatch()
         assert second.server_id != first.server_id
         request = core.world.requests[name]
-        assert (request.attempts, request.runs) == (1, 1)
+        assert (request.attempts, request.possible_runs) == (1, 1)
         budget = core.world.target_budgets[routed_core.SERVICE]
         assert budget.tokens == tokens
         core.answer(second)
--- a/tests/cases/sourcing.py
+++ b/tests/cases/sourcing.py
@@ -81,7 +81,7 @@
     first = _ask(core, "r1")
     core.now_ms += 1_000
     holder = core.world.servers[first.server_id]
-    holder.backlog[0] = core.now_ms + 500.0
+    holder.backlog_until_ms[0] = core.now_ms + 500.0
     second = _ask(core, "r2")
     assert second.server_id != first.server_id
     assert second.kv_fetch_from in (holder.address, STORE)
@@ -147,7 +147,7 @@
     small = (work.Level(7, 55), work.Level(8, 37), work.Level(9, 300))
     for running, is_left in ((1, False), (7, True)):
         core = _core(servers=6)
-        core.world.service_ms[routed_core.ENGINES] = 350.0
+        core.world.service_time_ms[routed_core.ENGINES] = 350.0
         core.arrive("short", "first", levels=small)
         first = core.dispatch()
         core.open(first)
@@ -179,7 +179,7 @@
     sent = collections.Counter()
     for daemon in range(daemons):
         core = _core(servers=engines)
-        core.world.service_ms[routed_core.ENGINES] = 350.0
+        core.world.service_time_ms[routed_core.ENGINES] = 350.0
         for number in range(1, engines + 1):
             core.tell_named(
                 server_inputs.LoadReported,
@@ -340,7 +340,7 @@
     key = levels.key_for_weights(SHARED.key, "1")
     for holder in ("e1", "keep"):
         _digest(core, holder, stored=(key,), tokens=(13_000,))
-    core.world.servers["e1"].backlog[0] = core.now_ms + 500.0
+    core.world.servers["e1"].backlog_until_ms[0] = core.now_ms + 500.0
     core.arrive("long", "r1", levels=(greeting, SHARED, OWN))
     sent = core.dispatch()
     assert sent.server_id != "e1"
