--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -22,7 +22,7 @@
 from typing import TYPE_CHECKING
 
 from godwittack.core import inputs, router, server_inputs, work
-from godwittack.member import duty, view
+from godwittack.member import assignment, view
 from godwittack.peer import codec, datagram, exchange, peer_pb2, pending, wire
 from godwittack.peer import server as peer_server
 from godwittack.table import model, schema
@@ -189,7 +189,7 @@
 
     def run(count: int) -> Callable[[], object]:
         def feed() -> object:
-            return [duty.watcher(f"s{n}", members) for n in range(count)]
+            return [assignment.watcher(f"s{n}", members) for n in range(count)]
 
         return feed
 
--- a/bench/peers.py
+++ b/bench/peers.py
@@ -19,7 +19,7 @@
 from godwittack.clock import SystemClock
 from godwittack.core import inputs, server_inputs
 from godwittack.daemon import listing
-from godwittack.member import duty, view
+from godwittack.member import assignment, view
 from godwittack.peer import codec, datagram, exchange, peer_pb2, pending, wire
 from godwittack.peer import server as peer_server
 from godwittack.store import http
@@ -146,7 +146,7 @@
         await server.start(peer.member.peer_address)
         await socket.start(peer.member.peer_address, handler=peer)
     read = await _list_hash(asked.platform_url)
-    readers = duty.list_readers([peer.member for peer in peers])
+    readers = assignment.list_readers([peer.member for peer in peers])
     for peer in peers:
         peer.list_hash = read if peer.member in readers else 0
     print("listening", flush=True)
--- a/src/godwittack/core/doubt.py
+++ b/src/godwittack/core/doubt.py
@@ -18,7 +18,7 @@
     server_inputs,
     servers,
 )
-from godwittack.member import duty
+from godwittack.member import assignment
 
 if TYPE_CHECKING:
     from godwittack.core import entities
@@ -76,7 +76,7 @@
     In a large fleet one daemon polls each engine and publishes its load. The
     subscribers of those reports need no probes of their own.
     """
-    if len(world.live_daemons) <= duty.MESH_LIMIT:
+    if len(world.live_daemons) <= assignment.MESH_LIMIT:
         return False
     if server.target not in world.table.models or server.reported_at_ms < 0:
         return False
@@ -142,9 +142,9 @@
         usual_ms = world.service_ms.get(server.target, 0.0)
         least_ms = max(least_ms, SERVICE_TIMES * usual_ms)
     names = tuple(sorted(world.live_daemons))
-    if len(names) <= duty.MESH_LIMIT or world.daemon not in names:
+    if len(names) <= assignment.MESH_LIMIT or world.daemon not in names:
         return least_ms
-    order = duty.askers(server.server_id, names)
+    order = assignment.askers(server.server_id, names)
     return least_ms + SPREAD_MS * order.index(world.daemon) / len(order)
 
 
--- a/src/godwittack/daemon/demand.py
+++ b/src/godwittack/daemon/demand.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from godwittack.core import placing
-from godwittack.member import duty
+from godwittack.member import assignment
 
 if TYPE_CHECKING:
     from godwittack.core import inputs
@@ -33,7 +33,7 @@
     split its limits; a daemon that other callers use all the same tells them
     too, and is told by those that it has told.
     """
-    if len(members) <= duty.MESH_LIMIT:
+    if len(members) <= assignment.MESH_LIMIT:
         return {member.member_id: list(demands) for member in members}
     told: dict[str, list[inputs.CellDemand]] = collections.defaultdict(list)
     for demand in demands:
--- a/src/godwittack/daemon/edge.py
+++ b/src/godwittack/daemon/edge.py
@@ -36,7 +36,7 @@
 from godwittack.entry import directory, forward
 from godwittack.lead import lease as leases
 from godwittack.lead import rollout
-from godwittack.member import confirmed, duty, freshness, serving
+from godwittack.member import assignment, freshness, serving, store_lease
 from godwittack.platform import callers, names, rows, servers, table
 from godwittack.platform import directory as resolving
 from godwittack.platform import instances as list_rows
@@ -125,7 +125,7 @@
         self._keeper = keeping.FeedKeeper(
             runtime=self.runtime,
             peers=self._peers,
-            right=confirmed.ConfirmedRight(
+            right=store_lease.ConfirmedRight(
                 bound_ms=settings.key_bound_ms - KEY_MARGIN_MS
             ),
             members=members,
@@ -232,7 +232,7 @@
             wire=resolving.DirectoryFormat(),
             serving=self._serving,
         )
-        self._store_readers = duty.Assigned(duty.store_readers)
+        self._store_readers = assignment.Assigned(assignment.store_readers)
         self._loops = base.Loops()
         self._tasks: set[asyncio.Task[None]] = set()
         self._listeners = listening.Listeners(clock, delay)
--- a/src/godwittack/daemon/lead.py
+++ b/src/godwittack/daemon/lead.py
@@ -13,9 +13,9 @@
 from godwittack.core import incarnation, server_inputs
 from godwittack.daemon import model_state, rollout_log, watch
 from godwittack.daemon import news as newses
-from godwittack.lead import answers, rollout, turn
 from godwittack.lead import lease as leases
-from godwittack.member import duty
+from godwittack.lead import order_result, rollout, takeover
+from godwittack.member import assignment
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -57,7 +57,7 @@
         policy: leases.LeasePolicy,
         rollout_policy: rollout.RolloutPolicy | None = None,
         measures: rollout_log.Measures | None = None,
-        audience: duty.Audience | None = None,
+        audience: assignment.Audience | None = None,
     ) -> None:
         """Leads nothing yet.
 
@@ -72,7 +72,7 @@
             measures: Takes figures of loads.
             audience: Chooses who hears of a model's servers.
         """
-        self._audience = audience or duty.ByTarget()
+        self._audience = audience or assignment.ByTarget()
         self._log = rollout_log.RolloutLog(clock=core.clock, measures=measures)
         self._rollout_policy = rollout_policy or rollout.RolloutPolicy()
         # What is behind which version, and since when that is so.
@@ -149,14 +149,14 @@
 
     def _place(self, model: str, led: _Led) -> int:
         """Returns how many daemons come before this one."""
-        ranked = duty.leaders(
+        ranked = assignment.leaders(
             model,
             self._members.serving(),
             self._core.core.world.table.targets,
             self._audience,
         )
         own = self._members.me.member_id
-        return turn.rank(own, led.lease.holder, ranked)
+        return takeover.rank(own, led.lease.holder, ranked)
 
     def _log_wait(self, model: str, led: _Led, why: rollout_log.Wait) -> None:
         if self._log.last_wait(model) is why:
@@ -177,7 +177,7 @@
             # change. Taken for lost, it would have to wait a lease for what
             # it had ordered itself, and take the right back after that.
             return False
-        return turn.is_own(
+        return takeover.is_own(
             place=place,
             unchanged_ms=self._core.clock.now_ms() - since_ms,
             idle_ms=led.lease.idle_ms(),
@@ -299,11 +299,11 @@
         limit_ms = policy.load_limit_ms
         answer = await self._order(led, server, wanted)
         if answer.is_refusal:
-            if answer is not answers.Answer.RESTARTED:
+            if answer is not order_result.Answer.RESTARTED:
                 led.rollout.failed(server.server_id, now_ms=clock.now_ms())
             outcome = rollout_log.OrderOutcome.REFUSED
             limit_ms = 0
-        elif answer is answers.Answer.TAKEN:
+        elif answer is order_result.Answer.TAKEN:
             led.rollout.taken(server.server_id)
             limit_ms = policy.taken_limit_ms
         if await self._is_loaded(server, wanted, limit_ms=limit_ms):
@@ -337,17 +337,17 @@
 
     async def _order(
         self, led: _Led, server: entities.ServerRow, wanted: str
-    ) -> answers.Answer:
+    ) -> order_result.Answer:
         """Gives an order; returns what became of it."""
         drained = server.incarnation
         state = await self._look(server)
         if server.incarnation != drained:
             # Its drain was the process's before; all daemons send work to it.
-            return answers.Answer.RESTARTED
+            return order_result.Answer.RESTARTED
         # Asked again right before sending: this daemon may have been stopped
         # since the last look, and another holder may be at work.
         if not led.lease.may_send(server.server_id):
-            return answers.Answer.REFUSED
+            return order_result.Answer.REFUSED
         got = await self._client.order(
             server.address,
             backend.Order(
@@ -368,10 +368,10 @@
             led.lease.fencing,
             detail,
         )
-        answer = answers.of(got)
-        if answer is answers.Answer.OLD_FENCING:
+        answer = order_result.of(got)
+        if answer is order_result.Answer.OLD_FENCING:
             led.lease.forfeit()
-        elif answer is answers.Answer.OTHER_SERVER:
+        elif answer is order_result.Answer.OTHER_SERVER:
             now_ms = self._core.clock.now_ms()
             self._core.submit(
                 server_inputs.ServerLeaving(now_ms, server.server_id)
--- a/src/godwittack/daemon/listing.py
+++ b/src/godwittack/daemon/listing.py
@@ -9,7 +9,7 @@
 from result import Err
 
 from godwittack.core import server_inputs
-from godwittack.member import duty
+from godwittack.member import assignment
 from godwittack.store import protocol as platform
 
 if TYPE_CHECKING:
@@ -61,8 +61,10 @@
         self._heard_at_ms = -UNHEARD_MS
         self._differs_since_ms = 0
         self._told_hash = 0
-        self._reader_ids = duty.Assigned(
-            lambda live: frozenset(m.member_id for m in duty.list_readers(live))
+        self._reader_ids = assignment.Assigned(
+            lambda live: frozenset(
+                m.member_id for m in assignment.list_readers(live)
+            )
         )
         news.on_listed = self.told
 
@@ -132,7 +134,7 @@
         return self._reader_ids.among(self._members.live())
 
     def _all_read(self) -> bool:
-        return len(self._members.live()) <= duty.MESH_LIMIT
+        return len(self._members.live()) <= assignment.MESH_LIMIT
 
     def _put(self, listed: dict[str, platform.Instance]) -> Changes:
         """Puts a list in force and returns what is new in it."""
--- a/src/godwittack/daemon/news.py
+++ b/src/godwittack/daemon/news.py
@@ -8,7 +8,7 @@
 from godwittack.core import inputs, server_inputs
 from godwittack.daemon import demand
 from godwittack.daemon import outbox as outboxes
-from godwittack.member import duty
+from godwittack.member import assignment
 from godwittack.peer import codec, pending
 
 if TYPE_CHECKING:
@@ -50,7 +50,7 @@
         members: view.View,
         runtime: runtimes.Runtime,
         client: outboxes.NewsClient,
-        audience: duty.Audience | None = None,
+        audience: assignment.Audience | None = None,
     ) -> None:
         """Tells and takes news for the member `members.me`.
 
@@ -60,7 +60,7 @@
             client: Opens streams to other daemons.
             audience: Chooses who hears of a target's servers.
         """
-        self._audience = audience or duty.ByTarget()
+        self._audience = audience or assignment.ByTarget()
         self.on_listed: Callable[
             [dict[str, platform.Instance | None]], None
         ] = lambda changes: None
--- a/src/godwittack/daemon/serve.py
+++ b/src/godwittack/daemon/serve.py
@@ -27,7 +27,7 @@
 )
 from godwittack.entry import calls, operate, status, token
 from godwittack.lead import lease as leases
-from godwittack.member import right
+from godwittack.member import serving_lease
 from godwittack.report import ledger
 from godwittack.session import record
 from godwittack.store import http as platform_http
@@ -87,7 +87,7 @@
             tables=store,
             runtime=self.runtime,
             peers=self._peers,
-            right=right.ServeRight(settings.member_policy()),
+            right=serving_lease.ServeRight(settings.member_policy()),
             rng=rng,
         )
         self._news = news.News(
--- a/src/godwittack/daemon/tables.py
+++ b/src/godwittack/daemon/tables.py
@@ -18,7 +18,7 @@
     from collections.abc import Callable
 
     from godwittack.daemon import runtime as runtimes
-    from godwittack.member import right
+    from godwittack.member import serving_lease
     from godwittack.peer import exchange
     from godwittack.table import store
 
@@ -33,7 +33,7 @@
 
     runtime: runtimes.Runtime
     peers: exchange.PeerClient
-    right: right.Right
+    right: serving_lease.Right
     on_adopted: Callable[[], None] = lambda: None
     _fetching: bool = False
 
--- a/src/godwittack/daemon/watch.py
+++ b/src/godwittack/daemon/watch.py
@@ -16,7 +16,7 @@
 from godwittack.daemon import digest as digests
 from godwittack.daemon import loads
 from godwittack.daemon import news as newses
-from godwittack.member import duty
+from godwittack.member import assignment
 
 if TYPE_CHECKING:
     from godwittack.core import entities
@@ -125,7 +125,8 @@
             self._duties = {
                 name
                 for name, row in servers.items()
-                if duty.watcher(name, self._news.audience(row.target)) == own
+                if assignment.watcher(name, self._news.audience(row.target))
+                == own
             }
         return self._duties
 
--- a/src/godwittack/entry/status.py
+++ b/src/godwittack/entry/status.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from godwittack.entry import parse, refusal
-from godwittack.member import duty, view
+from godwittack.member import assignment, view
 
 if TYPE_CHECKING:
     from godwittack.config import settings as configs
@@ -43,7 +43,7 @@
                 reason="forbidden",
             )
         target = request.query.get("model", "")
-        chosen = duty.where(
+        chosen = assignment.where(
             workspace=workspace,
             target=target,
             members=self.members.serving() or [self.members.me],
--- a/src/godwittack/limit/advertised.py
+++ b/src/godwittack/limit/advertised.py
@@ -13,7 +13,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from godwittack.member import duty
+from godwittack.member import assignment
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -51,7 +51,7 @@
         """
         names = tuple(sorted(daemons))
         count = min(len(names), LEAST_HOLDERS + math.floor(self.per_s))
-        held = own in duty.rank(f"limit/{server_id}", names)[:count]
+        held = own in assignment.rank(f"limit/{server_id}", names)[:count]
         rate_per_s = max(self.per_s, LEAST_RATE_PER_S)
         self.part_per_s = rate_per_s / count if held else 0.0
 
--- a/src/godwittack/limit/shares.py
+++ b/src/godwittack/limit/shares.py
@@ -6,7 +6,7 @@
 import dataclasses
 import math
 
-from godwittack.member import duty
+from godwittack.member import assignment
 
 WINDOW_MS = 500
 # Part of a window's demand that enters the figure told. Shares that follow
@@ -211,7 +211,7 @@
         none = Told(0.0, 0.0)
         # Among hundreds of daemons few see a cell's requests; the rest would
         # each hold a part of its free room that nobody uses.
-        everyone = len(self.live) <= duty.MESH_LIMIT
+        everyone = len(self.live) <= assignment.MESH_LIMIT
         some = self.groups[cell] | told.keys()
         names = (self.live if everyone else some) | {self.daemon}
         return {name: told.get(name, none) for name in sorted(names)}
--- a/src/godwittack/member/serving.py
+++ b/src/godwittack/member/serving.py
@@ -15,7 +15,7 @@
 
 from absl import logging
 
-from godwittack.member import duty, view
+from godwittack.member import assignment, view
 
 
 class Role(enum.StrEnum):
@@ -101,7 +101,7 @@
     addresses while the whole fleet starts anew.
     """
     addresses = tuple(sorted(member.peer_address for member in members))
-    order = duty.rank("serving", addresses)
+    order = assignment.rank("serving", addresses)
     place = {address: number for number, address in enumerate(order)}
     return sorted(
         members, key=lambda m: (-m.capacity_millicores, place[m.peer_address])
@@ -130,7 +130,7 @@
         """
         self._members = members
         self._policy = policy
-        self._sets = duty.Assigned(self._choose)
+        self._sets = assignment.Assigned(self._choose)
         self._role: Role | None = None
 
     def chosen(self) -> ServingSet:
--- a/tests/cases/fleet_bounds.py
+++ b/tests/cases/fleet_bounds.py
@@ -12,7 +12,7 @@
 from godwittack.core import effects, entities, inputs, server_inputs, servers
 from godwittack.daemon import news
 from godwittack.limit import budget
-from godwittack.member import duty, view
+from godwittack.member import assignment, view
 from sim import loop
 from standins.scripted import Say, ScriptedServer
 
@@ -46,9 +46,9 @@
     targets = tuple(f"model-{number}" for number in range(MODELS))
     deaf = []
     for target in targets:
-        audience = duty.ByTarget(MESH_LIMIT)
+        audience = assignment.ByTarget(MESH_LIMIT)
         hears = audience.among(target, members, targets)
-        first = duty.leaders(target, members, targets, audience)[0]
+        first = assignment.leaders(target, members, targets, audience)[0]
         if first not in {member.member_id for member in hears}:
             deaf.append(target)
     assert not deaf, (len(deaf), MODELS)
--- a/tests/cases/rollout_bounds.py
+++ b/tests/cases/rollout_bounds.py
@@ -13,7 +13,7 @@
 from godwittack.core import backlog, inputs, server_inputs
 from godwittack.daemon import lead, model_state, watch
 from godwittack.lead import lease, pacing, rollout
-from godwittack.member import duty, view
+from godwittack.member import assignment, view
 from sim import fakes, loop
 
 # From an order under load to the report of new weights, where the requests
@@ -117,11 +117,11 @@
         engines = one_lead.Engines(clock, load_s=LOADED_S)
         table = fakes.TableFake(random.Random(1))
         names = ("a", "b")
-        ranked = duty.leaders(
+        ranked = assignment.leaders(
             one_lead.MODEL,
             [_member(n) for n in names],
             (one_lead.MODEL,),
-            duty.ByTarget(),
+            assignment.ByTarget(),
         )
         first, second = (
             _Daemon(name, names, engines=engines, table=table, use_limit_ms=0)
--- a/tests/cases/weights.py
+++ b/tests/cases/weights.py
@@ -8,7 +8,7 @@
 from godwittack.core import effects, inputs, server_inputs
 from godwittack.daemon import keeping
 from godwittack.lead import rollout
-from godwittack.member import confirmed, freshness
+from godwittack.member import freshness, store_lease
 
 if TYPE_CHECKING:
     from godwittack.table import model
@@ -239,7 +239,7 @@
         self.keeper = keeping.FeedKeeper(
             runtime=_Running(self.core),
             peers=None,
-            right=confirmed.ConfirmedRight(bound_ms=routed_core.ALLOWED_MS),
+            right=store_lease.ConfirmedRight(bound_ms=routed_core.ALLOWED_MS),
             members=None,
             known=freshness.Freshness(topic=freshness.Topic.TABLE),
         )
--- a/tests/features/steps/fleet_steps.py
+++ b/tests/features/steps/fleet_steps.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 
 from godwittack.core import entities, inputs, server_inputs, splitting, work
-from godwittack.member import duty
+from godwittack.member import assignment
 from godwittack.store import protocol as platform
 from sim import fleet as fleets
 from sim import loop
@@ -153,7 +153,7 @@
 def _audiences(daemons: int, models: int, *, without: str = ""):
     names = tuple(name for name in _names(daemons) if name != without)
     targets = tuple(sorted(f"model-{n}" for n in range(models)))
-    return {t: duty.audience_names(t, names, targets) for t in targets}
+    return {t: assignment.audience_names(t, names, targets) for t in targets}
 
 
 async def _started(daemons: int) -> fleets.Fleet:
@@ -197,7 +197,7 @@
     await asyncio.sleep(30)
     fleet.heal()
     members = deaf.gossiper.members.live()
-    for reader in duty.list_readers(members):
+    for reader in assignment.list_readers(members):
         next(d for d in fleet.alive() if d.name == reader.member_id).kill()
     _list(fleet, 22)
     await asyncio.sleep(20)
@@ -241,7 +241,7 @@
     fleet = await _started(daemons)
     live = fleet.daemons[0].gossiper.members.live()
     names = tuple(member.member_id for member in live)
-    group = duty.group_names("desk", "rulebook", names, ())
+    group = assignment.group_names("desk", "rulebook", names, ())
     stray = next(d for d in fleet.alive() if d.name not in group)
     fleet.users = [d for d in fleet.alive() if d.name in group] + [stray]
     for daemon in fleet.users:
--- a/tests/sim/fleet.py
+++ b/tests/sim/fleet.py
@@ -20,7 +20,7 @@
     tables,
     watch,
 )
-from godwittack.member import right, view
+from godwittack.member import serving_lease, view
 from godwittack.report import ledger
 from godwittack.store import protocol as platform
 from godwittack.table import model, store
@@ -73,7 +73,7 @@
         )
         tables_store = store.TableStore(self.table, fleet.objects)
         peers = ways.FleetPeers(fleet, self)
-        self.right = right.ServeRight(policy)
+        self.right = serving_lease.ServeRight(policy)
         self.keeper = tables.PolledKeeper(
             tables=tables_store,
             runtime=self.runtime,
--- a/tests/sim/leads.py
+++ b/tests/sim/leads.py
@@ -8,7 +8,7 @@
 
 from result import Err
 
-from godwittack.lead import lease, pacing, rollout, turn
+from godwittack.lead import lease, pacing, rollout, takeover
 from godwittack.store import protocol as platform
 from sim import fakes, loop, sent_orders
 
@@ -224,8 +224,8 @@
         world = self.world
         ranked = [lead.name for lead in world.leads]
         unchanged_s = world.loop.time() - self._behind[1]
-        return turn.is_own(
-            place=turn.rank(self.name, self.lease.holder, ranked),
+        return takeover.is_own(
+            place=takeover.rank(self.name, self.lease.holder, ranked),
             unchanged_ms=round(unchanged_s * 1000),
             idle_ms=self.lease.idle_ms(),
         )
