--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -146,7 +146,7 @@
 
         def feed() -> object:
             for number in range(count):
-                members.heard(_member(number), now_ms=0)
+                members.apply(_member(number), now_ms=0)
             return members
 
         return feed
@@ -161,18 +161,18 @@
     def run(count: int) -> Callable[[], object]:
         members = _view()
         for number in range(340):
-            members.heard(_member(number), now_ms=0)
+            members.apply(_member(number), now_ms=0)
 
         def feed() -> object:
             for turn in range(count):
                 now_ms = turn * 500
                 members.expire(now_ms=now_ms, may_forget=True)
                 for target in members.probe_targets():
-                    members.acked(
+                    members.record_ack(
                         target.member_id, table_version=1, now_ms=now_ms
                     )
                 members.updates()
-                members.contact_share(now_ms=now_ms)
+                members.reachable_fraction(now_ms=now_ms)
             return members
 
         return feed
--- a/src/godwittack/claim/batch.py
+++ b/src/godwittack/claim/batch.py
@@ -63,7 +63,7 @@
             )
             if isinstance(got, Err) or got.ok_value.committed:
                 for pending in batch:
-                    _settle(pending, got)
+                    _resolve(pending, got)
                 return
             rows = {row.row_id: row for row in got.ok_value.rows}
             rest: list[_Pending] = []
@@ -72,13 +72,13 @@
                 if row.version == pending.condition.version:
                     rest.append(pending)
                 else:
-                    _settle(pending, Ok(protocol.Transacted(False, (row,))))
+                    _resolve(pending, Ok(protocol.Transacted(False, (row,))))
             if len(rest) == len(batch):
                 # No condition failed, yet nothing was committed: the rows
                 # changed back in between. The callers try again.
                 for pending in rest:
                     row = rows[pending.condition.row_id]
-                    _settle(pending, Ok(protocol.Transacted(False, (row,))))
+                    _resolve(pending, Ok(protocol.Transacted(False, (row,))))
                 return
             batch = rest
 
@@ -94,7 +94,7 @@
     return chosen
 
 
-def _settle(
+def _resolve(
     pending: _Pending,
     got: Result[protocol.Transacted, protocol.PlatformError],
 ) -> None:
--- a/src/godwittack/core/doubt.py
+++ b/src/godwittack/core/doubt.py
@@ -144,7 +144,7 @@
     names = tuple(sorted(world.live_daemons))
     if len(names) <= assignment.MESH_LIMIT or world.daemon not in names:
         return least_ms
-    order = assignment.askers(server.server_id, names)
+    order = assignment.probe_order(server.server_id, names)
     return least_ms + SPREAD_MS * order.index(world.daemon) / len(order)
 
 
--- a/src/godwittack/core/splitting.py
+++ b/src/godwittack/core/splitting.py
@@ -49,10 +49,12 @@
     names = tuple(sorted(world.live_daemons))
     targets = world.table.targets
     cell = f"workspace/{request.workspace}"
-    group = assignment.group_names(request.workspace, target, names, targets)
+    group = assignment.workspace_group_ids(
+        request.workspace, target, names, targets
+    )
     world.shares.groups[cell].update(group)
     if request.work.kind is work.WorkKind.PLAIN:
-        heard = assignment.audience_names(target, names, targets)
+        heard = assignment.audience_ids(target, names, targets)
         world.shares.groups[f"service/{target}"].update(heard)
 
 
--- a/src/godwittack/daemon/change.py
+++ b/src/godwittack/daemon/change.py
@@ -65,7 +65,9 @@
         self._tables = tables
         self._keeper = keeper
         self._gossiper = gossiper
-        self._lapse_ms = policy.lapse_ms(gossip_ms=gossip_ms) + LAPSE_MARGIN_MS
+        self._lapse_ms = (
+            policy.table_expiry_ms(gossip_ms=gossip_ms) + LAPSE_MARGIN_MS
+        )
 
     async def commit(
         self, proposal: store.Proposal
@@ -98,7 +100,7 @@
             await self._gossiper.spread_now()
             now_ms = clock.now_ms()
             confirmed, missing = self._standing(version)
-            known = self._gossiper.members.known()
+            known = self._gossiper.members.expected_count()
             has_majority = 2 * len(confirmed) > known
             if has_majority and not majority_ms:
                 majority_ms = now_ms
@@ -125,7 +127,7 @@
         confirmed = [members.me.member_id]
         missing: list[str] = []
         for row in members.rows.values():
-            if row.left and row.member.state is view.MemberState.DEAD:
+            if row.has_left and row.member.state is view.MemberState.DEAD:
                 continue
             has_it = row.table_version >= version
             (confirmed if has_it else missing).append(row.member.member_id)
--- a/src/godwittack/daemon/edge.py
+++ b/src/godwittack/daemon/edge.py
@@ -125,7 +125,7 @@
         self._keeper = keeping.FeedKeeper(
             runtime=self.runtime,
             peers=self._peers,
-            right=store_lease.ConfirmedRight(
+            right=store_lease.StoreServingLease(
                 bound_ms=settings.key_bound_ms - KEY_MARGIN_MS
             ),
             members=members,
@@ -134,7 +134,7 @@
         self._keeper.known.on_confirmed = self._keeper.confirmed
         self._named = naming.NamedVersions()
         self._servers_known = freshness.Freshness(topic=freshness.Topic.SERVERS)
-        self._serving = serving.Serving(
+        self._serving = serving.ServingSetSelector(
             members=members,
             policy=serving.ServingPolicy(
                 mesh_limit=settings.mesh_limit,
@@ -214,7 +214,7 @@
                 order_after_ms=ORDER_AFTER_MS,
                 load_limit_ms=LOAD_LIMIT_MS,
                 # Until then it would not be used with its old weights either.
-                taken_limit_ms=max(LOAD_LIMIT_MS, use_limit_ms),
+                accepted_limit_ms=max(LOAD_LIMIT_MS, use_limit_ms),
                 use_limit_ms=use_limit_ms,
             ),
             measures=self._meters,
@@ -232,7 +232,9 @@
             wire=resolving.DirectoryFormat(),
             serving=self._serving,
         )
-        self._store_readers = assignment.Assigned(assignment.store_readers)
+        self._store_readers = assignment.CachedAssignment(
+            assignment.store_readers
+        )
         self._loops = base.Loops()
         self._tasks: set[asyncio.Task[None]] = set()
         self._listeners = listening.Listeners(clock, delay)
@@ -243,7 +245,7 @@
 
     def _carriers(self) -> tuple[str, ...]:
         """Returns the daemons that callers are sent to."""
-        return tuple(m.member_id for m in self._serving.chosen().serving)
+        return tuple(m.member_id for m in self._serving.current().serving)
 
     async def run(self) -> None:
         """Serves until a stop is ordered and everything is finished.
@@ -360,7 +362,7 @@
             rng=self._rng,
             wait_ms=self._settings.feed_wait_ms,
             on_rows=on_rows,
-            on_confirmed=known.confirmed,
+            on_confirmed=known.record_confirmation,
             known=known,
             is_reader=self._is_reader,
         )
--- a/src/godwittack/daemon/gossip.py
+++ b/src/godwittack/daemon/gossip.py
@@ -105,7 +105,7 @@
         now_ms = self._runtime.clock.now_ms()
         self.members.expire(
             now_ms=now_ms,
-            may_forget=self._keeper.right.service_fresh(now_ms=now_ms),
+            may_forget=self._keeper.right.is_service_fresh(now_ms=now_ms),
         )
         for member in self.members.probe_targets():
             self._start_probe(member.peer_address, member.member_id)
@@ -149,7 +149,7 @@
         while True:
             started_ms = clock.now_ms()
             await self.spread_now()
-            unheard = self.members.unheard(since_ms=started_ms)
+            unheard = self.members.unresponsive(since_ms=started_ms)
             if not unheard or clock.now_ms() >= ends_ms:
                 return
             await asyncio.sleep(LEAVE_PAUSE_MS / 1000)
@@ -236,7 +236,7 @@
             self._probing.discard(address)
         now_ms = self._runtime.clock.now_ms()
         if isinstance(got, Err):
-            if self.members.failed(member_id, now_ms=now_ms):
+            if self.members.record_failure(member_id, now_ms=now_ms):
                 self._tell_core(now_ms)
             return
         answered = got.ok_value
@@ -244,12 +244,12 @@
         self._note_introduced(answered)
         if member_id and answered.sender.member_id != member_id:
             # Another process answers at this address now.
-            self.members.failed(member_id, now_ms=now_ms)
+            self.members.record_failure(member_id, now_ms=now_ms)
         self._take_in(answered)
         self._take_beliefs(answered, started_ms)
         # Counted from before the probe: its answer may have waited in the
         # socket while this process was stopped, and says nothing of now.
-        self.members.acked(
+        self.members.record_ack(
             answered.sender.member_id,
             table_version=answered.table_version,
             now_ms=started_ms,
@@ -274,7 +274,9 @@
 
     def _beliefs(self) -> list[peer_pb2.Belief]:
         now_ms = self._runtime.clock.now_ms()
-        told = (f.tell(now_ms=now_ms) for f in self.freshness.values())
+        told = (
+            f.current_belief(now_ms=now_ms) for f in self.freshness.values()
+        )
         return [codec.belief_to_proto(belief) for belief in told if belief]
 
     def _take_beliefs(
@@ -284,7 +286,7 @@
         for message in answered.beliefs:
             belief = codec.belief_from_proto(message)
             if belief is not None and belief.topic in self.freshness:
-                self.freshness[belief.topic].told(
+                self.freshness[belief.topic].apply_belief(
                     belief, asked_at_ms=asked_at_ms, now_ms=now_ms
                 )
 
@@ -354,8 +356,8 @@
         for message in (told.sender, *told.updates):
             member = codec.member_from_proto(message)
             if member is not None and member.member_id:
-                changed |= self.members.heard(
-                    member, now_ms=now_ms, is_spread=told.is_full
+                changed |= self.members.apply(
+                    member, now_ms=now_ms, is_widely_known=told.is_full
                 )
         if told.list_hash:
             self.on_list_hash(told.sender.member_id, told.list_hash)
@@ -366,7 +368,7 @@
 
     def _compare_versions(self, told: peer_pb2.Envelope, now_ms: int) -> None:
         own = self._keeper.table.version
-        self._keeper.right.compared(
+        self._keeper.right.record_version(
             own=own, told=told.table_version, now_ms=now_ms
         )
         if told.table_version > own and told.sender.peer_address:
@@ -379,14 +381,14 @@
     def _adopted(self) -> None:
         now_ms = self._runtime.clock.now_ms()
         own = self._keeper.table.version
-        self._keeper.right.compared(own=own, told=own, now_ms=now_ms)
+        self._keeper.right.record_version(own=own, told=own, now_ms=now_ms)
         self._tell_core(now_ms)
 
     def _tell_core(self, now_ms: int) -> None:
         live = frozenset(m.member_id for m in self.members.live())
         submit = self._runtime.submit
         carriers = self.carriers()
-        known = self.members.known_addresses()
+        known = self.members.expected_address_count()
         before = (self._told_live, self._told_carriers, self._told_known)
         if (live, carriers, known) != before:
             for gone in self._told_live - live:
@@ -401,7 +403,7 @@
             self._told_known = known
             self._told_live = live
             self._told_carriers = carriers
-        until_ms = self._keeper.right.until_ms(
+        until_ms = self._keeper.right.valid_until_ms(
             self.members,
             own_version=self._keeper.table.version,
             now_ms=now_ms,
--- a/src/godwittack/daemon/instances.py
+++ b/src/godwittack/daemon/instances.py
@@ -86,7 +86,9 @@
         """Takes in what a reader says has changed."""
         if not before <= self._known.version <= version:
             if version > self._known.version:
-                self._known.heard_of_newer(now_ms=self._core.clock.now_ms())
+                self._known.record_newer_version(
+                    now_ms=self._core.clock.now_ms()
+                )
             return
         assert self.follower is not None
         if self._missing and version <= self.follower.read_version:
@@ -103,7 +105,7 @@
             self._missing = set()
             self._untold.clear()
         self._put(changes)
-        self._known.changed(version)
+        self._known.record_version(version)
 
     def drop_missing(self) -> None:
         """Takes servers for gone whose entries did not come back."""
@@ -129,7 +131,7 @@
             return
         version = max(before, self.follower.version)
         untold, self._untold = self._untold, {}
-        self._known.changed(version)
+        self._known.record_version(version)
         self._publish(untold, before=before, version=version)
 
     def _take_missing(self) -> listing.Changes:
--- a/src/godwittack/daemon/keeping.py
+++ b/src/godwittack/daemon/keeping.py
@@ -33,7 +33,7 @@
         """Puts a table in force if it is newer; it never goes back."""
         if not tables.TableKeeper.adopt(self, table):
             return False
-        self.known.changed(table.version)
+        self.known.record_version(table.version)
         self._list_stores(table)
         return True
 
@@ -81,13 +81,13 @@
 
     def confirmed(self, made_at_ms: int) -> None:
         """Takes in that the table was the newest at a time."""
-        self.right.service_read(now_ms=made_at_ms)
+        self.right.record_service_read(now_ms=made_at_ms)
         self.tell_right()
 
     def tell_right(self) -> None:
         """Tells the core until when keys may be served."""
         now_ms = self.runtime.clock.now_ms()
-        until_ms = self.right.until_ms(
+        until_ms = self.right.valid_until_ms(
             self.members, own_version=self.table.version, now_ms=now_ms
         )
         self.runtime.submit(inputs.RightToServe(now_ms, until_ms))
--- a/src/godwittack/daemon/lead.py
+++ b/src/godwittack/daemon/lead.py
@@ -72,7 +72,7 @@
             measures: Takes figures of loads.
             audience: Chooses who hears of a model's servers.
         """
-        self._audience = audience or assignment.ByTarget()
+        self._audience = audience or assignment.AudienceByTarget()
         self._log = rollout_log.RolloutLog(clock=core.clock, measures=measures)
         self._rollout_policy = rollout_policy or rollout.RolloutPolicy()
         # What is behind which version, and since when that is so.
@@ -111,7 +111,7 @@
             replicas=model_state.replicas(world, model),
             now_ms=self._core.clock.now_ms(),
             is_pressed=pace.is_pressed,
-            held=led.lease.held(),
+            held=led.lease.held_by_others(),
         )
         self._log.log_step(model, pace, decision.overview)
         # Before the store is asked: what was decided on loads is outdated once
@@ -137,7 +137,7 @@
             return False
         if not self._is_turn(model, led):
             return False
-        if not await led.lease.look():
+        if not await led.lease.refresh():
             led.store_again_ms = self._core.clock.now_ms() + STORE_RETRY_MS
             self._log_wait(model, led, rollout_log.Wait.STORE_LOST)
             return False
@@ -172,13 +172,13 @@
     def _is_turn(self, model: str, led: _Led) -> bool:
         place = self._place(model, led)
         (_, behind), since_ms = self._behind[model]
-        if place and behind & led.lease.held():
+        if place and behind & led.lease.held_by_others():
             # The lead is at work: loads take up to 3 s, in which nothing need
             # change. Taken for lost, it would have to wait a lease for what
             # it had ordered itself, and take the right back after that.
             return False
-        return takeover.is_own(
-            place=place,
+        return takeover.may_order(
+            daemons_before=place,
             unchanged_ms=self._core.clock.now_ms() - since_ms,
             idle_ms=led.lease.idle_ms(),
         )
@@ -284,7 +284,7 @@
 
     def _load(self, led: _Led, server: entities.ServerRow, wanted: str) -> None:
         now_ms = self._core.clock.now_ms()
-        led.rollout.ordered(server.server_id, now_ms=now_ms)
+        led.rollout.record_order(server.server_id, now_ms=now_ms)
         task = asyncio.create_task(self._order_and_watch(led, server, wanted))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -299,18 +299,20 @@
         limit_ms = policy.load_limit_ms
         answer = await self._order(led, server, wanted)
         if answer.is_refusal:
-            if answer is not order_result.Answer.RESTARTED:
-                led.rollout.failed(server.server_id, now_ms=clock.now_ms())
+            if answer is not order_result.OrderResult.RESTARTED:
+                led.rollout.record_refusal(
+                    server.server_id, now_ms=clock.now_ms()
+                )
             outcome = rollout_log.OrderOutcome.REFUSED
             limit_ms = 0
-        elif answer is order_result.Answer.TAKEN:
-            led.rollout.taken(server.server_id)
-            limit_ms = policy.taken_limit_ms
+        elif answer is order_result.OrderResult.ACCEPTED:
+            led.rollout.record_acceptance(server.server_id)
+            limit_ms = policy.accepted_limit_ms
         if await self._is_loaded(server, wanted, limit_ms=limit_ms):
             outcome = rollout_log.OrderOutcome.LOADED
             # It was out of service while it drained as well.
             took_ms = clock.now_ms() - began_ms + policy.order_after_ms
-            led.rollout.loaded(took_ms=took_ms)
+            led.rollout.record_load(took_ms=took_ms)
         self._log.measure_order(outcome, after_ms=clock.now_ms() - began_ms)
 
     async def _is_loaded(
@@ -337,17 +339,17 @@
 
     async def _order(
         self, led: _Led, server: entities.ServerRow, wanted: str
-    ) -> order_result.Answer:
+    ) -> order_result.OrderResult:
         """Gives an order; returns what became of it."""
         drained = server.incarnation
         state = await self._look(server)
         if server.incarnation != drained:
             # Its drain was the process's before; all daemons send work to it.
-            return order_result.Answer.RESTARTED
+            return order_result.OrderResult.RESTARTED
         # Asked again right before sending: this daemon may have been stopped
         # since the last look, and another holder may be at work.
         if not led.lease.may_send(server.server_id):
-            return order_result.Answer.REFUSED
+            return order_result.OrderResult.REFUSED
         got = await self._client.order(
             server.address,
             backend.Order(
@@ -368,10 +370,10 @@
             led.lease.fencing,
             detail,
         )
-        answer = order_result.of(got)
-        if answer is order_result.Answer.OLD_FENCING:
+        answer = order_result.classify(got)
+        if answer is order_result.OrderResult.STALE_FENCING:
             led.lease.forfeit()
-        elif answer is order_result.Answer.OTHER_SERVER:
+        elif answer is order_result.OrderResult.OTHER_SERVER:
             now_ms = self._core.clock.now_ms()
             self._core.submit(
                 server_inputs.ServerLeaving(now_ms, server.server_id)
--- a/src/godwittack/daemon/listing.py
+++ b/src/godwittack/daemon/listing.py
@@ -61,7 +61,7 @@
         self._heard_at_ms = -UNHEARD_MS
         self._differs_since_ms = 0
         self._told_hash = 0
-        self._reader_ids = assignment.Assigned(
+        self._reader_ids = assignment.CachedAssignment(
             lambda live: frozenset(
                 m.member_id for m in assignment.list_readers(live)
             )
--- a/src/godwittack/daemon/model_state.py
+++ b/src/godwittack/daemon/model_state.py
@@ -26,8 +26,8 @@
             weights_version=row.weights_version,
             busy=row.running + row.waiting + len(row.sent),
             is_reachable=row.ejected_until_ms <= world.now_ms,
-            old_for_ms=weights.old_for_ms(world, row),
-            gets_work=not weights.too_old(world, row),
+            outdated_for_ms=weights.old_for_ms(world, row),
+            accepts_work=not weights.too_old(world, row),
         )
         for row in world.servers_by_target[model].values()
         if _may_load(row)
--- a/src/godwittack/daemon/news.py
+++ b/src/godwittack/daemon/news.py
@@ -60,7 +60,7 @@
             client: Opens streams to other daemons.
             audience: Chooses who hears of a target's servers.
         """
-        self._audience = audience or assignment.ByTarget()
+        self._audience = audience or assignment.AudienceByTarget()
         self.on_listed: Callable[
             [dict[str, platform.Instance | None]], None
         ] = lambda changes: None
--- a/src/godwittack/daemon/serve.py
+++ b/src/godwittack/daemon/serve.py
@@ -87,7 +87,7 @@
             tables=store,
             runtime=self.runtime,
             peers=self._peers,
-            right=serving_lease.ServeRight(settings.member_policy()),
+            right=serving_lease.QuorumServingLease(settings.member_policy()),
             rng=rng,
         )
         self._news = news.News(
--- a/src/godwittack/daemon/tables.py
+++ b/src/godwittack/daemon/tables.py
@@ -33,7 +33,7 @@
 
     runtime: runtimes.Runtime
     peers: exchange.PeerClient
-    right: serving_lease.Right
+    right: serving_lease.ServingLease
     on_adopted: Callable[[], None] = lambda: None
     _fetching: bool = False
 
@@ -50,7 +50,7 @@
                 table,
                 # Read before this table counts as confirmed: a word on it
                 # says nothing of when it was made.
-                newest_before_ms=self.right.newest_at_ms(),
+                newest_before_ms=self.right.last_confirmed_ms(),
             )
         )
         if self.table is not table:
@@ -121,7 +121,7 @@
         if got.ok_value <= self.table.version:
             # Counted from before the reading: a reply that took long says
             # nothing of the time after it was made.
-            self.right.service_read(now_ms=started_ms)
+            self.right.record_service_read(now_ms=started_ms)
 
 
 __all__ = ["PolledKeeper", "TableKeeper"]
--- a/src/godwittack/entry/directory.py
+++ b/src/godwittack/entry/directory.py
@@ -46,7 +46,7 @@
         members: view.View,
         world: entities.World,
         wire: DirectoryFormat,
-        serving: servings.Serving,
+        serving: servings.ServingSetSelector,
     ) -> None:
         """Names the daemons that serve.
 
@@ -67,7 +67,7 @@
         domain = self._wire.caller_domain(request)
         if domain is None:
             return web.json_response({"error": "not_found"}, status=404)
-        members: Sequence[view.Member] = self._serving.chosen().serving
+        members: Sequence[view.Member] = self._serving.current().serving
         if not self._world.table.version:
             # Without a table it would refuse whoever came.
             own = self._members.me.member_id
--- a/src/godwittack/entry/status.py
+++ b/src/godwittack/entry/status.py
@@ -43,7 +43,7 @@
                 reason="forbidden",
             )
         target = request.query.get("model", "")
-        chosen = assignment.where(
+        chosen = assignment.recommended_daemons(
             workspace=workspace,
             target=target,
             members=self.members.serving() or [self.members.me],
--- a/src/godwittack/lead/lease.py
+++ b/src/godwittack/lead/lease.py
@@ -29,7 +29,7 @@
 
 TABLE = "leases"
 # Idle time told of a row that records no order: longer than any patience.
-LONG_MS = 3_600_000
+NO_ORDER_IDLE_MS = 3_600_000
 
 
 class _OrderJson(pydantic.BaseModel):
@@ -56,12 +56,12 @@
             its holder was paused with, after newer ones.
         send_ms: Time from the start of a write in which the orders that it
             records may be sent; longer than a call of the store may take.
-        kept_ms: Time for which an order stays in the row after that.
+        retention_ms: Time for which an order stays in the row after that.
     """
 
     lease_ms: int = 4_000
     send_ms: int = 800
-    kept_ms: int = 10_000
+    retention_ms: int = 10_000
 
 
 class _StoreClock:
@@ -71,25 +71,25 @@
     """
 
     def __init__(self) -> None:
-        self._least_ms: int | None = None
-        self._most_ms = 0
+        self._min_offset_ms: int | None = None
+        self._max_offset_ms = 0
 
-    def heard(self, service_ms: int, *, sent_ms: int, got_ms: int) -> None:
+    def observe(self, service_ms: int, *, sent_ms: int, got_ms: int) -> None:
         least_ms, most_ms = service_ms - got_ms, service_ms - sent_ms
-        if self._least_ms is None or not (
-            self._least_ms <= most_ms and least_ms <= self._most_ms
+        if self._min_offset_ms is None or not (
+            self._min_offset_ms <= most_ms and least_ms <= self._max_offset_ms
         ):
             # The first answer, or a clock that was set anew.
-            self._least_ms, self._most_ms = least_ms, most_ms
+            self._min_offset_ms, self._max_offset_ms = least_ms, most_ms
             return
-        self._least_ms = max(self._least_ms, least_ms)
-        self._most_ms = min(self._most_ms, most_ms)
+        self._min_offset_ms = max(self._min_offset_ms, least_ms)
+        self._max_offset_ms = min(self._max_offset_ms, most_ms)
 
     def earliest_ms(self, now_ms: int) -> int:
-        return now_ms + (self._least_ms or 0)
+        return now_ms + (self._min_offset_ms or 0)
 
     def latest_ms(self, now_ms: int) -> int:
-        return now_ms + self._most_ms
+        return now_ms + self._max_offset_ms
 
 
 class Lease:
@@ -107,7 +107,7 @@
         """Looks at the row `name` when asked to; may order nothing yet."""
         self._service = service
         self._row_id = protocol.RowId(TABLE, name)
-        self._own = holder
+        self._own_id = holder
         self._policy = policy
         self._clock = clock
         self._store_clock = _StoreClock()
@@ -128,7 +128,7 @@
     @property
     def is_own(self) -> bool:
         """Whether this daemon ordered last, as far as it knows."""
-        return self._row.holder == self._own
+        return self._row.holder == self._own_id
 
     def may_send(self, server_id: str) -> bool:
         """Returns whether an order to a server may go out at this moment."""
@@ -138,22 +138,22 @@
     def is_recorded(self, server_id: str) -> bool:
         """Returns whether this holder has recorded an order to a server."""
         order = self._row.orders.get(server_id)
-        return self.is_own and order is not None and self._is_ours(order)
+        return self.is_own and order is not None and self._is_own_order(order)
 
-    def held(self) -> frozenset[str]:
+    def held_by_others(self) -> frozenset[str]:
         """Returns servers that another holder ordered too short a time ago."""
         now_ms = self._store_clock.earliest_ms(self._clock.now_ms())
         return frozenset(
             name
             for name, order in self._row.orders.items()
-            if not (self.is_own and self._is_ours(order))
+            if not (self.is_own and self._is_own_order(order))
             and now_ms < order.until_ms + self._policy.lease_ms
         )
 
     def idle_ms(self) -> int:
         """Returns how long ago the last order was recorded."""
         if not self._row.orders:
-            return LONG_MS
+            return NO_ORDER_IDLE_MS
         last_ms = max(order.until_ms for order in self._row.orders.values())
         now_ms = self._store_clock.earliest_ms(self._clock.now_ms())
         return max(0, now_ms - last_ms + self._policy.send_ms)
@@ -163,14 +163,14 @@
         self._row = self._row.model_copy(update={"holder": ""})
         self._granted_until_ms.clear()
 
-    async def look(self) -> bool:
+    async def refresh(self) -> bool:
         """Reads the row; returns whether the store answered."""
         sent_ms = self._clock.now_ms()
         got = await self._service.read(self._row_id)
         if isinstance(got, Err):
             return False
-        self._hear(got.ok_value.service_ms, sent_ms)
-        self._see(got.ok_value)
+        self._observe_store_time(got.ok_value.service_ms, sent_ms)
+        self._apply_row(got.ok_value)
         return True
 
     async def record(self, server_ids: Collection[str]) -> bool:
@@ -179,7 +179,7 @@
         Makes this daemon the holder where another one was.
         """
         was_own = self.is_own
-        if self._row_version < 0 and not await self.look():
+        if self._row_version < 0 and not await self.refresh():
             return False
         if was_own and not self.is_own:
             # Read for the first time since a write: what was decided on as
@@ -193,16 +193,16 @@
         )
         if isinstance(got, Err):
             # Whether it was written is not known; the row tells.
-            if not await self.look() or self._row != wanted:
+            if not await self.refresh() or self._row != wanted:
                 return False
         else:
             done = got.ok_value
-            self._hear(done.service_ms, sent_ms)
+            self._observe_store_time(done.service_ms, sent_ms)
             if not done.committed:
-                self._see(done.rows[0])
+                self._apply_row(done.rows[0])
                 return False
             self._row, self._row_version = wanted, done.version
-            if not done.version and not await self.look():
+            if not done.version and not await self.refresh():
                 self._row_version = -1
             if self._row != wanted:
                 return False
@@ -218,26 +218,26 @@
         kept = {
             name: order
             for name, order in self._row.orders.items()
-            if now_ms < order.until_ms + self._policy.kept_ms
+            if now_ms < order.until_ms + self._policy.retention_ms
         }
         until_ms = self._store_clock.latest_ms(sent_ms) + self._policy.send_ms
         new = _OrderJson(until_ms=until_ms, fencing=fencing)
         return _RowJson(
-            holder=self._own,
+            holder=self._own_id,
             fencing=fencing,
             writes=self._row.writes + 1,
             orders={**kept, **dict.fromkeys(server_ids, new)},
         )
 
-    def _is_ours(self, order: _OrderJson) -> bool:
+    def _is_own_order(self, order: _OrderJson) -> bool:
         return order.fencing == self._row.fencing
 
-    def _hear(self, service_ms: int, sent_ms: int) -> None:
-        self._store_clock.heard(
+    def _observe_store_time(self, service_ms: int, sent_ms: int) -> None:
+        self._store_clock.observe(
             service_ms, sent_ms=sent_ms, got_ms=self._clock.now_ms()
         )
 
-    def _see(self, row: protocol.StoredRow) -> None:
+    def _apply_row(self, row: protocol.StoredRow) -> None:
         if row.version <= self._row_version:
             return
         self._row_version = row.version
@@ -254,11 +254,11 @@
                 row.version,
                 error.errors()[0]["msg"],
             )
-            self._row = self._unreadable(row.version)
+            self._row = self._replacement_row(row.version)
         if not self.is_own:
             self._granted_until_ms.clear()
 
-    def _unreadable(self, version: int) -> _RowJson:
+    def _replacement_row(self, version: int) -> _RowJson:
         """Returns a row for one that can't be read: all may be ordered now."""
         until_ms = self._store_clock.latest_ms(self._clock.now_ms())
         any_order = _OrderJson(
--- a/src/godwittack/lead/order_result.py
+++ b/src/godwittack/lead/order_result.py
@@ -13,15 +13,15 @@
     from godwittack.backend import protocol as backend
 
 
-class Answer(enum.Enum):
+class OrderResult(enum.Enum):
     """What a server made of an order."""
 
-    TAKEN = enum.auto()
+    ACCEPTED = enum.auto()
     # It may be carried out now or later, or another order is.
-    OPEN = enum.auto()
+    UNKNOWN = enum.auto()
     REFUSED = enum.auto()
     # The server has seen a higher fencing number: another daemon leads.
-    OLD_FENCING = enum.auto()
+    STALE_FENCING = enum.auto()
     # Another has its address: the server is gone for good. Ordered again and
     # again, it would keep a daemon in the lead, and a place among those that
     # load.
@@ -32,24 +32,24 @@
     @property
     def is_refusal(self) -> bool:
         """Whether the order will not be carried out."""
-        return self not in (Answer.TAKEN, Answer.OPEN)
+        return self not in (OrderResult.ACCEPTED, OrderResult.UNKNOWN)
 
 
 _BY_STATUS = {
-    409: Answer.OPEN,
-    412: Answer.OLD_FENCING,
-    421: Answer.OTHER_SERVER,
+    409: OrderResult.UNKNOWN,
+    412: OrderResult.STALE_FENCING,
+    421: OrderResult.OTHER_SERVER,
 }
 
 
-def of(got: Result[None, backend.BackendError]) -> Answer:
+def classify(got: Result[None, backend.BackendError]) -> OrderResult:
     """Returns what became of an order, by its answer or the lack of one."""
     if not isinstance(got, Err):
-        return Answer.TAKEN
+        return OrderResult.ACCEPTED
     error = got.err_value
     if error.status == 0:
-        return Answer.OPEN if error.sent else Answer.REFUSED
-    return _BY_STATUS.get(error.status, Answer.REFUSED)
+        return OrderResult.UNKNOWN if error.sent else OrderResult.REFUSED
+    return _BY_STATUS.get(error.status, OrderResult.REFUSED)
 
 
-__all__ = ["Answer", "of"]
+__all__ = ["OrderResult", "classify"]
--- a/src/godwittack/lead/pacing.py
+++ b/src/godwittack/lead/pacing.py
@@ -14,23 +14,23 @@
 
 # The weight store slows down when more replicas than these load at once: two
 # of five or six, eight of 22, 22 of 56 on the deployments measured.
-LEAST_LOADING = 2
-LOADING_PART = 0.37
+MIN_STORE_LOADS = 2
+STORE_LOADS_FRACTION = 0.37
 # Part of the replicas that may load at one time under load while there is
 # time: one of up to eleven, as on the fleets of five or six where one at a time
 # is in time. With a fixed number the time for all grows with the fleet: one of
 # 56 at a time needs 40 s.
-PRESSED_PART = 1 / 6
+UNDER_LOAD_FRACTION = 1 / 6
 # Part of the time limit in which all are to be done. The rest, two seconds of
 # eight, is for a start that is late and for part of the time without a lead:
 # a successor of one that is lost begins within two to four seconds.
-FINISH_PART = 0.75
+FINISH_FRACTION = 0.75
 # Time from taking a replica out of service to its report of new weights,
 # assumed until loads were seen: 1.0 to 3.2 s under load, since the requests
 # that run end first, and 0.5 s where none does.
 ASSUMED_LOAD_MS = 2_200.0
 # Part by which a shorter load lowers the estimate.
-FALL = 0.2
+DECREASE_WEIGHT = 0.2
 
 
 @dataclasses.dataclass(slots=True)
@@ -44,19 +44,21 @@
 
     estimate_ms: float = ASSUMED_LOAD_MS
 
-    def saw(self, took_ms: int) -> None:
+    def record(self, took_ms: int) -> None:
         """Takes in a load that has ended well."""
-        fallen_ms = self.estimate_ms + FALL * (took_ms - self.estimate_ms)
+        fallen_ms = self.estimate_ms + DECREASE_WEIGHT * (
+            took_ms - self.estimate_ms
+        )
         self.estimate_ms = max(float(took_ms), fallen_ms)
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Remaining:
+class RemainingWork:
     """What is left of a roll-out.
 
     Attributes:
         replicas: All replicas of the model.
-        able: Those that answer and have weights that may be used, also where
+        usable: Those that answer and have weights that may be used, also where
             they drain or load at this moment.
         behind: Those of them that lack the wanted weights.
         oldest_ms: For how long newer weights are named than the oldest of
@@ -67,50 +69,56 @@
     """
 
     replicas: int
-    able: int
+    usable: int
     behind: int
     oldest_ms: int
     load_ms: float
     use_limit_ms: int
 
 
-def most_at_store(replicas: int) -> int:
+def max_store_loads(replicas: int) -> int:
     """Returns how many may load at one time for the sake of the store."""
     if replicas <= 1:
         return replicas
-    loading = max(LEAST_LOADING, int(replicas * LOADING_PART))
+    loading = max(MIN_STORE_LOADS, int(replicas * STORE_LOADS_FRACTION))
     return min(loading, max(1, replicas // 2))
 
 
-def most_loading(remaining: Remaining) -> int:
+def max_loading(remaining: RemainingWork) -> int:
     """Returns how many may be taken out of service at one time.
 
     Half of those that could serve go on, unless there is only one. With two
     thirds of a fleet away, a part of the whole fleet may be all that answer,
     and nobody would take work.
     """
-    return min(most_at_store(remaining.replicas), max(1, remaining.able // 2))
+    return min(
+        max_store_loads(remaining.replicas), max(1, remaining.usable // 2)
+    )
 
 
-def most_loading_under_load(remaining: Remaining) -> int:
+def max_loading_under_load(remaining: RemainingWork) -> int:
     """Returns how many may be taken out of service while requests wait."""
-    wanted = max(1, int(remaining.replicas * PRESSED_PART), _needed(remaining))
-    return min(wanted, most_loading(remaining))
+    wanted = max(
+        1,
+        int(remaining.replicas * UNDER_LOAD_FRACTION),
+        _required_loads(remaining),
+    )
+    return min(wanted, max_loading(remaining))
 
 
-def _needed(remaining: Remaining) -> int:
+def _required_loads(remaining: RemainingWork) -> int:
     """Returns how many must load at one time for all to be done in time."""
     if not remaining.use_limit_ms:
         return 0
-    left_ms = remaining.use_limit_ms * FINISH_PART - remaining.oldest_ms
+    left_ms = remaining.use_limit_ms * FINISH_FRACTION - remaining.oldest_ms
     rounds = max(1, int(left_ms / remaining.load_ms))
     return math.ceil(remaining.behind / rounds)
 
 
 __all__ = [
     "LoadTime",
-    "Remaining",
-    "most_at_store",
-    "most_loading",
-    "most_loading_under_load",
+    "RemainingWork",
+    "max_store_loads",
+    "max_loading",
+    "max_loading_under_load",
 ]
--- a/src/godwittack/lead/rollout.py
+++ b/src/godwittack/lead/rollout.py
@@ -16,8 +16,8 @@
 # Pause before a server that refused an order is drained again, and its growth:
 # one that starts takes an order within a second; one that never does is tried
 # every few seconds.
-REFUSED_FIRST_MS = 200
-REFUSED_MOST_MS = 3_200
+MIN_RETRY_DELAY_MS = 200
+MAX_RETRY_DELAY_MS = 3_200
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
@@ -33,7 +33,7 @@
         load_limit_ms: Longest time from an order without an answer to the
             server's report of the new weights; after it the order is taken
             for lost.
-        taken_limit_ms: The same from an order that the server has taken.
+        accepted_limit_ms: The same from an order that the server has taken.
         use_limit_ms: Time after a naming in which older weights may be used;
             0 for no limit.
     """
@@ -41,7 +41,7 @@
     drain_limit_ms: int = 120_000
     order_after_ms: int = 0
     load_limit_ms: int = 20_000
-    taken_limit_ms: int = 20_000
+    accepted_limit_ms: int = 20_000
     use_limit_ms: int = 0
 
 
@@ -60,9 +60,9 @@
         busy: Requests running or waiting there.
         is_reachable: Whether it answers; one that does not can't load.
         incarnation: Changes when the server starts again.
-        old_for_ms: For how long weights newer than its own are named; -1
+        outdated_for_ms: For how long weights newer than its own are named; -1
             where none are.
-        gets_work: Whether it gets work, which it does not where its weights are
+        accepts_work: Whether requests are sent to it. False if its weights are
             too old; taking it out of service then costs nothing.
     """
 
@@ -71,8 +71,8 @@
     busy: int
     is_reachable: bool = True
     incarnation: str = ""
-    old_for_ms: int = 0
-    gets_work: bool = True
+    outdated_for_ms: int = 0
+    accepts_work: bool = True
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
@@ -119,8 +119,8 @@
     since_ms: int
     version_before: str
     incarnation: str
-    got_work: bool
-    is_taken: bool = False
+    accepted_work: bool
+    is_accepted: bool = False
     # Weights that it was ordered to load; empty while it drains.
     version_ordered: str = ""
 
@@ -132,7 +132,7 @@
     until_ms: int
 
 
-_NONE = _Refusals(0, 0)
+_NO_REFUSALS = _Refusals(0, 0)
 
 
 @dataclasses.dataclass(slots=True)
@@ -145,7 +145,7 @@
 
     policy: RolloutPolicy = RolloutPolicy()
     _progress: dict[str, _Progress] = dataclasses.field(default_factory=dict)
-    _wanted: str = ""
+    _desired_version: str = ""
     _refusals: dict[str, _Refusals] = dataclasses.field(default_factory=dict)
     _load_time: pacing.LoadTime = dataclasses.field(
         default_factory=pacing.LoadTime
@@ -171,24 +171,24 @@
             held: Servers that another holder ordered a moment ago. Those that
                 are behind may be loading, and may not be ordered yet.
         """
-        if wanted != self._wanted:
-            self._wanted = wanted
+        if wanted != self._desired_version:
+            self._desired_version = wanted
             self._refusals.clear()
         known = {replica.server_id: replica for replica in replicas}
         for name in list(self._progress):
-            self._finish(name, known.get(name), now_ms)
+            self._remove_if_finished(name, known.get(name), now_ms)
         behind = self._behind(replicas, wanted)
         held_behind = [r for r in behind if r.server_id in held]
-        held_at_work = sum(replica.gets_work for replica in held_behind)
+        held_at_work = sum(replica.accepts_work for replica in held_behind)
         remaining = self._remaining(replicas, behind, now_ms)
-        room = pacing.most_loading(remaining)
+        room = pacing.max_loading(remaining)
         if is_pressed:
-            room = pacing.most_loading_under_load(remaining)
-        self._take(
+            room = pacing.max_loading_under_load(remaining)
+        self._start_draining(
             [replica for replica in behind if replica.server_id not in held],
             now_ms=now_ms,
             room=room - held_at_work,
-            most=pacing.most_at_store(len(replicas)) - len(held_behind),
+            most=pacing.max_store_loads(len(replicas)) - len(held_behind),
         )
         load = tuple(
             name
@@ -226,9 +226,9 @@
                 if replica.weights_version != wanted and replica.is_reachable
             ),
             key=lambda r: (
-                self._refusals.get(r.server_id, _NONE).count,
-                r.gets_work,
-                -r.old_for_ms,
+                self._refusals.get(r.server_id, _NO_REFUSALS).count,
+                r.accepts_work,
+                -r.outdated_for_ms,
                 r.busy,
                 r.server_id,
             ),
@@ -239,13 +239,15 @@
         replicas: Sequence[Replica],
         behind: Sequence[Replica],
         now_ms: int,
-    ) -> pacing.Remaining:
-        used = [replica for replica in behind if replica.gets_work]
-        return pacing.Remaining(
+    ) -> pacing.RemainingWork:
+        used = [replica for replica in behind if replica.accepts_work]
+        return pacing.RemainingWork(
             replicas=len(replicas),
-            able=sum(r.is_reachable and r.gets_work for r in replicas),
+            usable=sum(r.is_reachable and r.accepts_work for r in replicas),
             behind=len(used),
-            oldest_ms=max((replica.old_for_ms for replica in used), default=0),
+            oldest_ms=max(
+                (replica.outdated_for_ms for replica in used), default=0
+            ),
             load_ms=self._load_ms(now_ms),
             use_limit_ms=self.policy.use_limit_ms,
         )
@@ -265,7 +267,7 @@
         mean_ms = min(mean_ms, float(self.policy.load_limit_ms))
         return max(self._load_time.estimate_ms, mean_ms)
 
-    def _take(
+    def _start_draining(
         self,
         behind: Sequence[Replica],
         *,
@@ -283,15 +285,20 @@
                 that get work, servers with weights that are too old would
                 wait for their turn while the others carry their load.
         """
-        used = sum(progress.got_work for progress in self._progress.values())
+        used = sum(
+            progress.accepted_work for progress in self._progress.values()
+        )
         for replica in behind:
             if len(self._progress) >= most:
                 return
             if replica.server_id in self._progress:
                 continue
-            if now_ms < self._refusals.get(replica.server_id, _NONE).until_ms:
+            if (
+                now_ms
+                < self._refusals.get(replica.server_id, _NO_REFUSALS).until_ms
+            ):
                 continue
-            if replica.gets_work:
+            if replica.accepts_work:
                 if used >= room:
                     continue
                 used += 1
@@ -300,7 +307,7 @@
                 now_ms,
                 replica.weights_version,
                 replica.incarnation,
-                replica.gets_work,
+                replica.accepts_work,
             )
 
     def is_draining(self, server_id: str) -> bool:
@@ -308,16 +315,16 @@
         progress = self._progress.get(server_id)
         return progress is not None and progress.step is Step.DRAINING
 
-    def ordered(self, server_id: str, *, now_ms: int) -> None:
+    def record_order(self, server_id: str, *, now_ms: int) -> None:
         """Notes that a server was ordered to load weights."""
         self._progress[server_id] = dataclasses.replace(
             self._progress[server_id],
             step=Step.LOADING,
             since_ms=now_ms,
-            version_ordered=self._wanted,
+            version_ordered=self._desired_version,
         )
 
-    def taken(self, server_id: str) -> None:
+    def record_acceptance(self, server_id: str) -> None:
         """Notes that a server has taken its order, and is at work on it.
 
         Until it reports the new weights it keeps its place. Given up after a
@@ -326,17 +333,17 @@
         """
         progress = self._progress.get(server_id)
         if progress is not None:
-            progress.is_taken = True
+            progress.is_accepted = True
 
-    def loaded(self, *, took_ms: int) -> None:
+    def record_load(self, *, took_ms: int) -> None:
         """Takes in how long a load kept a server out of service.
 
         No longer than a load may take: beyond that it was this daemon that
         stood still, which says nothing of the loads to come.
         """
-        self._load_time.saw(min(took_ms, self.policy.load_limit_ms))
+        self._load_time.record(min(took_ms, self.policy.load_limit_ms))
 
-    def failed(self, server_id: str, *, now_ms: int) -> None:
+    def record_refusal(self, server_id: str, *, now_ms: int) -> None:
         """Notes that a server took no order; its turn comes after the others.
 
         One that is dark would hold up those that could load meanwhile. Counted
@@ -344,9 +351,9 @@
         serves for a while before it is tried again; drained at once, one that
         refuses each order would never serve.
         """
-        count = self._refusals.get(server_id, _NONE).count + 1
-        doubled_ms = REFUSED_FIRST_MS * 2 ** min(count - 1, 10)
-        until_ms = now_ms + min(doubled_ms, REFUSED_MOST_MS)
+        count = self._refusals.get(server_id, _NO_REFUSALS).count + 1
+        doubled_ms = MIN_RETRY_DELAY_MS * 2 ** min(count - 1, 10)
+        until_ms = now_ms + min(doubled_ms, MAX_RETRY_DELAY_MS)
         self._refusals[server_id] = _Refusals(count, until_ms)
         self._progress.pop(server_id, None)
 
@@ -380,7 +387,9 @@
             return True
         return not weights.is_newer(progress.version_ordered, version)
 
-    def _finish(self, name: str, replica: Replica | None, now_ms: int) -> None:
+    def _remove_if_finished(
+        self, name: str, replica: Replica | None, now_ms: int
+    ) -> None:
         progress = self._progress[name]
         # One that started again took the order with it, or drained for nothing.
         # So did one that answers nothing any more; waited for until the limit
@@ -392,8 +401,8 @@
         )
         done = replica is not None and self._has_loaded(progress, replica)
         limit_ms = self.policy.drain_limit_ms
-        if progress.is_taken:
-            limit_ms = self.policy.taken_limit_ms
+        if progress.is_accepted:
+            limit_ms = self.policy.accepted_limit_ms
         elif progress.step is Step.LOADING:
             limit_ms = self.policy.load_limit_ms
         if gone or done or now_ms - progress.since_ms > limit_ms:
--- a/src/godwittack/lead/takeover.py
+++ b/src/godwittack/lead/takeover.py
@@ -15,12 +15,12 @@
 
 # What each daemon before in rank is given for its first order. It takes two
 # calls of the store, some 20 ms each and 350 where the store is slow.
-FIRST_MS = 600
+ORDER_WAIT_MS = 600
 # The same where an order was recorded a moment ago: a load takes up to some
 # seconds, with the runs that end first, and shows nothing meanwhile.
-WORKING_MS = 2_000
+ORDER_WAIT_DURING_LOAD_MS = 2_000
 # Time for which an order counts as recorded a moment ago.
-LOAD_MS = 4_000
+RECENT_ORDER_MS = 4_000
 
 
 def rank(own: str, holder: str, ranked: Sequence[str]) -> int:
@@ -35,16 +35,20 @@
     return order.index(own) if own in order else len(order)
 
 
-def is_own(*, place: int, unchanged_ms: int, idle_ms: int) -> bool:
+def may_order(*, daemons_before: int, unchanged_ms: int, idle_ms: int) -> bool:
     """Returns whether a daemon may order now.
 
     Args:
-        place: Its rank.
+        daemons_before: Its rank.
         unchanged_ms: For how long servers need the weights that they need.
         idle_ms: How long ago the last order was recorded.
     """
-    patience_ms = WORKING_MS if idle_ms < LOAD_MS else FIRST_MS
-    return min(unchanged_ms, idle_ms) >= place * patience_ms
+    patience_ms = (
+        ORDER_WAIT_DURING_LOAD_MS
+        if idle_ms < RECENT_ORDER_MS
+        else ORDER_WAIT_MS
+    )
+    return min(unchanged_ms, idle_ms) >= daemons_before * patience_ms
 
 
-__all__ = ["is_own", "rank"]
+__all__ = ["may_order", "rank"]
--- a/src/godwittack/member/assignment.py
+++ b/src/godwittack/member/assignment.py
@@ -19,32 +19,34 @@
 # that serve a model hear of its backend servers.
 MESH_LIMIT = 16
 # Daemons that hear of one model's servers in a large fleet, at least.
-AUDIENCE_LEAST = 12
+MIN_AUDIENCE = 12
 # Daemons that read the instance list for a large fleet.
-LIST_READERS = 3
+LIST_READER_COUNT = 3
 # Daemons that ask the platform's store for changes all the time.
-STORE_READERS = 3
+STORE_READER_COUNT = 3
 # Daemons among which `where` keeps one workspace's requests for one model.
-WHERE_GROUP = 3
+WORKSPACE_GROUP_SIZE = 3
 
 
-_Duty = TypeVar("_Duty")
+_Assignment = TypeVar("_Assignment")
 
 
-class Assigned(Generic[_Duty]):
+class CachedAssignment(Generic[_Assignment]):
     """A duty worked out from members, anew only when they have changed.
 
     Asked for many times a second. `View` returns the same list until a member
     changes.
     """
 
-    def __init__(self, assign: Callable[[list[view.Member]], _Duty]) -> None:
+    def __init__(
+        self, assign: Callable[[list[view.Member]], _Assignment]
+    ) -> None:
         """Assigns by `assign`, for the first time when asked."""
         self._assign = assign
         self._members: list[view.Member] | None = None
-        self._assigned: _Duty
+        self._assigned: _Assignment
 
-    def among(self, members: list[view.Member]) -> _Duty:
+    def among(self, members: list[view.Member]) -> _Assignment:
         """Returns the duty among `members`."""
         if members is not self._members:
             self._assigned = self._assign(members)
@@ -98,12 +100,12 @@
     """
     if len(members) <= MESH_LIMIT:
         return members
-    return _first("instance-list", members, LIST_READERS)
+    return _top_ranked("instance-list", members, LIST_READER_COUNT)
 
 
 def store_readers(members: list[view.Member]) -> tuple[str, ...]:
     """Returns the ids of the members that follow the platform's store."""
-    chosen = _first("store", members, STORE_READERS)
+    chosen = _top_ranked("store", members, STORE_READER_COUNT)
     return tuple(member.member_id for member in chosen)
 
 
@@ -125,7 +127,7 @@
         """
 
 
-class ByTarget:
+class AudienceByTarget:
     """Spreads the targets over members; for callers that ask by target."""
 
     def __init__(self, mesh_limit: int = MESH_LIMIT) -> None:
@@ -142,11 +144,11 @@
         if len(members) <= self._mesh_limit:
             return members
         by_name = {member.member_id: member for member in members}
-        names = audience_names(target, tuple(sorted(by_name)), targets)
+        names = audience_ids(target, tuple(sorted(by_name)), targets)
         return [by_name[name] for name in names]
 
 
-def audience_names(
+def audience_ids(
     target: str, names: tuple[str, ...], targets: tuple[str, ...]
 ) -> tuple[str, ...]:
     """Returns the same by member id, among sorted ids.
@@ -157,14 +159,14 @@
     """
     if len(names) <= MESH_LIMIT:
         return names
-    picked = _picks(names, targets).get(target, ())
-    missing = max(0, AUDIENCE_LEAST - len(picked))
+    picked = _members_by_target(names, targets).get(target, ())
+    missing = max(0, MIN_AUDIENCE - len(picked))
     ranked = rank(f"model/{target}", names)
     more = [name for name in ranked if name not in picked][:missing]
     return tuple(sorted((*picked, *more)))
 
 
-def group_names(
+def workspace_group_ids(
     workspace: str,
     target: str,
     names: tuple[str, ...],
@@ -174,11 +176,11 @@
 
     They are the ones that `where` names first, unless one is suspected.
     """
-    heard = audience_names(target, names, targets)
-    return rank(f"where/{workspace}/{target}", heard)[:WHERE_GROUP]
+    heard = audience_ids(target, names, targets)
+    return rank(f"where/{workspace}/{target}", heard)[:WORKSPACE_GROUP_SIZE]
 
 
-def where(
+def recommended_daemons(
     *,
     workspace: str,
     target: str,
@@ -189,12 +191,14 @@
 
     All come from the target's audience, so that they know its servers.
     """
-    heard = ByTarget().among(target, members, targets)
-    return _first(f"where/{workspace}/{target}", heard, WHERE_GROUP)
+    heard = AudienceByTarget().among(target, members, targets)
+    return _top_ranked(
+        f"where/{workspace}/{target}", heard, WORKSPACE_GROUP_SIZE
+    )
 
 
 @functools.lru_cache(maxsize=8)
-def _picks(
+def _members_by_target(
     names: tuple[str, ...], targets: tuple[str, ...]
 ) -> dict[str, tuple[str, ...]]:
     """Returns who has picked each target."""
@@ -206,7 +210,7 @@
     return {target: tuple(some) for target, some in found.items()}
 
 
-def _first(
+def _top_ranked(
     key: str, members: list[view.Member], count: int
 ) -> list[view.Member]:
     by_name = {member.member_id: member for member in members}
@@ -214,7 +218,7 @@
     return [by_name[name] for name in names[:count]]
 
 
-def askers(server_id: str, names: tuple[str, ...]) -> tuple[str, ...]:
+def probe_order(server_id: str, names: tuple[str, ...]) -> tuple[str, ...]:
     """Returns daemons in the order in which they ask a silent server.
 
     Args:
@@ -230,19 +234,19 @@
 
 
 __all__ = [
-    "askers",
-    "AUDIENCE_LEAST",
-    "Assigned",
+    "probe_order",
+    "MIN_AUDIENCE",
+    "CachedAssignment",
     "Audience",
-    "ByTarget",
+    "AudienceByTarget",
     "MESH_LIMIT",
-    "WHERE_GROUP",
-    "audience_names",
-    "group_names",
+    "WORKSPACE_GROUP_SIZE",
+    "audience_ids",
+    "workspace_group_ids",
     "leaders",
     "store_readers",
     "list_readers",
     "rank",
     "watcher",
-    "where",
+    "recommended_daemons",
 ]
--- a/src/godwittack/member/freshness.py
+++ b/src/godwittack/member/freshness.py
@@ -10,7 +10,7 @@
     from collections.abc import Callable
 
 # A confirmation older than this is of no use to others.
-TELL_MS = 3_000
+MAX_BELIEF_AGE_MS = 3_000
 
 
 class Topic(enum.IntEnum):
@@ -52,19 +52,21 @@
     behind_since_ms: int = -1
     on_confirmed: Callable[[int], None] = lambda at_ms: None
 
-    def changed(self, version: int) -> None:
+    def record_version(self, version: int) -> None:
         """Takes in that a newer version is in force here."""
         if version > self.version:
             self.version = version
             self.behind_since_ms = -1
 
-    def confirmed(self, at_ms: int) -> None:
+    def record_confirmation(self, at_ms: int) -> None:
         """Takes in that the version here was the newest at a time."""
         if at_ms > self.confirmed_at_ms and self.version:
             self.confirmed_at_ms = at_ms
             self.on_confirmed(at_ms)
 
-    def told(self, belief: Belief, *, asked_at_ms: int, now_ms: int) -> None:
+    def apply_belief(
+        self, belief: Belief, *, asked_at_ms: int, now_ms: int
+    ) -> None:
         """Takes in a peer's belief.
 
         Args:
@@ -76,11 +78,11 @@
             now_ms: Time of the arrival.
         """
         if belief.version > self.version:
-            self.heard_of_newer(now_ms=now_ms)
+            self.record_newer_version(now_ms=now_ms)
         if belief.version == self.version:
-            self.confirmed(asked_at_ms - belief.age_ms)
+            self.record_confirmation(asked_at_ms - belief.age_ms)
 
-    def heard_of_newer(self, *, now_ms: int) -> None:
+    def record_newer_version(self, *, now_ms: int) -> None:
         """Takes in that a peer has a newer version than is in force here.
 
         Only the first sign counts. Where servers come and go all the time,
@@ -91,10 +93,10 @@
         if self.behind_since_ms < 0:
             self.behind_since_ms = now_ms
 
-    def tell(self, *, now_ms: int) -> Belief | None:
+    def current_belief(self, *, now_ms: int) -> Belief | None:
         """Returns what to tell others, None for nothing of use."""
         age_ms = now_ms - self.confirmed_at_ms
-        if not self.version or age_ms > TELL_MS:
+        if not self.version or age_ms > MAX_BELIEF_AGE_MS:
             return None
         return Belief(self.topic, self.version, max(0, age_ms))
 
--- a/src/godwittack/member/overload.py
+++ b/src/godwittack/member/overload.py
@@ -11,11 +11,11 @@
 SMOOTHING = 0.2
 # Longest lag counted of one timer: a machine that was suspended for seconds
 # is not overloaded once it runs again.
-MOST_LAG_MS = 200
+MAX_LAG_MS = 200
 OVERLOADED_LAG_MS = 60
-RELIEVED_LAG_MS = 15
+RECOVERED_LAG_MS = 15
 # Least time between two changes, so that the serving set does not flap.
-HOLD_MS = 5_000
+MIN_CHANGE_INTERVAL_MS = 5_000
 
 
 class OverloadDetector:
@@ -30,16 +30,16 @@
         """Takes the daemon for not overloaded."""
         self.is_overloaded = False
         self.lag_ms = 0.0
-        self._changed_at_ms = -HOLD_MS
+        self._changed_at_ms = -MIN_CHANGE_INTERVAL_MS
 
     def observe(self, lag_ms: float, *, now_ms: int) -> bool:
         """Takes in one timer's lag; returns whether the judgement changed."""
-        counted_ms = min(MOST_LAG_MS, max(0.0, lag_ms))
+        counted_ms = min(MAX_LAG_MS, max(0.0, lag_ms))
         self.lag_ms += SMOOTHING * (counted_ms - self.lag_ms)
-        if now_ms - self._changed_at_ms < HOLD_MS:
+        if now_ms - self._changed_at_ms < MIN_CHANGE_INTERVAL_MS:
             return False
         if self.is_overloaded:
-            changed = self.lag_ms < RELIEVED_LAG_MS
+            changed = self.lag_ms < RECOVERED_LAG_MS
         else:
             changed = self.lag_ms > OVERLOADED_LAG_MS
         if changed:
@@ -48,4 +48,4 @@
         return changed
 
 
-__all__ = ["HOLD_MS", "OverloadDetector"]
+__all__ = ["MIN_CHANGE_INTERVAL_MS", "OverloadDetector"]
--- a/src/godwittack/member/serving.py
+++ b/src/godwittack/member/serving.py
@@ -33,14 +33,14 @@
     Attributes:
         mesh_limit: Daemons up to which all of them serve.
         serving: Serving daemons of all failure domains together.
-        least_per_domain: Serving daemons of one failure domain, at least.
+        min_per_domain: Serving daemons of one failure domain, at least.
         standby_per_domain: Daemons of a failure domain that receive all news
             as well, so that they are up to date when they are called in.
     """
 
     mesh_limit: int = 100
     serving: int = 48
-    least_per_domain: int = 2
+    min_per_domain: int = 2
     standby_per_domain: int = 2
 
 
@@ -85,10 +85,10 @@
     serving: list[view.Member] = []
     standby: list[view.Member] = []
     per_domain = math.ceil(policy.serving / max(1, len(domains)))
-    per_domain = max(policy.least_per_domain, per_domain)
+    per_domain = max(policy.min_per_domain, per_domain)
     for name in sorted(domains):
         ranked = _ranked(domains[name])
-        count = _count(ranked, per_domain)
+        count = _serving_count(ranked, per_domain)
         serving.extend(ranked[:count])
         standby.extend(ranked[count : count + policy.standby_per_domain])
     return ServingSet(_by_id(serving), _by_id(standby))
@@ -108,7 +108,7 @@
     )
 
 
-def _count(ranked: list[view.Member], per_domain: int) -> int:
+def _serving_count(ranked: list[view.Member], per_domain: int) -> int:
     """Returns how many serve; each overloaded one calls in another."""
     overloaded = sum(m.is_overloaded for m in ranked[:per_domain])
     return per_domain + overloaded
@@ -118,7 +118,7 @@
     return tuple(sorted(members, key=lambda member: member.member_id))
 
 
-class Serving:
+class ServingSetSelector:
     """The serving set on this daemon's view, as audience of all news."""
 
     def __init__(self, *, members: view.View, policy: ServingPolicy) -> None:
@@ -130,16 +130,16 @@
         """
         self._members = members
         self._policy = policy
-        self._sets = assignment.Assigned(self._choose)
+        self._cached_set = assignment.CachedAssignment(self._choose)
         self._role: Role | None = None
 
-    def chosen(self) -> ServingSet:
+    def current(self) -> ServingSet:
         """Returns the set as it is now."""
-        return self._sets.among(self._members.live())
+        return self._cached_set.among(self._members.live())
 
     def has_role(self, role: Role) -> bool:
         """Returns whether this daemon has a role now."""
-        return self.chosen().role(self._members.me.member_id) is role
+        return self.current().role(self._members.me.member_id) is role
 
     def among(
         self,
@@ -151,7 +151,7 @@
         del target, targets
         if len(self._members.live()) <= self._policy.mesh_limit:
             return members
-        chosen = self.chosen()
+        chosen = self.current()
         return [*chosen.serving, *chosen.standby]
 
     def _choose(self, members: list[view.Member]) -> ServingSet:
@@ -172,4 +172,10 @@
         return chosen
 
 
-__all__ = ["Role", "Serving", "ServingPolicy", "ServingSet", "choose"]
+__all__ = [
+    "Role",
+    "ServingSetSelector",
+    "ServingPolicy",
+    "ServingSet",
+    "choose",
+]
--- a/src/godwittack/member/serving_lease.py
+++ b/src/godwittack/member/serving_lease.py
@@ -9,30 +9,32 @@
     from godwittack.member.view import MemberPolicy, View
 
 
-class Right(Protocol):
+class ServingLease(Protocol):
     """Decides until when this daemon may serve by the table it has."""
 
-    def service_read(self, *, now_ms: int) -> None:
+    def record_service_read(self, *, now_ms: int) -> None:
         """Counts a reading of the newest version from the service."""
 
-    def compared(self, *, own: int, told: int, now_ms: int) -> None:
+    def record_version(self, *, own: int, told: int, now_ms: int) -> None:
         """Takes in a version that a peer told, or the own new one."""
 
-    def service_fresh(self, *, now_ms: int) -> bool:
+    def is_service_fresh(self, *, now_ms: int) -> bool:
         """Returns whether the service was read lately."""
 
-    def newest_at_ms(self) -> int:
+    def last_confirmed_ms(self) -> int:
         """Returns when the table was last known to be the newest.
 
         Long ago where it never was.
         """
 
-    def until_ms(self, view: View, *, own_version: int, now_ms: int) -> int:
+    def valid_until_ms(
+        self, view: View, *, own_version: int, now_ms: int
+    ) -> int:
         """Returns the time before which new work may start; 0 for not now."""
 
 
 @dataclasses.dataclass(slots=True)
-class ServeRight:
+class QuorumServingLease:
     """Decides until when this daemon may claim that its table is current.
 
     A daemon that read the table's version from the service lately is
@@ -44,19 +46,19 @@
 
     policy: MemberPolicy
     service_read_at_ms: int = -1_000_000
-    newest_told: int = 0
+    newest_reported: int = 0
     behind_since_ms: int = -1
     _behind_until_ms: int = 0
     _granted_until_ms: int = 0
 
-    def service_read(self, *, now_ms: int) -> None:
+    def record_service_read(self, *, now_ms: int) -> None:
         """Counts a reading of the newest version from the service."""
         self.service_read_at_ms = max(self.service_read_at_ms, now_ms)
 
-    def compared(self, *, own: int, told: int, now_ms: int) -> None:
+    def record_version(self, *, own: int, told: int, now_ms: int) -> None:
         """Takes in a version that a peer told, or the own new one."""
-        self.newest_told = max(self.newest_told, told)
-        if own >= self.newest_told:
+        self.newest_reported = max(self.newest_reported, told)
+        if own >= self.newest_reported:
             self.behind_since_ms = -1
         elif self.behind_since_ms < 0:
             self.behind_since_ms = now_ms
@@ -67,18 +69,20 @@
                 self._granted_until_ms, now_ms + self.policy.behind_ms
             )
 
-    def service_fresh(self, *, now_ms: int) -> bool:
+    def is_service_fresh(self, *, now_ms: int) -> bool:
         """Returns whether the service was read lately."""
         return now_ms - self.service_read_at_ms <= self.policy.lease_ms
 
-    def newest_at_ms(self) -> int:
+    def last_confirmed_ms(self) -> int:
         """Returns when the version was last read.
 
         A replica may have lagged; what is named is dated late by that.
         """
         return self.service_read_at_ms
 
-    def until_ms(self, view: View, *, own_version: int, now_ms: int) -> int:
+    def valid_until_ms(
+        self, view: View, *, own_version: int, now_ms: int
+    ) -> int:
         """Returns the time before which new work may start; 0 for not now.
 
         The time passes by itself: a daemon that was stopped and goes on finds
@@ -87,7 +91,7 @@
         if own_version == 0:
             return 0
         until_ms = self.service_read_at_ms + self.policy.lease_ms
-        if view.contact_share(now_ms=now_ms) > 0.5:
+        if view.reachable_fraction(now_ms=now_ms) > 0.5:
             until_ms = max(until_ms, now_ms + self.policy.contact_ms)
         if self.behind_since_ms >= 0:
             until_ms = min(until_ms, self._behind_until_ms)
@@ -95,4 +99,4 @@
         return self._granted_until_ms
 
 
-__all__ = ["Right", "ServeRight"]
+__all__ = ["ServingLease", "QuorumServingLease"]
--- a/src/godwittack/member/store_lease.py
+++ b/src/godwittack/member/store_lease.py
@@ -10,7 +10,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class ConfirmedRight:
+class StoreServingLease:
     """The right to serve where changes count from the store's answer on.
 
     Operators write to the store, and nobody waits until daemons have read it.
@@ -25,22 +25,22 @@
     bound_ms: int
     confirmed_at_ms: int = -1_000_000
 
-    def service_read(self, *, now_ms: int) -> None:
+    def record_service_read(self, *, now_ms: int) -> None:
         """Counts a confirmation, from before its call was sent."""
         self.confirmed_at_ms = max(self.confirmed_at_ms, now_ms)
 
-    def compared(self, *, own: int, told: int, now_ms: int) -> None:
+    def record_version(self, *, own: int, told: int, now_ms: int) -> None:
         """Takes in a version that a peer told; it confirms nothing."""
 
-    def service_fresh(self, *, now_ms: int) -> bool:
+    def is_service_fresh(self, *, now_ms: int) -> bool:
         """Returns whether the store was read lately."""
         return now_ms - self.confirmed_at_ms <= self.bound_ms
 
-    def newest_at_ms(self) -> int:
+    def last_confirmed_ms(self) -> int:
         """Returns when the store last confirmed the table."""
         return self.confirmed_at_ms
 
-    def until_ms(
+    def valid_until_ms(
         self, view: view.View, *, own_version: int, now_ms: int
     ) -> int:
         """Returns the time before which keys may be served; 0 for not now."""
@@ -48,4 +48,4 @@
         return self.confirmed_at_ms + self.bound_ms if own_version else 0
 
 
-__all__ = ["ConfirmedRight"]
+__all__ = ["StoreServingLease"]
--- a/src/godwittack/member/view.py
+++ b/src/godwittack/member/view.py
@@ -11,9 +11,9 @@
 # Transmissions of one member's state by each daemon: this many times the binary
 # logarithm of the fleet's size, but not fewer than the second.
 RETRANSMIT_FACTOR = 2
-LEAST_RETRANSMITS = 12
+MIN_RETRANSMITS = 12
 # More transmissions than any state needs.
-SPREAD = 1_000
+FULLY_TRANSMITTED = 1_000
 
 
 class MemberState(enum.IntEnum):
@@ -59,7 +59,8 @@
         failed_pings: Probes in a row that it did not answer.
         transmissions: How often its latest state was passed on.
         table_version: Table version it last told.
-        left: Whether it said that it leaves, so that its silence is no loss.
+        has_left: Whether it announced that it leaves; missing responses from
+            it then do not count as a lost daemon.
     """
 
     member: Member
@@ -68,7 +69,7 @@
     failed_pings: int = 0
     transmissions: int = 0
     table_version: int = 0
-    left: bool = False
+    has_left: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
@@ -97,7 +98,7 @@
     behind_ms: int = 500
     lease_ms: int = 3_500
 
-    def lapse_ms(self, *, gossip_ms: int) -> int:
+    def table_expiry_ms(self, *, gossip_ms: int) -> int:
         """Returns after which time an older table is served nowhere.
 
         Counted from the moment when more than half of the daemons have a
@@ -152,7 +153,7 @@
             self._serving = [m for m in live if m.state is MemberState.ALIVE]
         return self._serving
 
-    def unheard(self, *, since_ms: int) -> list[MemberRow]:
+    def unresponsive(self, *, since_ms: int) -> list[MemberRow]:
         """Returns members not known dead that have not answered since then."""
         return [
             row
@@ -174,7 +175,7 @@
         # Among hundreds a member's turn comes after most of a minute. One
         # that failed is asked again at once, or its death would show that
         # late.
-        chosen = self._failing()
+        chosen = self._failing_members()
         for member in chosen:
             del by_id[member.member_id]
         most = min(len(live), len(chosen) + self.policy.fanout)
@@ -187,7 +188,7 @@
                 chosen.append(by_id.pop(name))
         return chosen
 
-    def _failing(self) -> list[Member]:
+    def _failing_members(self) -> list[Member]:
         found = [
             row.member
             for row in self.rows.values()
@@ -198,7 +199,7 @@
     def updates(self) -> list[Member]:
         """Returns the member states to pass on, the least told ones first."""
         rounds = RETRANSMIT_FACTOR * math.ceil(math.log2(len(self.rows) + 2))
-        limit = max(LEAST_RETRANSMITS, rounds)
+        limit = max(MIN_RETRANSMITS, rounds)
         fresh = [r for r in self.rows.values() if r.transmissions < limit]
         fresh.sort(key=lambda row: row.transmissions)
         chosen = fresh[:ENVELOPE_UPDATES]
@@ -206,16 +207,17 @@
             row.transmissions += 1
         return [row.member for row in chosen]
 
-    def heard(
-        self, told: Member, *, now_ms: int, is_spread: bool = False
+    def apply(
+        self, told: Member, *, now_ms: int, is_widely_known: bool = False
     ) -> bool:
         """Takes in a member's state; returns True where it is news.
 
         Args:
-            told: The member.
-            now_ms: Time of hearing.
-            is_spread: Whether everyone has heard it long ago. A newcomer that
-                passed on each of hundreds would do so for a minute.
+            told: The member's state.
+            now_ms: Time of receipt.
+            is_widely_known: Whether all daemons received it long ago. A new
+                daemon that retransmitted hundreds of such states would need a
+                minute for it.
         """
         if told.member_id == self.me.member_id:
             return self._refute(told)
@@ -228,18 +230,20 @@
             self.rows[told.member_id] = MemberRow(
                 member=told,
                 since_ms=now_ms,
-                left=told.state is MemberState.LEAVING,
-                transmissions=SPREAD if is_spread else 0,
+                has_left=told.state is MemberState.LEAVING,
+                transmissions=FULLY_TRANSMITTED if is_widely_known else 0,
             )
             self._live = None
             return True
         known = (row.member.refutation, row.member.state)
         if (told.refutation, told.state) <= known:
             return False
-        self._set(row, told, now_ms)
+        self._update_row(row, told, now_ms)
         return True
 
-    def acked(self, member_id: str, *, table_version: int, now_ms: int) -> None:
+    def record_ack(
+        self, member_id: str, *, table_version: int, now_ms: int
+    ) -> None:
         """Counts an answered probe."""
         row = self.rows.get(member_id)
         if row is None:
@@ -248,7 +252,7 @@
         row.failed_pings = 0
         row.table_version = max(row.table_version, table_version)
 
-    def failed(self, member_id: str, *, now_ms: int) -> bool:
+    def record_failure(self, member_id: str, *, now_ms: int) -> bool:
         """Counts an unanswered probe; returns True on a new suspicion."""
         row = self.rows.get(member_id)
         if row is None:
@@ -258,7 +262,7 @@
         trusted = row.member.state in (MemberState.ALIVE, MemberState.LEAVING)
         if row.failed_pings < self.policy.suspect_after or not trusted:
             return False
-        self._set(
+        self._update_row(
             row,
             dataclasses.replace(row.member, state=MemberState.SUSPECT)
             if row.member.state is MemberState.ALIVE
@@ -285,7 +289,7 @@
                 and age_ms >= self.policy.suspect_ms
             ):
                 dead = dataclasses.replace(row.member, state=MemberState.DEAD)
-                self._set(row, dead, now_ms)
+                self._update_row(row, dead, now_ms)
                 changed = True
             elif (
                 state is MemberState.DEAD
@@ -310,12 +314,12 @@
         )
         self._live = None
 
-    def known(self) -> int:
+    def expected_count(self) -> int:
         """Returns how many daemons there should be, this one included."""
-        rows = [row for row in self.rows.values() if not row.left]
+        rows = [row for row in self.rows.values() if not row.has_left]
         return max(1 + len(rows), self.expected)
 
-    def known_addresses(self) -> int:
+    def expected_address_count(self) -> int:
         """Returns at how many addresses there should be daemons.
 
         A daemon that was started again counts once, one that does not answer
@@ -324,11 +328,11 @@
         found = {
             row.member.peer_address
             for row in self.rows.values()
-            if not row.left
+            if not row.has_left
         }
         return max(len(found | {self.me.peer_address}), self.expected)
 
-    def contact_share(self, *, now_ms: int) -> float:
+    def reachable_fraction(self, *, now_ms: int) -> float:
         """Returns which part of the known daemons answered lately.
 
         Daemons known dead count as known, and at least as many as the
@@ -340,7 +344,7 @@
         live = [
             row
             for row in self.rows.values()
-            if not row.left and row.member.state is not MemberState.DEAD
+            if not row.has_left and row.member.state is not MemberState.DEAD
         ]
         probed = [
             row
@@ -349,7 +353,7 @@
         ]
         answered = sum(1 for row in probed if row.failed_pings == 0)
         heard = len(live) * answered / len(probed) if probed else 0.0
-        return (1 + heard) / self.known()
+        return (1 + heard) / self.expected_count()
 
     def _refute(self, told: Member) -> bool:
         accused = told.state in (MemberState.SUSPECT, MemberState.DEAD)
@@ -380,12 +384,12 @@
                 del self.rows[name]
                 self._live = None
 
-    def _set(self, row: MemberRow, member: Member, now_ms: int) -> None:
+    def _update_row(self, row: MemberRow, member: Member, now_ms: int) -> None:
         self._live = None
         row.member = member
         row.since_ms = now_ms
         row.transmissions = 0
-        row.left = row.left or member.state is MemberState.LEAVING
+        row.has_left = row.has_left or member.state is MemberState.LEAVING
 
 
 __all__ = [
--- a/tests/cases/entries.py
+++ b/tests/cases/entries.py
@@ -351,7 +351,7 @@
 
     decide(1_000, 0)
     assert decide(1_000, 150).load == ("e1",)
-    planned.ordered("e1", now_ms=150)
+    planned.record_order("e1", now_ms=150)
     assert decide(1_000, 300).load == ()
     decide(2_000, 400)
     assert decide(2_000, 550).load == ("e1",)
--- a/tests/cases/fleet_bounds.py
+++ b/tests/cases/fleet_bounds.py
@@ -46,7 +46,7 @@
     targets = tuple(f"model-{number}" for number in range(MODELS))
     deaf = []
     for target in targets:
-        audience = assignment.ByTarget(MESH_LIMIT)
+        audience = assignment.AudienceByTarget(MESH_LIMIT)
         hears = audience.among(target, members, targets)
         first = assignment.leaders(target, members, targets, audience)[0]
         if first not in {member.member_id for member in hears}:
@@ -222,7 +222,7 @@
             me=me, policy=view.MemberPolicy(), rng=random.Random(1)
         )
         for other in others:
-            members.heard(other, now_ms=0)
+            members.apply(other, now_ms=0)
         told = collections.Counter()
         while chosen := members.updates():
             told.update(member.member_id for member in chosen)
@@ -268,7 +268,7 @@
             me=me, policy=view.MemberPolicy(), rng=random.Random(1)
         )
         for other in others:
-            members.heard(other, now_ms=clock.now_ms())
+            members.apply(other, now_ms=clock.now_ms())
         streams = _Streams(clock)
         teller = news.News(runtime=runtime, members=members, client=streams)
         teller.publish_leaving("gone")
--- a/tests/cases/following.py
+++ b/tests/cases/following.py
@@ -119,7 +119,9 @@
     case = Followed()
     known = freshness.Freshness(topic=freshness.Topic.SERVERS)
     case.follower._known = known
-    case.follower._on_rows = lambda rows: known.changed(case.follower.version)
+    case.follower._on_rows = lambda rows: known.record_version(
+        case.follower.version
+    )
     await case.step(page(5, ("a", "1")))
     confirmed = len(case.confirmed)
     await case.step(page(7, gone=("b",)))
--- a/tests/cases/freshness.py
+++ b/tests/cases/freshness.py
@@ -10,7 +10,7 @@
 
 def _fresh(version: int = 5) -> Freshness:
     known = Freshness(topic=Topic.TABLE)
-    known.changed(version)
+    known.record_version(version)
     return known
 
 
@@ -24,7 +24,7 @@
     """
     known = _fresh()
     belief = Belief(Topic.TABLE, 5, age_ms=200)
-    known.told(belief, asked_at_ms=10_000, now_ms=18_000)
+    known.apply_belief(belief, asked_at_ms=10_000, now_ms=18_000)
     assert known.confirmed_at_ms == 9_800
 
 
@@ -36,10 +36,12 @@
     Cause: only the age looked at.
     """
     known = _fresh()
-    known.told(Belief(Topic.TABLE, 6, 0), asked_at_ms=10_000, now_ms=10_004)
+    known.apply_belief(
+        Belief(Topic.TABLE, 6, 0), asked_at_ms=10_000, now_ms=10_004
+    )
     assert known.confirmed_at_ms < 0
     assert known.behind_since_ms == 10_004
-    known.changed(6)
+    known.record_version(6)
     assert known.behind_since_ms == -1
 
 
@@ -51,7 +53,9 @@
     Cause: any confirmation taken for one of the own version.
     """
     known = _fresh()
-    known.told(Belief(Topic.TABLE, 4, 0), asked_at_ms=10_000, now_ms=10_004)
+    known.apply_belief(
+        Belief(Topic.TABLE, 4, 0), asked_at_ms=10_000, now_ms=10_004
+    )
     assert known.confirmed_at_ms < 0 and known.behind_since_ms < 0
 
 
@@ -63,12 +67,12 @@
     Cause: each dated what it heard by its own clock.
     """
     daemons = [_fresh() for _ in range(10)]
-    daemons[0].confirmed(1_000)
+    daemons[0].record_confirmation(1_000)
     for now_ms in range(1_000, 11_000, 100):
         for number, known in enumerate(daemons):
-            told = daemons[(number + 1) % 10].tell(now_ms=now_ms)
+            told = daemons[(number + 1) % 10].current_belief(now_ms=now_ms)
             if told is not None:
-                known.told(told, asked_at_ms=now_ms - 4, now_ms=now_ms)
+                known.apply_belief(told, asked_at_ms=now_ms - 4, now_ms=now_ms)
     assert max(known.confirmed_at_ms for known in daemons) == 1_000
 
 
@@ -85,11 +89,11 @@
     case.follower._is_reader = lambda: False
     assert not case.follower.may_rest()
     await case.step(cases.page(5, ("a", "1"), clock_ms=50_000))
-    known.confirmed(case.clock.now_ms())
+    known.record_confirmation(case.clock.now_ms())
     assert case.follower.may_rest()
     case.clock.advance(by_ms=3_000)
     assert not case.follower.may_rest()
-    known.confirmed(case.clock.now_ms())
+    known.record_confirmation(case.clock.now_ms())
     known.behind_since_ms = case.clock.now_ms() - 1_000
     assert not case.follower.may_rest()
 
@@ -161,7 +165,7 @@
     Cause: changes merged without a look at what they follow on.
     """
     held, _, known, _ = _list(is_reader=False)
-    known.changed(5)
+    known.record_version(5)
     held.told({"s8": _instance("s8")}, 5, 6)
     assert known.version == 6 and known.behind_since_ms < 0
     held.told({"s9": _instance("s9")}, 7, 8)
@@ -183,8 +187,8 @@
     follower._known = known
     follower._is_reader = lambda: False
     follower._needs_snapshot = False
-    known.changed(6)
-    known.confirmed(clock.now_ms())
+    known.record_version(6)
+    known.record_confirmation(clock.now_ms())
     for version in (8, 9):
         held.told({"s9": _instance(f"s{version}")}, version - 1, version)
         assert follower.may_rest()
--- a/tests/cases/leading.py
+++ b/tests/cases/leading.py
@@ -111,7 +111,7 @@
             )
             held = led.lead._led[one_lead.MODEL].lease
             assert not await held.record(["e1"])
-            assert not held.may_send("e1") and "e1" in held.held()
+            assert not held.may_send("e1") and "e1" in held.held_by_others()
             number = held.fencing
             assert await held.record(["e2"]) and held.fencing > number
 
@@ -270,7 +270,7 @@
             )
             for holder in ("first", "second")
         )
-        assert await first.look()
+        assert await first.refresh()
         table.is_deaf = True
         assert await first.record(["e1"]) and first.is_own
         table.is_deaf = False
@@ -278,7 +278,7 @@
         # Decided as the holder, which it is no more.
         assert not await first.record(["e2"])
         assert not first.is_own and not first.may_send("e2")
-        assert "e2" in first.held()
+        assert "e2" in first.held_by_others()
 
     one_lead.play(case())
 
--- a/tests/cases/rollout_bounds.py
+++ b/tests/cases/rollout_bounds.py
@@ -60,7 +60,7 @@
         )
         for other in names:
             if other != name:
-                members.heard(_member(other), now_ms=self.clock.now_ms())
+                members.apply(_member(other), now_ms=self.clock.now_ms())
         self.lead = lead.Leader(
             core=self.runtime,
             client=engines,
@@ -121,7 +121,7 @@
             one_lead.MODEL,
             [_member(n) for n in names],
             (one_lead.MODEL,),
-            assignment.ByTarget(),
+            assignment.AudienceByTarget(),
         )
         first, second = (
             _Daemon(name, names, engines=engines, table=table, use_limit_ms=0)
@@ -156,7 +156,7 @@
         load = asyncio.create_task(led.press())
         await led.run(for_s=12.0)
         load.cancel()
-        most = pacing.most_at_store(servers)
+        most = pacing.max_store_loads(servers)
         assert engines.most_loading <= most, (engines.most_loading, most)
         assert not engines.refused, engines.refused
 
--- a/tests/cases/rollouts.py
+++ b/tests/cases/rollouts.py
@@ -121,12 +121,12 @@
     Cause: the number at one time follows from the fleet alone.
     """
 
-    def room(*, oldest_ms: int, able: int = 5) -> int:
-        return pacing.most_loading_under_load(
-            pacing.Remaining(
+    def room(*, oldest_ms: int, usable: int = 5) -> int:
+        return pacing.max_loading_under_load(
+            pacing.RemainingWork(
                 replicas=5,
-                able=able,
-                behind=able,
+                usable=usable,
+                behind=usable,
                 oldest_ms=oldest_ms,
                 load_ms=1_000,
                 use_limit_ms=9_500,
@@ -135,8 +135,8 @@
 
     assert room(oldest_ms=0) == 1
     assert room(oldest_ms=4_000) == 2
-    assert room(oldest_ms=4_000, able=3) == 1
-    assert room(oldest_ms=60_000, able=1) == 1
+    assert room(oldest_ms=4_000, usable=3) == 1
+    assert room(oldest_ms=60_000, usable=1) == 1
 
 
 def _replica(name: str, **fields) -> rollout.Replica:
@@ -155,7 +155,8 @@
     """
     rolling = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
     behind = [
-        _replica(f"r{n}", old_for_ms=8_000, gets_work=n >= 4) for n in range(12)
+        _replica(f"r{n}", outdated_for_ms=8_000, accepts_work=n >= 4)
+        for n in range(12)
     ]
     drained = rolling.decide(
         wanted="2", replicas=behind, now_ms=0, is_pressed=True
@@ -173,7 +174,7 @@
     """
     rolling = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
     replicas = [
-        _replica(f"r{n:02}", old_for_ms=8_000, gets_work=n >= 10)
+        _replica(f"r{n:02}", outdated_for_ms=8_000, accepts_work=n >= 10)
         for n in range(56)
     ]
     drained = rolling.decide(
@@ -195,10 +196,10 @@
     """
     rolling = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
     replicas = [
-        _replica("a", weights_version="2", busy=0, old_for_ms=200),
-        _replica("b", weights_version="2", busy=0, old_for_ms=200),
-        _replica("c", old_for_ms=3_000),
-        _replica("d", old_for_ms=3_000),
+        _replica("a", weights_version="2", busy=0, outdated_for_ms=200),
+        _replica("b", weights_version="2", busy=0, outdated_for_ms=200),
+        _replica("c", outdated_for_ms=3_000),
+        _replica("d", outdated_for_ms=3_000),
     ]
     drained = rolling.decide(wanted="3", replicas=replicas, now_ms=0).draining
     assert drained == ("c", "d"), drained
@@ -214,8 +215,8 @@
     """
     rolling = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
     rolling.decide(wanted="2", replicas=[_replica("a")], now_ms=0)
-    rolling.ordered("a", now_ms=100)
-    rolling.taken("a")
+    rolling.record_order("a", now_ms=100)
+    rolling.record_acceptance("a")
     loaded = _replica("a", weights_version="3")
     after = rolling.decide(wanted="3", replicas=[loaded], now_ms=900)
     assert not after.draining, after
@@ -226,16 +227,16 @@
     rolling = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
     names = [f"s{number}" for number in range(40)]
     # Too old for use, as far as this lead has heard.
-    stale = [_replica(name, gets_work=False) for name in names]
+    stale = [_replica(name, accepts_work=False) for name in names]
     rolling.decide(wanted="5", replicas=stale, now_ms=0)
     first = rolling.decide(wanted="5", replicas=stale, now_ms=100).load
     for name in first:
-        rolling.ordered(name, now_ms=100)
-        rolling.taken(name)
+        rolling.record_order(name, now_ms=100)
+        rolling.record_acceptance(name)
     late = [_replica(name, weights_version="4") for name in names]
     after = rolling.decide(wanted="5", replicas=late, now_ms=200)
     assert after.overview.loading == len(first) > 0, after.overview
-    most = pacing.most_at_store(len(names))
+    most = pacing.max_store_loads(len(names))
     assert len(after.draining) <= most, (len(after.draining), most)
     loaded = [
         _replica(name, weights_version="5" if name in first else "4")
@@ -258,19 +259,19 @@
         rollout.RolloutPolicy(order_after_ms=100, use_limit_ms=12_000)
     )
     for _ in range(20):
-        rolling.loaded(took_ms=600)
+        rolling.record_load(took_ms=600)
     replicas = [_replica(f"r{n:02}") for n in range(56)]
 
     def room(now_ms: int) -> int:
         aged = [
-            dataclasses.replace(replica, old_for_ms=now_ms)
+            dataclasses.replace(replica, outdated_for_ms=now_ms)
             for replica in replicas
         ]
         decided = rolling.decide(
             wanted="2", replicas=aged, now_ms=now_ms, is_pressed=True
         )
         for name in decided.load:
-            rolling.ordered(name, now_ms=now_ms)
+            rolling.record_order(name, now_ms=now_ms)
         return decided.overview.room
 
     assert room(0) == room(100) == 56 // 6
@@ -286,9 +287,9 @@
     """
     seen = pacing.LoadTime()
     for took_ms in (2_400, 400):
-        seen.saw(took_ms)
+        seen.record(took_ms)
     assert seen.estimate_ms >= 2_000, seen
-    seen.saw(3_000)
+    seen.record(3_000)
     assert seen.estimate_ms == 3_000, seen
 
 
@@ -302,9 +303,9 @@
     rolling = rollout.Rollout(
         rollout.RolloutPolicy(load_limit_ms=4_000, use_limit_ms=12_000)
     )
-    rolling.loaded(took_ms=12_000)
+    rolling.record_load(took_ms=12_000)
     for _ in range(6):
-        rolling.loaded(took_ms=1_000)
+        rolling.record_load(took_ms=1_000)
     decided = rolling.decide(
         wanted="2",
         replicas=[_replica(f"r{n:02}") for n in range(56)],
@@ -330,8 +331,8 @@
         drained += len(decided.draining)
         for name in decided.load:
             orders += 1
-            rolling.ordered(name, now_ms=now_ms)
-            rolling.failed(name, now_ms=now_ms)
+            rolling.record_order(name, now_ms=now_ms)
+            rolling.record_refusal(name, now_ms=now_ms)
     assert 5 <= orders <= 20, orders
     assert drained <= 40, drained
 
@@ -348,8 +349,8 @@
     replicas = [_replica(name) for name in ("a", "b", "c", "d")]
     rolling.decide(wanted="2", replicas=replicas, now_ms=0)
     for name in rolling.decide(wanted="2", replicas=replicas, now_ms=100).load:
-        rolling.ordered(name, now_ms=100)
-        rolling.failed(name, now_ms=100)
+        rolling.record_order(name, now_ms=100)
+        rolling.record_refusal(name, now_ms=100)
     after = rolling.decide(wanted="2", replicas=replicas, now_ms=200)
     assert after.draining == ("c", "d"), after.draining
     newer = [
@@ -357,7 +358,7 @@
         for replica in replicas[2:]
     ]
     aged = [
-        dataclasses.replace(replica, old_for_ms=3_000)
+        dataclasses.replace(replica, outdated_for_ms=3_000)
         for replica in replicas[:2]
     ]
     after = rolling.decide(wanted="3", replicas=aged + newer, now_ms=300)
--- a/tests/cases/routed.py
+++ b/tests/cases/routed.py
@@ -420,7 +420,7 @@
     names = tuple(sorted(["d", *(f"d{n}" for n in range(59))]))
     core.tell(inputs.MembersChanged, names)
     core.arrive("long", "r1")
-    order = assignment.askers("e1", names)
+    order = assignment.probe_order("e1", names)
     core.world.daemon = order[0]
     assert [p.server_id for p in core.wait(350) if _is_probe(p)] == ["e1"]
     core.world.servers["e1"].asked_at_ms = -10_000
--- a/tests/cases/serving.py
+++ b/tests/cases/serving.py
@@ -181,7 +181,9 @@
         if detector.observe(lag_ms, now_ms=now_ms):
             changes.append((now_ms, detector.is_overloaded))
     assert [overloaded for _, overloaded in changes] == [True, False], changes
-    assert changes[1][0] - changes[0][0] >= overload.HOLD_MS, changes
+    assert changes[1][0] - changes[0][0] >= overload.MIN_CHANGE_INTERVAL_MS, (
+        changes
+    )
 
 
 def news_of_overload_reaches_other_views() -> None:
@@ -192,9 +194,9 @@
     other = view.View(
         me=_member(2), policy=view.MemberPolicy(), rng=random.Random(1)
     )
-    assert other.heard(own.me, now_ms=0)
+    assert other.apply(own.me, now_ms=0)
     for is_overloaded in (True, False):
         own.set_overloaded(is_overloaded)
-        assert other.heard(own.me, now_ms=1)
+        assert other.apply(own.me, now_ms=1)
         told = other.rows["edge-001"].member
         assert told.is_overloaded is is_overloaded
--- a/tests/cases/weights.py
+++ b/tests/cases/weights.py
@@ -160,8 +160,8 @@
     ordered = rolling.decide(wanted="2", replicas=behind, now_ms=100).load
     assert ordered == ("a", "b"), ordered
     for name in ordered:
-        rolling.ordered(name, now_ms=100)
-    rolling.failed("a", now_ms=100)
+        rolling.record_order(name, now_ms=100)
+    rolling.record_refusal("a", now_ms=100)
     drained = rolling.decide(wanted="2", replicas=behind, now_ms=200).draining
     assert drained == ("b", "c"), drained
 
@@ -208,7 +208,7 @@
         )
 
     assert decide(0).load == ("e1",)
-    planned.ordered("e1", now_ms=0)
+    planned.record_order("e1", now_ms=0)
     assert decide(500).draining == ("e1",)
     assert decide(600, reachable=False).draining == ("e2",)
     assert decide(750, reachable=False).load == ("e2",)
@@ -239,18 +239,20 @@
         self.keeper = keeping.FeedKeeper(
             runtime=_Running(self.core),
             peers=None,
-            right=store_lease.ConfirmedRight(bound_ms=routed_core.ALLOWED_MS),
+            right=store_lease.StoreServingLease(
+                bound_ms=routed_core.ALLOWED_MS
+            ),
             members=None,
             known=freshness.Freshness(topic=freshness.Topic.TABLE),
         )
         self.keeper.known.on_confirmed = self.keeper.confirmed
-        self.keeper.known.changed(1)
+        self.keeper.known.record_version(1)
 
     def read(self, table: model.Table | None = None) -> None:
         """Lets an answer of the store come, with a newer table or without."""
         if table is not None:
             assert self.keeper.adopt(table)
-        self.keeper.known.confirmed(self.core.now_ms)
+        self.keeper.known.record_confirmation(self.core.now_ms)
 
     def read_for(self, ms: int) -> None:
         """Lets time pass, with an answer of the store each second."""
--- a/tests/features/steps/fleet_steps.py
+++ b/tests/features/steps/fleet_steps.py
@@ -153,7 +153,7 @@
 def _audiences(daemons: int, models: int, *, without: str = ""):
     names = tuple(name for name in _names(daemons) if name != without)
     targets = tuple(sorted(f"model-{n}" for n in range(models)))
-    return {t: assignment.audience_names(t, names, targets) for t in targets}
+    return {t: assignment.audience_ids(t, names, targets) for t in targets}
 
 
 async def _started(daemons: int) -> fleets.Fleet:
@@ -241,7 +241,7 @@
     fleet = await _started(daemons)
     live = fleet.daemons[0].gossiper.members.live()
     names = tuple(member.member_id for member in live)
-    group = assignment.group_names("desk", "rulebook", names, ())
+    group = assignment.workspace_group_ids("desk", "rulebook", names, ())
     stray = next(d for d in fleet.alive() if d.name not in group)
     fleet.users = [d for d in fleet.alive() if d.name in group] + [stray]
     for daemon in fleet.users:
--- a/tests/sim/fleet.py
+++ b/tests/sim/fleet.py
@@ -73,7 +73,7 @@
         )
         tables_store = store.TableStore(self.table, fleet.objects)
         peers = ways.FleetPeers(fleet, self)
-        self.right = serving_lease.ServeRight(policy)
+        self.right = serving_lease.QuorumServingLease(policy)
         self.keeper = tables.PolledKeeper(
             tables=tables_store,
             runtime=self.runtime,
--- a/tests/sim/leads.py
+++ b/tests/sim/leads.py
@@ -148,7 +148,7 @@
         while True:
             await asyncio.sleep(0.02)
             loading = sum(r.loading for r in self.replicas)
-            if loading > pacing.LEAST_LOADING:
+            if loading > pacing.MIN_STORE_LOADS:
                 self.wrong.append(f"{loading} load at once")
             for replica in self.replicas:
                 able = [
@@ -218,14 +218,14 @@
             return True
         if not self._is_turn():
             return False
-        return await self.lease.look() and self._is_turn()
+        return await self.lease.refresh() and self._is_turn()
 
     def _is_turn(self) -> bool:
         world = self.world
         ranked = [lead.name for lead in world.leads]
         unchanged_s = world.loop.time() - self._behind[1]
-        return takeover.is_own(
-            place=takeover.rank(self.name, self.lease.holder, ranked),
+        return takeover.may_order(
+            daemons_before=takeover.rank(self.name, self.lease.holder, ranked),
             unchanged_ms=round(unchanged_s * 1000),
             idle_ms=self.lease.idle_ms(),
         )
@@ -246,7 +246,7 @@
             wanted=wanted,
             replicas=known,
             now_ms=world.clock.now_ms(),
-            held=self.lease.held(),
+            held=self.lease.held_by_others(),
         )
         ready = [n for n in decision.load if self.lease.may_send(n)]
         unrecorded = {
@@ -270,7 +270,7 @@
         world = self.world
         if not self.lease.may_send(replica.name):
             return
-        self.rollout.ordered(replica.name, now_ms=world.clock.now_ms())
+        self.rollout.record_order(replica.name, now_ms=world.clock.now_ms())
         order = sent_orders.SentOrder(
             self.name, self.lease.fencing, world.loop.time()
         )
