--- a/src/godwittack/daemon/gossip.py
+++ b/src/godwittack/daemon/gossip.py
@@ -369,7 +369,7 @@
     def _compare_versions(self, told: peer_pb2.Envelope, now_ms: int) -> None:
         own = self._keeper.table.version
         self._keeper.right.record_version(
-            own=own, told=told.table_version, now_ms=now_ms
+            own=own, reported=told.table_version, now_ms=now_ms
         )
         if told.table_version > own and told.sender.peer_address:
             task = asyncio.create_task(
@@ -381,7 +381,7 @@
     def _adopted(self) -> None:
         now_ms = self._runtime.clock.now_ms()
         own = self._keeper.table.version
-        self._keeper.right.record_version(own=own, told=own, now_ms=now_ms)
+        self._keeper.right.record_version(own=own, reported=own, now_ms=now_ms)
         self._tell_core(now_ms)
 
     def _tell_core(self, now_ms: int) -> None:
--- a/src/godwittack/daemon/lead.py
+++ b/src/godwittack/daemon/lead.py
@@ -107,11 +107,11 @@
         wanted = row.weights_version
         pace = model_state.pace_inputs(world, model, wanted)
         decision = led.rollout.decide(
-            wanted=wanted,
+            desired_version=wanted,
             replicas=model_state.replicas(world, model),
             now_ms=self._core.clock.now_ms(),
-            is_pressed=pace.is_pressed,
-            held=led.lease.held_by_others(),
+            is_under_load=pace.is_pressed,
+            held_by_others=led.lease.held_by_others(),
         )
         self._log.log_step(model, pace, decision.overview)
         # Before the store is asked: what was decided on loads is outdated once
--- a/src/godwittack/lead/__init__.py
+++ b/src/godwittack/lead/__init__.py
@@ -1,1 +1,1 @@
-"""Leads of models: leases, fencing numbers and weights roll-outs."""
+"""Leads of models: leases, fencing numbers and roll-outs of weights."""
--- a/src/godwittack/lead/lease.py
+++ b/src/godwittack/lead/lease.py
@@ -1,14 +1,15 @@
-"""The right to order a model's servers, recorded before it is used.
-
-Load pattern: new weights are named while their holder, or the store for some
-daemons, is away; until another daemon may order, servers grow too old for use.
-
-One row a model says who orders, under which fencing number, and which servers
-it is about to order until when. Each order needs a write of that row before it,
-under the condition that nobody else wrote, and must be sent within a short
-time of that write. So nobody holds anything while nothing is ordered: another
-daemon may take over with one write, and needs to wait for just those servers
-that the row says were ordered a moment ago.
+"""Lease to order the servers of a model, with orders recorded before sending.
+
+Load pattern: new weights are published while the holder of the lease is down,
+or some daemons cannot reach the store; until another daemon may order, the
+weights of servers become too old for use.
+
+One row per model records the holder, its fencing number, and the servers that
+it is about to order with a deadline for each. Before each order the row is
+written, on condition that no other daemon wrote it, and the order must be sent
+within a short time after that write. So the lease blocks nothing while nothing
+is ordered: another daemon takes over with one write, and waits only for the
+servers with recent orders in the row.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
     from godwittack.clock import Clock
 
 TABLE = "leases"
-# Idle time told of a row that records no order: longer than any patience.
+# Idle time returned for a row without orders: longer than any takeover wait.
 NO_ORDER_IDLE_MS = 3_600_000
 
 
@@ -41,7 +42,7 @@
 class _RowJson(pydantic.BaseModel):
     holder: str
     fencing: int
-    # Counts up, so that a write without an answer is known by its number.
+    # Incremented by each write, to recognize one whose reply was lost.
     writes: int
     orders: dict[str, _OrderJson] = {}
 
@@ -51,12 +52,13 @@
     """Times of a lease.
 
     Attributes:
-        lease_ms: Time between the orders of two holders to one server. One
-            that does not check fencing numbers would carry out an order that
-            its holder was paused with, after newer ones.
+        lease_ms: Minimum time between orders of two holders to one server. A
+            server that does not check fencing numbers would otherwise carry
+            out the late order of a holder that was suspended, after newer
+            ones.
         send_ms: Time from the start of a write in which the orders that it
-            records may be sent; longer than a call of the store may take.
-        retention_ms: Time for which an order stays in the row after that.
+            records may be sent; longer than a call to the store may take.
+        retention_ms: Time for which an order stays in the row after that time.
     """
 
     lease_ms: int = 4_000
@@ -65,25 +67,28 @@
 
 
 class _StoreClock:
-    """The store's steady clock, between two bounds.
+    """Bounds of the offset between the local clock and the store's clock.
 
-    An answer's time lies between the sending of the call and its arrival.
+    The store's time in a reply lies between the sending of the call and the
+    arrival of the reply.
     """
 
     def __init__(self) -> None:
         self._min_offset_ms: int | None = None
         self._max_offset_ms = 0
 
-    def observe(self, service_ms: int, *, sent_ms: int, got_ms: int) -> None:
-        least_ms, most_ms = service_ms - got_ms, service_ms - sent_ms
+    def observe(
+        self, service_ms: int, *, sent_ms: int, received_ms: int
+    ) -> None:
+        min_ms, max_ms = service_ms - received_ms, service_ms - sent_ms
         if self._min_offset_ms is None or not (
-            self._min_offset_ms <= most_ms and least_ms <= self._max_offset_ms
+            self._min_offset_ms <= max_ms and min_ms <= self._max_offset_ms
         ):
-            # The first answer, or a clock that was set anew.
-            self._min_offset_ms, self._max_offset_ms = least_ms, most_ms
+            # The first reply, or one of the clocks was set.
+            self._min_offset_ms, self._max_offset_ms = min_ms, max_ms
             return
-        self._min_offset_ms = max(self._min_offset_ms, least_ms)
-        self._max_offset_ms = min(self._max_offset_ms, most_ms)
+        self._min_offset_ms = max(self._min_offset_ms, min_ms)
+        self._max_offset_ms = min(self._max_offset_ms, max_ms)
 
     def earliest_ms(self, now_ms: int) -> int:
         return now_ms + (self._min_offset_ms or 0)
@@ -93,7 +98,7 @@
 
 
 class Lease:
-    """One daemon's view of one row, and of what it may send by it."""
+    """One daemon's copy of a model's row, and the orders that it may send."""
 
     def __init__(
         self,
@@ -104,7 +109,7 @@
         policy: LeasePolicy,
         clock: Clock,
     ) -> None:
-        """Looks at the row `name` when asked to; may order nothing yet."""
+        """Starts without reading the row `name`; may order nothing yet."""
         self._service = service
         self._row_id = protocol.RowId(TABLE, name)
         self._own_id = holder
@@ -117,7 +122,7 @@
 
     @property
     def holder(self) -> str:
-        """Who ordered last, as far as this daemon knows; may be empty."""
+        """The daemon that ordered last, as far as known here; may be empty."""
         return self._row.holder
 
     @property
@@ -131,21 +136,21 @@
         return self._row.holder == self._own_id
 
     def may_send(self, server_id: str) -> bool:
-        """Returns whether an order to a server may go out at this moment."""
+        """Returns whether an order to a server may be sent now."""
         until_ms = self._granted_until_ms.get(server_id, -1)
         return self.is_own and self._clock.now_ms() < until_ms
 
     def is_recorded(self, server_id: str) -> bool:
-        """Returns whether this holder has recorded an order to a server."""
+        """Returns whether this daemon, as holder, recorded an order to it."""
         order = self._row.orders.get(server_id)
         return self.is_own and order is not None and self._is_own_order(order)
 
     def held_by_others(self) -> frozenset[str]:
-        """Returns servers that another holder ordered too short a time ago."""
+        """Returns servers that another holder ordered too recently."""
         now_ms = self._store_clock.earliest_ms(self._clock.now_ms())
         return frozenset(
-            name
-            for name, order in self._row.orders.items()
+            server_id
+            for server_id, order in self._row.orders.items()
             if not (self.is_own and self._is_own_order(order))
             and now_ms < order.until_ms + self._policy.lease_ms
         )
@@ -159,52 +164,53 @@
         return max(0, now_ms - last_ms + self._policy.send_ms)
 
     def forfeit(self) -> None:
-        """Gives the right up: a server has seen a higher fencing number."""
+        """Gives up the lease after a server has seen a higher fencing number."""
         self._row = self._row.model_copy(update={"holder": ""})
         self._granted_until_ms.clear()
 
     async def refresh(self) -> bool:
-        """Reads the row; returns whether the store answered."""
+        """Reads the row; returns whether the store replied."""
         sent_ms = self._clock.now_ms()
-        got = await self._service.read(self._row_id)
-        if isinstance(got, Err):
+        reply = await self._service.read(self._row_id)
+        if isinstance(reply, Err):
             return False
-        self._observe_store_time(got.ok_value.service_ms, sent_ms)
-        self._apply_row(got.ok_value)
+        self._observe_store_time(reply.ok_value.service_ms, sent_ms)
+        self._apply_row(reply.ok_value)
         return True
 
     async def record(self, server_ids: Collection[str]) -> bool:
-        """Records orders that are about to be sent; returns whether it may.
+        """Records orders before they are sent; returns whether they may be.
 
-        Makes this daemon the holder where another one was.
+        Makes this daemon the holder if another one was.
         """
         was_own = self.is_own
         if self._row_version < 0 and not await self.refresh():
             return False
         if was_own and not self.is_own:
-            # Read for the first time since a write: what was decided on as
-            # the holder knows nothing of the other's orders.
+            # First read since a write that left the row's version unknown:
+            # the decision was made as the holder and does not consider the
+            # other holder's orders.
             return False
         sent_ms = self._clock.now_ms()
-        wanted = self._with_orders(server_ids, sent_ms)
-        got = await self._service.transact(
+        new_row = self._with_orders(server_ids, sent_ms)
+        reply = await self._service.transact(
             (protocol.Condition(self._row_id, self._row_version),),
-            (protocol.RowWrite(self._row_id, wanted.model_dump_json()),),
+            (protocol.RowWrite(self._row_id, new_row.model_dump_json()),),
         )
-        if isinstance(got, Err):
-            # Whether it was written is not known; the row tells.
-            if not await self.refresh() or self._row != wanted:
+        if isinstance(reply, Err):
+            # It may have been written; reading the row shows it.
+            if not await self.refresh() or self._row != new_row:
                 return False
         else:
-            done = got.ok_value
-            self._observe_store_time(done.service_ms, sent_ms)
-            if not done.committed:
-                self._apply_row(done.rows[0])
+            result = reply.ok_value
+            self._observe_store_time(result.service_ms, sent_ms)
+            if not result.committed:
+                self._apply_row(result.rows[0])
                 return False
-            self._row, self._row_version = wanted, done.version
-            if not done.version and not await self.refresh():
+            self._row, self._row_version = new_row, result.version
+            if not result.version and not await self.refresh():
                 self._row_version = -1
-            if self._row != wanted:
+            if self._row != new_row:
                 return False
         until_ms = sent_ms + self._policy.send_ms
         self._granted_until_ms.update(dict.fromkeys(server_ids, until_ms))
@@ -215,18 +221,18 @@
     ) -> _RowJson:
         fencing = self._row.fencing if self.is_own else self._row.fencing + 1
         now_ms = self._store_clock.earliest_ms(sent_ms)
-        kept = {
-            name: order
-            for name, order in self._row.orders.items()
+        retained = {
+            server_id: order
+            for server_id, order in self._row.orders.items()
             if now_ms < order.until_ms + self._policy.retention_ms
         }
         until_ms = self._store_clock.latest_ms(sent_ms) + self._policy.send_ms
-        new = _OrderJson(until_ms=until_ms, fencing=fencing)
+        new_order = _OrderJson(until_ms=until_ms, fencing=fencing)
         return _RowJson(
             holder=self._own_id,
             fencing=fencing,
             writes=self._row.writes + 1,
-            orders={**kept, **dict.fromkeys(server_ids, new)},
+            orders={**retained, **dict.fromkeys(server_ids, new_order)},
         )
 
     def _is_own_order(self, order: _OrderJson) -> bool:
@@ -234,7 +240,7 @@
 
     def _observe_store_time(self, service_ms: int, sent_ms: int) -> None:
         self._store_clock.observe(
-            service_ms, sent_ms=sent_ms, got_ms=self._clock.now_ms()
+            service_ms, sent_ms=sent_ms, received_ms=self._clock.now_ms()
         )
 
     def _apply_row(self, row: protocol.StoredRow) -> None:
@@ -246,8 +252,8 @@
         try:
             self._row = _RowJson.model_validate_json(row.value)
         except pydantic.ValidationError as error:
-            # By another writer. No number of a holder was ever above the
-            # row's version, so that numbers go on rising from that.
+            # Written by something else. Fencing numbers never exceed the
+            # row's version, so they keep rising when they continue from it.
             logging.error(
                 "event=lease_unreadable row=%s version=%d detail=%r",
                 self._row_id.key,
@@ -259,16 +265,16 @@
             self._granted_until_ms.clear()
 
     def _replacement_row(self, version: int) -> _RowJson:
-        """Returns a row for one that can't be read: all may be ordered now."""
+        """Returns a substitute for an unreadable row: all were just ordered."""
         until_ms = self._store_clock.latest_ms(self._clock.now_ms())
-        any_order = _OrderJson(
+        assumed_order = _OrderJson(
             until_ms=until_ms + self._policy.send_ms, fencing=version
         )
         return _RowJson(
             holder="",
             fencing=version,
             writes=version,
-            orders=dict.fromkeys(self._row.orders, any_order),
+            orders=dict.fromkeys(self._row.orders, assumed_order),
         )
 
 
--- a/src/godwittack/lead/order_result.py
+++ b/src/godwittack/lead/order_result.py
@@ -1,4 +1,4 @@
-"""Decides what a server's answer to an order says of the order."""
+"""Classifies a server's reply to an order to load weights."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 
 class OrderResult(enum.Enum):
-    """What a server made of an order."""
+    """Whether a server accepted an order."""
 
     ACCEPTED = enum.auto()
-    # It may be carried out now or later, or another order is.
+    # The server may carry it out now or later, or is busy with another order.
     UNKNOWN = enum.auto()
     REFUSED = enum.auto()
-    # The server has seen a higher fencing number: another daemon leads.
+    # The server has seen a higher fencing number, so another daemon leads.
     STALE_FENCING = enum.auto()
-    # Another has its address: the server is gone for good. Ordered again and
-    # again, it would keep a daemon in the lead, and a place among those that
-    # load.
+    # Another server has its address, so this one is gone for good. Repeated
+    # orders to it would keep a daemon in the lead and take one of the places
+    # for servers that load.
     OTHER_SERVER = enum.auto()
-    # Not given: the server started again after it was drained.
+    # Not sent, since the server restarted after it was drained.
     RESTARTED = enum.auto()
 
     @property
@@ -42,11 +42,11 @@
 }
 
 
-def classify(got: Result[None, backend.BackendError]) -> OrderResult:
-    """Returns what became of an order, by its answer or the lack of one."""
-    if not isinstance(got, Err):
+def classify(reply: Result[None, backend.BackendError]) -> OrderResult:
+    """Returns the result of an order by its reply or the lack of one."""
+    if not isinstance(reply, Err):
         return OrderResult.ACCEPTED
-    error = got.err_value
+    error = reply.err_value
     if error.status == 0:
         return OrderResult.UNKNOWN if error.sent else OrderResult.REFUSED
     return _BY_STATUS.get(error.status, OrderResult.REFUSED)
--- a/src/godwittack/lead/rollout.py
+++ b/src/godwittack/lead/rollout.py
@@ -13,9 +13,9 @@
     from collections.abc import Collection, Sequence
 
 
-# Pause before a server that refused an order is drained again, and its growth:
-# one that starts takes an order within a second; one that never does is tried
-# every few seconds.
+# Delay before a server that refused an order is drained again; it doubles with
+# each refusal. A starting server accepts an order within a second; one that
+# never does is tried every few seconds.
 MIN_RETRY_DELAY_MS = 200
 MAX_RETRY_DELAY_MS = 3_200
 
@@ -25,17 +25,17 @@
     """Times of a roll-out.
 
     Attributes:
-        drain_limit_ms: Longest time for which a drain is waited for; after it
-            the replica serves on.
-        order_after_ms: Time of draining after which the order is given all
-            the same, to engines that let running requests end first; 0 waits
-            until nothing runs.
-        load_limit_ms: Longest time from an order without an answer to the
-            server's report of the new weights; after it the order is taken
-            for lost.
-        accepted_limit_ms: The same from an order that the server has taken.
-        use_limit_ms: Time after a naming in which older weights may be used;
-            0 for no limit.
+        drain_limit_ms: Maximum time of a drain; after it the replica serves
+            again.
+        order_after_ms: Time of draining after which the order is sent even if
+            requests run, for engines that let running requests end first; 0
+            waits until nothing runs.
+        load_limit_ms: Maximum time from an order without a reply to the
+            server's report of the new weights; after it the order is
+            considered lost.
+        accepted_limit_ms: The same from an order that the server accepted.
+        use_limit_ms: Time after a publication in which older weights may be
+            used; 0 for no limit.
     """
 
     drain_limit_ms: int = 120_000
@@ -46,7 +46,7 @@
 
 
 class Step(enum.StrEnum):
-    """Where one replica stands in a roll-out."""
+    """Step of one replica in a roll-out."""
 
     DRAINING = "draining"
     LOADING = "loading"
@@ -54,14 +54,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Replica:
-    """What a server itself reports.
+    """State of a replica as its server reports it.
 
     Attributes:
         busy: Requests running or waiting there.
-        is_reachable: Whether it answers; one that does not can't load.
-        incarnation: Changes when the server starts again.
-        outdated_for_ms: For how long weights newer than its own are named; -1
-            where none are.
+        is_reachable: Whether it responds; one that does not can't load.
+        incarnation: Changes when the server restarts.
+        outdated_for_ms: Time since weights newer than its own were published;
+            -1 if none were.
         accepts_work: Whether requests are sent to it. False if its weights are
             too old; taking it out of service then costs nothing.
     """
@@ -77,15 +77,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Overview:
-    """How far a roll-out is, and what keeps it from going faster.
+    """Progress of a roll-out, and what limits its speed.
 
     Attributes:
-        behind: Servers that lack the wanted version and answer.
-        unreachable: Servers that lack it and do not answer.
+        behind: Servers that lack the desired version and respond.
+        unreachable: Servers that lack it and do not respond.
         draining: Servers that wait for their requests to end.
         loading: Servers that were ordered to load.
-        held: Servers that another holder ordered too short a time ago.
-        room: How many of those that get work may drain and load at one time.
+        held: Servers that lack it and were recently ordered by another holder.
+        room: How many servers that accept work may drain and load at once.
         load_ms: Estimated time for which each of them is out of service.
     """
 
@@ -100,12 +100,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Decision:
-    """What to do now.
+    """Servers to drain and to order at present.
 
     Attributes:
-        draining: Servers that must get no new work, until told otherwise.
-        load: Servers to order to load the wanted version.
-        overview: Counts that led to it, to be logged.
+        draining: Servers that must get no new work until a later decision.
+        load: Servers to order to load the desired version.
+        overview: Counts behind the decision, for the log.
     """
 
     draining: tuple[str, ...]
@@ -121,15 +121,15 @@
     incarnation: str
     accepted_work: bool
     is_accepted: bool = False
-    # Weights that it was ordered to load; empty while it drains.
+    # Weights version that it was ordered to load; empty while it drains.
     version_ordered: str = ""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Refusals:
-    # Orders refused for one version, and until when no other is given.
+    # Orders refused for one version, and when the next may be sent.
     count: int
-    until_ms: int
+    retry_at_ms: int
 
 
 _NO_REFUSALS = _Refusals(0, 0)
@@ -137,10 +137,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Rollout:
-    """One model's roll-out, made anew by whoever holds the lease.
+    """One model's roll-out, created by each new holder of the lease.
 
-    Nothing of it is stored: what a server reports of its weights is the only
-    truth, so that a new holder goes on where the last one stopped.
+    Nothing of it is stored: it follows from the weights that servers report,
+    so that a new holder continues where the last one stopped.
     """
 
     policy: RolloutPolicy = RolloutPolicy()
@@ -154,52 +154,54 @@
     def decide(
         self,
         *,
-        wanted: str,
+        desired_version: str,
         replicas: Sequence[Replica],
         now_ms: int,
-        is_pressed: bool = False,
-        held: Collection[str] = (),
+        is_under_load: bool = False,
+        held_by_others: Collection[str] = (),
     ) -> Decision:
         """Returns the servers to drain and to order.
 
         Args:
-            wanted: Version to load.
+            desired_version: Version to load.
             replicas: All servers of the model.
             now_ms: Time of the decision.
-            is_pressed: Whether requests wait at the servers already, so that
-                no more of them should be out of service than must be.
-            held: Servers that another holder ordered a moment ago. Those that
-                are behind may be loading, and may not be ordered yet.
+            is_under_load: Whether requests already wait at the servers, so that
+                no more of them should be out of service than necessary.
+            held_by_others: Servers that another holder ordered recently. Those
+                that lack the version may be loading, and may not be ordered
+                yet.
         """
-        if wanted != self._desired_version:
-            self._desired_version = wanted
+        if desired_version != self._desired_version:
+            self._desired_version = desired_version
             self._refusals.clear()
         known = {replica.server_id: replica for replica in replicas}
-        for name in list(self._progress):
-            self._remove_if_finished(name, known.get(name), now_ms)
-        behind = self._behind(replicas, wanted)
-        held_behind = [r for r in behind if r.server_id in held]
-        held_at_work = sum(replica.accepts_work for replica in held_behind)
+        for server_id in list(self._progress):
+            self._remove_if_finished(server_id, known.get(server_id), now_ms)
+        behind = self._behind(replicas, desired_version)
+        held_behind = [r for r in behind if r.server_id in held_by_others]
+        held_accepting = sum(replica.accepts_work for replica in held_behind)
         remaining = self._remaining(replicas, behind, now_ms)
         room = pacing.max_loading(remaining)
-        if is_pressed:
+        if is_under_load:
             room = pacing.max_loading_under_load(remaining)
         self._start_draining(
-            [replica for replica in behind if replica.server_id not in held],
+            [r for r in behind if r.server_id not in held_by_others],
             now_ms=now_ms,
-            room=room - held_at_work,
-            most=pacing.max_store_loads(len(replicas)) - len(held_behind),
+            room=room - held_accepting,
+            max_total=pacing.max_store_loads(len(replicas)) - len(held_behind),
         )
         load = tuple(
-            name
-            for name, progress in self._progress.items()
-            if self._is_drained(progress, known[name], now_ms)
+            server_id
+            for server_id, progress in self._progress.items()
+            if self._is_drained(progress, known[server_id], now_ms)
         )
         steps = [progress.step for progress in self._progress.values()]
         overview = Overview(
             behind=len(behind),
             unreachable=sum(
-                replica.weights_version != wanted and not replica.is_reachable
+                replica.weights_version != desired_version
+                and not replica.is_reachable
                 for replica in replicas
             ),
             draining=steps.count(Step.DRAINING),
@@ -211,19 +213,20 @@
         return Decision(tuple(sorted(self._progress)), load, overview)
 
     def _behind(
-        self, replicas: Sequence[Replica], wanted: str
+        self, replicas: Sequence[Replica], desired_version: str
     ) -> list[Replica]:
-        """Returns the servers to load, in the order of their turn.
+        """Returns the servers that lack the desired version, by priority.
 
-        First those that serve nobody until then, and those whose weights are
-        the oldest: with a naming every few seconds, a server that is passed
+        Servers that accept no work come first, then those with the oldest
+        weights: with a publication every few seconds, a server that is passed
         over would have weights that are too old for use.
         """
         return sorted(
             (
                 replica
                 for replica in replicas
-                if replica.weights_version != wanted and replica.is_reachable
+                if replica.weights_version != desired_version
+                and replica.is_reachable
             ),
             key=lambda r: (
                 self._refusals.get(r.server_id, _NO_REFUSALS).count,
@@ -240,13 +243,13 @@
         behind: Sequence[Replica],
         now_ms: int,
     ) -> pacing.RemainingWork:
-        used = [replica for replica in behind if replica.accepts_work]
+        in_service = [replica for replica in behind if replica.accepts_work]
         return pacing.RemainingWork(
             replicas=len(replicas),
             usable=sum(r.is_reachable and r.accepts_work for r in replicas),
-            behind=len(used),
+            behind=len(in_service),
             oldest_ms=max(
-                (replica.outdated_for_ms for replica in used), default=0
+                (replica.outdated_for_ms for replica in in_service), default=0
             ),
             load_ms=self._load_ms(now_ms),
             use_limit_ms=self.policy.use_limit_ms,
@@ -255,15 +258,15 @@
     def _load_ms(self, now_ms: int) -> float:
         """Estimates for how long a load keeps a server out of service.
 
-        From loads that have ended, and at least from those under way: where
-        long requests end first, the first loads say nothing for seconds.
+        It uses ended loads, and at least the mean of those in progress: if
+        long requests must end first, no load ends for the first seconds.
         """
-        under_way = [
+        in_progress = [
             now_ms - progress.since_ms
             for progress in self._progress.values()
             if progress.step is Step.LOADING
         ]
-        mean_ms = sum(under_way) / len(under_way) if under_way else 0.0
+        mean_ms = sum(in_progress) / len(in_progress) if in_progress else 0.0
         mean_ms = min(mean_ms, float(self.policy.load_limit_ms))
         return max(self._load_time.estimate_ms, mean_ms)
 
@@ -273,35 +276,37 @@
         *,
         now_ms: int,
         room: int,
-        most: int,
+        max_total: int,
     ) -> None:
-        """Begins to drain the next servers.
+        """Starts to drain the next servers.
 
         Args:
-            behind: Servers that may be ordered, in the order of their turn.
+            behind: Servers that may be ordered, by priority.
             now_ms: Time of the decision.
-            room: How many that get work may drain and load.
-            most: How many may drain and load altogether. Spared like those
-                that get work, servers with weights that are too old would
-                wait for their turn while the others carry their load.
+            room: How many that accept work may drain and load.
+            max_total: How many may drain and load in total. If `room` applied
+                to all, servers with weights that are too old would wait while
+                the others handle their share of the requests.
         """
-        used = sum(
+        out_of_service = sum(
             progress.accepted_work for progress in self._progress.values()
         )
         for replica in behind:
-            if len(self._progress) >= most:
+            if len(self._progress) >= max_total:
                 return
             if replica.server_id in self._progress:
                 continue
             if (
                 now_ms
-                < self._refusals.get(replica.server_id, _NO_REFUSALS).until_ms
+                < self._refusals.get(
+                    replica.server_id, _NO_REFUSALS
+                ).retry_at_ms
             ):
                 continue
             if replica.accepts_work:
-                if used >= room:
+                if out_of_service >= room:
                     continue
-                used += 1
+                out_of_service += 1
             self._progress[replica.server_id] = _Progress(
                 Step.DRAINING,
                 now_ms,
@@ -311,12 +316,12 @@
             )
 
     def is_draining(self, server_id: str) -> bool:
-        """Returns whether a server is drained for an order still to come."""
+        """Returns whether a server is drained for an order not yet sent."""
         progress = self._progress.get(server_id)
         return progress is not None and progress.step is Step.DRAINING
 
     def record_order(self, server_id: str, *, now_ms: int) -> None:
-        """Notes that a server was ordered to load weights."""
+        """Records that a server was ordered to load weights."""
         self._progress[server_id] = dataclasses.replace(
             self._progress[server_id],
             step=Step.LOADING,
@@ -325,60 +330,63 @@
         )
 
     def record_acceptance(self, server_id: str) -> None:
-        """Notes that a server has taken its order, and is at work on it.
+        """Records that a server accepted its order and carries it out.
 
-        Until it reports the new weights it keeps its place. Given up after a
-        time, it would be ordered again and refused, and the next servers taken
-        out of service beside it.
+        It counts as loading until it reports the new weights, at most for
+        `accepted_limit_ms`. With a shorter limit, a second order would be
+        refused, and further servers would be taken out of service while it
+        still loads.
         """
         progress = self._progress.get(server_id)
         if progress is not None:
             progress.is_accepted = True
 
     def record_load(self, *, took_ms: int) -> None:
-        """Takes in how long a load kept a server out of service.
+        """Records how long a load kept a server out of service.
 
-        No longer than a load may take: beyond that it was this daemon that
-        stood still, which says nothing of the loads to come.
+        The time is capped at `load_limit_ms`: a longer one means that this
+        daemon was suspended, which does not predict later loads.
         """
         self._load_time.record(min(took_ms, self.policy.load_limit_ms))
 
     def record_refusal(self, server_id: str, *, now_ms: int) -> None:
-        """Notes that a server took no order; its turn comes after the others.
+        """Records that a server refused an order; it moves behind the others.
 
-        One that is dark would hold up those that could load meanwhile. Counted
-        for one version: last in each later roll-out, it would grow too old. It
-        serves for a while before it is tried again; drained at once, one that
-        refuses each order would never serve.
+        An unresponsive server would otherwise delay those that could load in
+        the meantime. Refusals count for one version only: if the server came
+        last in each later roll-out, its weights would become too old. It
+        serves for a while before it is tried again; if it were drained at
+        once, a server that refuses each order would never serve.
         """
         count = self._refusals.get(server_id, _NO_REFUSALS).count + 1
         doubled_ms = MIN_RETRY_DELAY_MS * 2 ** min(count - 1, 10)
-        until_ms = now_ms + min(doubled_ms, MAX_RETRY_DELAY_MS)
-        self._refusals[server_id] = _Refusals(count, until_ms)
+        retry_at_ms = now_ms + min(doubled_ms, MAX_RETRY_DELAY_MS)
+        self._refusals[server_id] = _Refusals(count, retry_at_ms)
         self._progress.pop(server_id, None)
 
     def withdraw(self, server_ids: Collection[str]) -> None:
-        """Takes servers back that were to be ordered, but may not be yet."""
-        for name in server_ids:
-            progress = self._progress.get(name)
+        """Cancels the drains of servers that may not be ordered yet."""
+        for server_id in server_ids:
+            progress = self._progress.get(server_id)
             if progress is not None and progress.step is Step.DRAINING:
-                del self._progress[name]
+                del self._progress[server_id]
 
     def _is_drained(
         self, progress: _Progress, replica: Replica, now_ms: int
     ) -> bool:
         if progress.step is not Step.DRAINING:
             return False
-        patience_ms = self.policy.order_after_ms
+        order_after_ms = self.policy.order_after_ms
         waited_ms = now_ms - progress.since_ms
-        return replica.busy == 0 or 0 < patience_ms <= waited_ms
+        return replica.busy == 0 or 0 < order_after_ms <= waited_ms
 
     def _has_loaded(self, progress: _Progress, replica: Replica) -> bool:
-        """Returns whether a server has what it was ordered to load, or newer.
+        """Returns whether a server has the version it was ordered, or newer.
 
-        Newer, since another lead may have ordered what is wanted by now. An
-        older version that was not known here is a report that came late: taken
-        for the end of the load, it would let others load beside it.
+        A newer one counts since another lead may have ordered a version that
+        was published later. An older version that was not known here is a late
+        report: if it counted as the end of the load, others would load at the
+        same time.
         """
         version = replica.weights_version
         if version == progress.version_before:
@@ -388,12 +396,12 @@
         return not weights.is_newer(progress.version_ordered, version)
 
     def _remove_if_finished(
-        self, name: str, replica: Replica | None, now_ms: int
+        self, server_id: str, replica: Replica | None, now_ms: int
     ) -> None:
-        progress = self._progress[name]
-        # One that started again took the order with it, or drained for nothing.
-        # So did one that answers nothing any more; waited for until the limit
-        # of a load, it would hold up all others for seconds.
+        progress = self._progress[server_id]
+        # A restarted server lost its order, or its drain was for nothing. The
+        # same holds for one that no longer responds; waiting for it until the
+        # load limit would delay all others for seconds.
         gone = (
             replica is None
             or replica.incarnation != progress.incarnation
@@ -406,7 +414,7 @@
         elif progress.step is Step.LOADING:
             limit_ms = self.policy.load_limit_ms
         if gone or done or now_ms - progress.since_ms > limit_ms:
-            del self._progress[name]
+            del self._progress[server_id]
 
 
 __all__ = [
--- a/src/godwittack/lead/takeover.py
+++ b/src/godwittack/lead/takeover.py
@@ -1,9 +1,9 @@
-"""Decides when a daemon orders, and when it takes over from another.
+"""Decides when a daemon may order loads and take over from another lead.
 
-Load pattern: weights are named every few seconds while daemons are killed,
-frozen, or turned away by the store. Whoever orders next must do so at once
-where nobody else does, and must not where another is at work: two that roll
-out beside each other take more servers out of service than either would.
+Load pattern: weights are published every few seconds while daemons are killed,
+suspended, or rejected by the store. The next lead must order at once if no
+other daemon does, and must wait while another one works: two concurrent
+roll-outs take more servers out of service than either would alone.
 """
 
 from __future__ import annotations
@@ -13,23 +13,28 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-# What each daemon before in rank is given for its first order. It takes two
-# calls of the store, some 20 ms each and 350 where the store is slow.
+# Wait per daemon ahead in rank, for its first order. That order takes two calls
+# to the store, about 20 ms each, or 350 ms if the store is slow.
 ORDER_WAIT_MS = 600
-# The same where an order was recorded a moment ago: a load takes up to some
-# seconds, with the runs that end first, and shows nothing meanwhile.
+# The same wait after a recent order: a load takes up to several seconds,
+# including the requests that must end first, and nothing is recorded meanwhile.
 ORDER_WAIT_DURING_LOAD_MS = 2_000
-# Time for which an order counts as recorded a moment ago.
+# Age up to which an order counts as recent.
 RECENT_ORDER_MS = 4_000
 
 
 def rank(own: str, holder: str, ranked: Sequence[str]) -> int:
     """Returns how many daemons come before this one.
 
-    The holder comes first where it lives: servers that it ordered a moment ago
-    need not be waited for.
+    The present holder comes first if it is alive, since it need not wait for
+    the servers that it ordered recently.
+
+    Args:
+        own: Id of this daemon.
+        holder: Id of the daemon that ordered last; may be empty.
+        ranked: Ids of the candidates in rank order.
     """
-    order = [name for name in ranked if name != holder]
+    order = [daemon for daemon in ranked if daemon != holder]
     if holder in ranked:
         order.insert(0, holder)
     return order.index(own) if own in order else len(order)
@@ -39,16 +44,17 @@
     """Returns whether a daemon may order now.
 
     Args:
-        daemons_before: Its rank.
-        unchanged_ms: For how long servers need the weights that they need.
+        daemons_before: How many daemons come before it in rank.
+        unchanged_ms: For how long the same servers have needed the same
+            weights.
         idle_ms: How long ago the last order was recorded.
     """
-    patience_ms = (
+    wait_ms = (
         ORDER_WAIT_DURING_LOAD_MS
         if idle_ms < RECENT_ORDER_MS
         else ORDER_WAIT_MS
     )
-    return min(unchanged_ms, idle_ms) >= daemons_before * patience_ms
+    return min(unchanged_ms, idle_ms) >= daemons_before * wait_ms
 
 
 __all__ = ["may_order", "rank"]
--- a/src/godwittack/member/__init__.py
+++ b/src/godwittack/member/__init__.py
@@ -1,1 +1,1 @@
-"""Which daemons are alive, who does what, and who may serve."""
+"""Membership of daemons, their assignments and their serving leases."""
--- a/src/godwittack/member/assignment.py
+++ b/src/godwittack/member/assignment.py
@@ -1,4 +1,7 @@
-"""Spreads duties over daemons, the same way on each of them."""
+"""Assigns work to daemons by hashing.
+
+Daemons with the same view of the membership compute the same assignment.
+"""
 
 from __future__ import annotations
 
@@ -15,16 +18,16 @@
 
     from godwittack.member import view
 
-# Daemons up to which everyone hears everything; beyond it only the daemons
-# that serve a model hear of its backend servers.
+# Up to this many daemons, each receives all updates; in a larger fleet only the
+# daemons that serve a model receive updates about its backend servers.
 MESH_LIMIT = 16
-# Daemons that hear of one model's servers in a large fleet, at least.
+# Fewest daemons of a large fleet that receive updates on one model's servers.
 MIN_AUDIENCE = 12
-# Daemons that read the instance list for a large fleet.
+# Daemons that read the platform's instance list for a large fleet.
 LIST_READER_COUNT = 3
-# Daemons that ask the platform's store for changes all the time.
+# Daemons that poll the platform's store continuously.
 STORE_READER_COUNT = 3
-# Daemons among which `where` keeps one workspace's requests for one model.
+# Daemons that receive one workspace's requests for one model.
 WORKSPACE_GROUP_SIZE = 3
 
 
@@ -32,22 +35,22 @@
 
 
 class CachedAssignment(Generic[_Assignment]):
-    """A duty worked out from members, anew only when they have changed.
+    """An assignment that is computed again only after a membership change.
 
-    Asked for many times a second. `View` returns the same list until a member
-    changes.
+    It is read many times a second. `View` returns the same list object until a
+    member changes, so comparing identities is enough.
     """
 
     def __init__(
         self, assign: Callable[[list[view.Member]], _Assignment]
     ) -> None:
-        """Assigns by `assign`, for the first time when asked."""
+        """Computes with `assign`, first on the first call of `among`."""
         self._assign = assign
         self._members: list[view.Member] | None = None
         self._assigned: _Assignment
 
     def among(self, members: list[view.Member]) -> _Assignment:
-        """Returns the duty among `members`."""
+        """Returns the assignment among `members`."""
         if members is not self._members:
             self._assigned = self._assign(members)
             self._members = members
@@ -55,13 +58,13 @@
 
 
 def watcher(server_id: str, audience: list[view.Member]) -> str | None:
-    """Returns the member that follows a backend server.
+    """Returns the member that watches a backend server.
 
     Args:
         server_id: Name of the server.
-        audience: Members that hear of its model or service; the watcher is
-            one of them, so that its news goes to peers that it tells of other
-            servers and of demand as well.
+        audience: Members that receive updates about its model or service. The
+            watcher is one of them, so that its updates go to the peers to
+            which it sends updates about other servers and demand anyway.
     """
     return rendezvous.owner(
         f"watch/{server_id}", [member.member_id for member in audience]
@@ -74,29 +77,31 @@
     targets: tuple[str, ...],
     audience: Audience,
 ) -> tuple[str, ...]:
-    """Returns the members that may lead a model's orders, the first one first.
+    """Returns the members that may lead a model's roll-out, in rank order.
 
-    They are those that hear of its servers: a lead that does not would take
-    each for idle, and have as many load at one time as may, whatever the load.
+    They are those that receive updates about its servers. Any other lead would
+    consider all servers idle and order the maximum number of concurrent loads
+    even under load.
 
-    Two may believe to be it for a while; the lease decides which of them acts.
+    Two members may both believe for a while that they are first; the lease
+    decides which of them acts.
 
     Args:
         model: The model.
         members: Members that serve.
         targets: All models and services of the table.
-        audience: Chooses those that hear of its servers.
+        audience: Chooses the members that receive updates about its servers.
     """
-    hearing = audience.among(model, members, targets)
-    names = tuple(sorted(member.member_id for member in hearing))
-    return rank(f"lead/{model}", names)
+    candidates = audience.among(model, members, targets)
+    member_ids = tuple(sorted(member.member_id for member in candidates))
+    return rank(f"lead/{model}", member_ids)
 
 
 def list_readers(members: list[view.Member]) -> list[view.Member]:
     """Returns the members that read the platform's instance list for all.
 
-    Read by hundreds of daemons each second, the list would be most of what
-    they receive.
+    If hundreds of daemons read it each second, the list would make up most of
+    the traffic that they receive.
     """
     if len(members) <= MESH_LIMIT:
         return members
@@ -104,13 +109,13 @@
 
 
 def store_readers(members: list[view.Member]) -> tuple[str, ...]:
-    """Returns the ids of the members that follow the platform's store."""
-    chosen = _top_ranked("store", members, STORE_READER_COUNT)
-    return tuple(member.member_id for member in chosen)
+    """Returns the ids of the members that poll the platform's store."""
+    readers = _top_ranked("store", members, STORE_READER_COUNT)
+    return tuple(member.member_id for member in readers)
 
 
 class Audience(Protocol):
-    """Chooses the members that hear of a target's servers."""
+    """Chooses the members that receive updates about a target's servers."""
 
     def among(
         self,
@@ -118,7 +123,7 @@
         members: list[view.Member],
         targets: tuple[str, ...],
     ) -> list[view.Member]:
-        """Returns the members that hear of a model's or service's servers.
+        """Returns the members that receive updates about a target's servers.
 
         Args:
             target: The model or service.
@@ -128,10 +133,10 @@
 
 
 class AudienceByTarget:
-    """Spreads the targets over members; for callers that ask by target."""
+    """Spreads targets over members that each serve a part of the targets."""
 
     def __init__(self, mesh_limit: int = MESH_LIMIT) -> None:
-        """Lets all members hear of everything up to `mesh_limit` members."""
+        """Up to `mesh_limit` members, each receives updates on all targets."""
         self._mesh_limit = mesh_limit
 
     def among(
@@ -140,44 +145,51 @@
         members: list[view.Member],
         targets: tuple[str, ...],
     ) -> list[view.Member]:
-        """Returns those that picked the target, see `audience_names`."""
+        """Returns the members assigned to the target, see `audience_ids`."""
         if len(members) <= self._mesh_limit:
             return members
-        by_name = {member.member_id: member for member in members}
-        names = audience_ids(target, tuple(sorted(by_name)), targets)
-        return [by_name[name] for name in names]
+        by_id = {member.member_id: member for member in members}
+        member_ids = audience_ids(target, tuple(sorted(by_id)), targets)
+        return [by_id[member_id] for member_id in member_ids]
 
 
 def audience_ids(
-    target: str, names: tuple[str, ...], targets: tuple[str, ...]
+    target: str, member_ids: tuple[str, ...], targets: tuple[str, ...]
 ) -> tuple[str, ...]:
-    """Returns the same by member id, among sorted ids.
+    """Returns the ids of the members that receive updates about a target.
+
+    Each member picks one target. If each target picked members instead, some
+    members would be picked by five targets, and would store, watch and send
+    five times as much as others.
 
-    Each member picks one target. Were each target to pick members, some
-    members would be picked by five and know, follow and tell five times what
-    others do.
+    Args:
+        target: The model or service.
+        member_ids: Sorted ids of the live members.
+        targets: All models and services of the table.
     """
-    if len(names) <= MESH_LIMIT:
-        return names
-    picked = _members_by_target(names, targets).get(target, ())
+    if len(member_ids) <= MESH_LIMIT:
+        return member_ids
+    picked = _members_by_target(member_ids, targets).get(target, ())
     missing = max(0, MIN_AUDIENCE - len(picked))
-    ranked = rank(f"model/{target}", names)
-    more = [name for name in ranked if name not in picked][:missing]
-    return tuple(sorted((*picked, *more)))
+    ranked = rank(f"model/{target}", member_ids)
+    extra = [member_id for member_id in ranked if member_id not in picked][
+        :missing
+    ]
+    return tuple(sorted((*picked, *extra)))
 
 
 def workspace_group_ids(
     workspace: str,
     target: str,
-    names: tuple[str, ...],
+    member_ids: tuple[str, ...],
     targets: tuple[str, ...],
 ) -> tuple[str, ...]:
-    """Returns the ids of those that serve a workspace's requests for a target.
+    """Returns ids of the daemons for a workspace's requests for a target.
 
-    They are the ones that `where` names first, unless one is suspected.
+    `recommended_daemons` returns the same ones, unless one is suspected.
     """
-    heard = audience_ids(target, names, targets)
-    return rank(f"where/{workspace}/{target}", heard)[:WORKSPACE_GROUP_SIZE]
+    audience = audience_ids(target, member_ids, targets)
+    return rank(f"where/{workspace}/{target}", audience)[:WORKSPACE_GROUP_SIZE]
 
 
 def recommended_daemons(
@@ -189,48 +201,48 @@
 ) -> list[view.Member]:
     """Returns the daemons a caller should use, best first.
 
-    All come from the target's audience, so that they know its servers.
+    All of them receive updates about the target's servers.
     """
-    heard = AudienceByTarget().among(target, members, targets)
+    audience = AudienceByTarget().among(target, members, targets)
     return _top_ranked(
-        f"where/{workspace}/{target}", heard, WORKSPACE_GROUP_SIZE
+        f"where/{workspace}/{target}", audience, WORKSPACE_GROUP_SIZE
     )
 
 
 @functools.lru_cache(maxsize=8)
 def _members_by_target(
-    names: tuple[str, ...], targets: tuple[str, ...]
+    member_ids: tuple[str, ...], targets: tuple[str, ...]
 ) -> dict[str, tuple[str, ...]]:
-    """Returns who has picked each target."""
-    found: dict[str, list[str]] = collections.defaultdict(list)
-    for name in names:
-        picked = rendezvous.owner(f"pick/{name}", targets)
+    """Returns the members that picked each target."""
+    pickers: dict[str, list[str]] = collections.defaultdict(list)
+    for member_id in member_ids:
+        picked = rendezvous.owner(f"pick/{member_id}", targets)
         if picked is not None:
-            found[picked].append(name)
-    return {target: tuple(some) for target, some in found.items()}
+            pickers[picked].append(member_id)
+    return {target: tuple(ids) for target, ids in pickers.items()}
 
 
 def _top_ranked(
     key: str, members: list[view.Member], count: int
 ) -> list[view.Member]:
-    by_name = {member.member_id: member for member in members}
-    names = rank(key, tuple(sorted(by_name)))
-    return [by_name[name] for name in names[:count]]
+    by_id = {member.member_id: member for member in members}
+    member_ids = rank(key, tuple(sorted(by_id)))
+    return [by_id[member_id] for member_id in member_ids[:count]]
 
 
-def probe_order(server_id: str, names: tuple[str, ...]) -> tuple[str, ...]:
-    """Returns daemons in the order in which they ask a silent server.
+def probe_order(server_id: str, daemons: tuple[str, ...]) -> tuple[str, ...]:
+    """Returns daemons in the order in which they probe an unresponsive server.
 
     Args:
         server_id: The server.
-        names: Sorted ids of all of them.
+        daemons: Sorted ids of all daemons that may probe it.
     """
-    return rank(f"ask/{server_id}", names)
+    return rank(f"ask/{server_id}", daemons)
 
 
-def rank(key: str, names: tuple[str, ...]) -> tuple[str, ...]:
+def rank(key: str, ids: tuple[str, ...]) -> tuple[str, ...]:
     """Returns sorted ids in the order of their hash with `key`."""
-    return rendezvous.rank(xxhash.xxh3_64_intdigest(key.encode()), names)
+    return rendezvous.rank(xxhash.xxh3_64_intdigest(key.encode()), ids)
 
 
 __all__ = [
--- a/src/godwittack/member/freshness.py
+++ b/src/godwittack/member/freshness.py
@@ -1,4 +1,4 @@
-"""Keeps how fresh a followed table is here, by own calls and peers' word."""
+"""Tracks how recently the store confirmed that a local table is the newest."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# A confirmation older than this is of no use to others.
+# Older confirmations are not sent to peers, which could not use them.
 MAX_BELIEF_AGE_MS = 3_000
 
 
 class Topic(enum.IntEnum):
-    """What a confirmation is of."""
+    """The table that a confirmation is about."""
 
     TABLE = 1
     SERVERS = 2
@@ -33,17 +33,17 @@
 class Freshness:
     """Freshness of one table.
 
-    A few daemons ask the store all the time. The others take their word for
-    it, each with the age of the store's own answer: asked by hundreds, the
-    store would refuse most of them.
+    A few daemons poll the store continuously. The others rely on the beliefs
+    that these send, each with the age of the store's own reply: polled by
+    hundreds of daemons, the store would refuse most calls.
 
     Attributes:
         topic: Which table.
-        version: Version in force here.
+        version: Version active here.
         confirmed_at_ms: When the store last confirmed it to be the newest.
-        behind_since_ms: Since when a peer is known to have a newer one; -1
-            while none is.
-        on_confirmed: Told of each later confirmation.
+        behind_since_ms: Since when a peer is known to have a newer one; -1 if
+            none is known to.
+        on_confirmed: Called with the time of each later confirmation.
     """
 
     topic: Topic
@@ -53,13 +53,13 @@
     on_confirmed: Callable[[int], None] = lambda at_ms: None
 
     def record_version(self, version: int) -> None:
-        """Takes in that a newer version is in force here."""
+        """Records that a newer version became active here."""
         if version > self.version:
             self.version = version
             self.behind_since_ms = -1
 
     def record_confirmation(self, at_ms: int) -> None:
-        """Takes in that the version here was the newest at a time."""
+        """Records that the version here was the newest at `at_ms`."""
         if at_ms > self.confirmed_at_ms and self.version:
             self.confirmed_at_ms = at_ms
             self.on_confirmed(at_ms)
@@ -67,14 +67,15 @@
     def apply_belief(
         self, belief: Belief, *, asked_at_ms: int, now_ms: int
     ) -> None:
-        """Takes in a peer's belief.
+        """Applies a belief that a peer sent.
 
         Args:
-            belief: What it said.
-            asked_at_ms: When it was asked, before it answered. Counted from
-                the arrival, an answer that waited in the socket of a
-                suspended process would make the table fresher than it is,
-                and a key taken away meanwhile good.
+            belief: The peer's belief.
+            asked_at_ms: When the peer was asked. The age of the belief is
+                counted from here, not from the arrival: a reply that waited in
+                the socket of a suspended process would make the table seem
+                fresher than it is, and a key revoked in the meantime would be
+                accepted.
             now_ms: Time of the arrival.
         """
         if belief.version > self.version:
@@ -83,18 +84,18 @@
             self.record_confirmation(asked_at_ms - belief.age_ms)
 
     def record_newer_version(self, *, now_ms: int) -> None:
-        """Takes in that a peer has a newer version than is in force here.
+        """Records that a peer has a newer version than is active here.
 
-        Only the first sign counts. Where servers come and go all the time,
-        each piece of news that can't be taken in would begin the wait for the
-        missed one anew, and a server that leaves would get new work until
-        peers' word is too old.
+        Only the first report sets the time. While servers come and go often,
+        each update that can't be applied would otherwise restart the wait for
+        the missed one, and a server that leaves would get new work until the
+        peers' beliefs are too old.
         """
         if self.behind_since_ms < 0:
             self.behind_since_ms = now_ms
 
     def current_belief(self, *, now_ms: int) -> Belief | None:
-        """Returns what to tell others, None for nothing of use."""
+        """Returns the belief to send to peers, or None if it is too old."""
         age_ms = now_ms - self.confirmed_at_ms
         if not self.version or age_ms > MAX_BELIEF_AGE_MS:
             return None
--- a/src/godwittack/member/serving.py
+++ b/src/godwittack/member/serving.py
@@ -1,9 +1,10 @@
-"""Chooses the daemons that carry the traffic of a large fleet.
+"""Chooses the daemons that serve the traffic of a large fleet.
 
 Load pattern: a few requests a second for each of hundreds of daemons. If all of
-them serve, each needs connections to every server and news of all loads and
-caches. A subset serves instead; the others keep the table, the list and the
-right to serve, and replace members of the subset that fail.
+them serve, each needs connections to every server and updates about all loads
+and caches. A subset serves instead; the others keep the table, the instance
+list and their serving lease up to date, and replace members of the subset that
+fail.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 class Role(enum.StrEnum):
-    """What a daemon does in a large fleet."""
+    """Role of a daemon in a large fleet."""
 
     SERVING = "serving"
     STANDBY = "standby"
@@ -33,9 +34,9 @@
     Attributes:
         mesh_limit: Daemons up to which all of them serve.
         serving: Serving daemons of all failure domains together.
-        min_per_domain: Serving daemons of one failure domain, at least.
-        standby_per_domain: Daemons of a failure domain that receive all news
-            as well, so that they are up to date when they are called in.
+        min_per_domain: Minimum of serving daemons of one failure domain.
+        standby_per_domain: Daemons of a failure domain that also receive all
+            updates, so that they are up to date when they start to serve.
     """
 
     mesh_limit: int = 100
@@ -46,18 +47,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServingSet:
-    """The daemons that serve, and those that are called in next.
+    """The daemons that serve, and those that replace them first.
 
     Attributes:
         serving: Daemons that callers are sent to, by id.
-        standby: Daemons that are called in next, by id.
+        standby: Daemons that start to serve next, by id.
     """
 
     serving: tuple[view.Member, ...]
     standby: tuple[view.Member, ...]
 
     def role(self, member_id: str) -> Role:
-        """Returns what a daemon does."""
+        """Returns the role of a daemon."""
         if any(member.member_id == member_id for member in self.serving):
             return Role.SERVING
         if any(member.member_id == member_id for member in self.standby):
@@ -68,19 +69,19 @@
 def choose(members: list[view.Member], policy: ServingPolicy) -> ServingSet:
     """Returns the serving set among `members`.
 
-    Computed from the members alone, so that views that agree name the same
-    set. A daemon that comes or goes changes its own failure domain's part, by
-    one.
+    It depends on the members alone, so that daemons with the same view choose
+    the same set. A daemon that joins or leaves changes only its own failure
+    domain's part, by one.
 
     Args:
         members: Live daemons; those suspected or leaving don't serve.
         policy: Size of the set.
     """
-    able = [m for m in members if m.state is view.MemberState.ALIVE]
+    alive = [m for m in members if m.state is view.MemberState.ALIVE]
     if len(members) <= policy.mesh_limit:
-        return ServingSet(tuple(able), ())
+        return ServingSet(tuple(alive), ())
     domains: dict[str, list[view.Member]] = collections.defaultdict(list)
-    for member in able:
+    for member in alive:
         domains[member.failure_domain].append(member)
     serving: list[view.Member] = []
     standby: list[view.Member] = []
@@ -97,19 +98,19 @@
 def _ranked(members: list[view.Member]) -> list[view.Member]:
     """Returns members of one failure domain, the largest machines first.
 
-    Equal ones are ranked by address, which outlives a restart: callers keep
-    addresses while the whole fleet starts anew.
+    Equal ones are ranked by address, which does not change with a restart:
+    callers keep addresses while the whole fleet restarts.
     """
     addresses = tuple(sorted(member.peer_address for member in members))
     order = assignment.rank("serving", addresses)
-    place = {address: number for number, address in enumerate(order)}
+    rank = {address: number for number, address in enumerate(order)}
     return sorted(
-        members, key=lambda m: (-m.capacity_millicores, place[m.peer_address])
+        members, key=lambda m: (-m.capacity_millicores, rank[m.peer_address])
     )
 
 
 def _serving_count(ranked: list[view.Member], per_domain: int) -> int:
-    """Returns how many serve; each overloaded one calls in another."""
+    """Returns how many serve: one more for each overloaded one."""
     overloaded = sum(m.is_overloaded for m in ranked[:per_domain])
     return per_domain + overloaded
 
@@ -119,10 +120,10 @@
 
 
 class ServingSetSelector:
-    """The serving set on this daemon's view, as audience of all news."""
+    """Keeps the serving set current; its daemons receive all updates."""
 
     def __init__(self, *, members: view.View, policy: ServingPolicy) -> None:
-        """Assigns no role yet.
+        """Starts without a role.
 
         Args:
             members: The view of all daemons.
@@ -134,11 +135,11 @@
         self._role: Role | None = None
 
     def current(self) -> ServingSet:
-        """Returns the set as it is now."""
+        """Returns the present serving set."""
         return self._cached_set.among(self._members.live())
 
     def has_role(self, role: Role) -> bool:
-        """Returns whether this daemon has a role now."""
+        """Returns whether this daemon has a role at present."""
         return self.current().role(self._members.me.member_id) is role
 
     def among(
@@ -147,12 +148,12 @@
         members: list[view.Member],
         targets: tuple[str, ...],
     ) -> list[view.Member]:
-        """Returns the daemons that receive news of a target's servers."""
+        """Returns the daemons that receive updates about a target's servers."""
         del target, targets
         if len(self._members.live()) <= self._policy.mesh_limit:
             return members
-        chosen = self.current()
-        return [*chosen.serving, *chosen.standby]
+        current = self.current()
+        return [*current.serving, *current.standby]
 
     def _choose(self, members: list[view.Member]) -> ServingSet:
         chosen = choose(members, self._policy)
--- a/src/godwittack/member/serving_lease.py
+++ b/src/godwittack/member/serving_lease.py
@@ -1,4 +1,4 @@
-"""Decides until when this daemon may call its table current."""
+"""Decides until when this daemon may treat its table as current."""
 
 from __future__ import annotations
 
@@ -10,38 +10,39 @@
 
 
 class ServingLease(Protocol):
-    """Decides until when this daemon may serve by the table it has."""
+    """Decides until when this daemon may serve with its present table."""
 
     def record_service_read(self, *, now_ms: int) -> None:
-        """Counts a reading of the newest version from the service."""
+        """Records a read of the newest table version from the service."""
 
-    def record_version(self, *, own: int, told: int, now_ms: int) -> None:
-        """Takes in a version that a peer told, or the own new one."""
+    def record_version(self, *, own: int, reported: int, now_ms: int) -> None:
+        """Records a version that a peer reported, or this daemon adopted."""
 
     def is_service_fresh(self, *, now_ms: int) -> bool:
-        """Returns whether the service was read lately."""
+        """Returns whether the service was read within the lease time."""
 
     def last_confirmed_ms(self) -> int:
         """Returns when the table was last known to be the newest.
 
-        Long ago where it never was.
+        A time in the distant past if it never was.
         """
 
     def valid_until_ms(
         self, view: View, *, own_version: int, now_ms: int
     ) -> int:
-        """Returns the time before which new work may start; 0 for not now."""
+        """Returns the time before which work may start; 0 if it may not."""
 
 
 @dataclasses.dataclass(slots=True)
 class QuorumServingLease:
-    """Decides until when this daemon may claim that its table is current.
-
-    A daemon that read the table's version from the service lately is
-    current. When the service is silent, it is current while it is in contact
-    with more than half of the known daemons and lags none of them: a change
-    counts as accepted only once more than half have it, so that one of those
-    it hears would tell of it. See docs/design/table.md.
+    """A lease by a recent read of the service or by contact with a majority.
+
+    A daemon that recently read the table's version from the service is
+    current. While the service does not respond, it is current if it is in
+    contact with more than half of the known daemons and none of them has a
+    newer table: a change counts as accepted only once more than half have it,
+    so at least one of the daemons in contact would report it. See
+    docs/design/table.md.
     """
 
     policy: MemberPolicy
@@ -52,41 +53,43 @@
     _granted_until_ms: int = 0
 
     def record_service_read(self, *, now_ms: int) -> None:
-        """Counts a reading of the newest version from the service."""
+        """Records a read of the newest table version from the service."""
         self.service_read_at_ms = max(self.service_read_at_ms, now_ms)
 
-    def record_version(self, *, own: int, told: int, now_ms: int) -> None:
-        """Takes in a version that a peer told, or the own new one."""
-        self.newest_reported = max(self.newest_reported, told)
+    def record_version(self, *, own: int, reported: int, now_ms: int) -> None:
+        """Records a version that a peer reported, or this daemon adopted."""
+        self.newest_reported = max(self.newest_reported, reported)
         if own >= self.newest_reported:
             self.behind_since_ms = -1
         elif self.behind_since_ms < 0:
             self.behind_since_ms = now_ms
-            # Time to fetch the newer table goes only to a daemon that served
-            # until now: one that was cut off and hears of others again must
-            # not begin on its old table.
+            # Only a daemon that was serving gets time to fetch the newer
+            # table. One that was cut off and regains contact must not start
+            # to serve with its old table.
             self._behind_until_ms = min(
                 self._granted_until_ms, now_ms + self.policy.behind_ms
             )
 
     def is_service_fresh(self, *, now_ms: int) -> bool:
-        """Returns whether the service was read lately."""
+        """Returns whether the service was read within the lease time."""
         return now_ms - self.service_read_at_ms <= self.policy.lease_ms
 
     def last_confirmed_ms(self) -> int:
         """Returns when the version was last read.
 
-        A replica may have lagged; what is named is dated late by that.
+        A lagging replica may have answered; a later change is then dated too
+        late by that lag.
         """
         return self.service_read_at_ms
 
     def valid_until_ms(
         self, view: View, *, own_version: int, now_ms: int
     ) -> int:
-        """Returns the time before which new work may start; 0 for not now.
+        """Returns the time before which work may start; 0 if it may not.
 
-        The time passes by itself: a daemon that was stopped and goes on finds
-        it in the past, before it decides on anything that waited meanwhile.
+        It expires without an event: a daemon that was suspended and resumes
+        sees that it has passed before it handles anything that arrived in the
+        meantime.
         """
         if own_version == 0:
             return 0
--- a/src/godwittack/member/store_lease.py
+++ b/src/godwittack/member/store_lease.py
@@ -1,4 +1,4 @@
-"""Decides until when keys may be called good, by the store's word alone."""
+"""Decides until when keys may be accepted, by the store's replies alone."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 @dataclasses.dataclass(slots=True)
 class StoreServingLease:
-    """The right to serve where changes count from the store's answer on.
+    """A lease for tables whose changes take effect when the store has them.
 
-    Operators write to the store, and nobody waits until daemons have read it.
-    A daemon that can't reach it can't know of a key taken away, whatever its
-    peers say of older times.
+    Operators write to the store and do not wait until daemons have read the
+    change. A daemon that can't reach the store can't know of a revoked key,
+    whatever peers report about earlier times.
 
     Attributes:
-        bound_ms: Age of the last confirmation up to which keys are served.
+        bound_ms: Age of the last confirmation up to which keys are accepted.
         confirmed_at_ms: When the table was last known to be the newest.
     """
 
@@ -26,14 +26,14 @@
     confirmed_at_ms: int = -1_000_000
 
     def record_service_read(self, *, now_ms: int) -> None:
-        """Counts a confirmation, from before its call was sent."""
+        """Records a confirmation, dated before its call was sent."""
         self.confirmed_at_ms = max(self.confirmed_at_ms, now_ms)
 
-    def record_version(self, *, own: int, told: int, now_ms: int) -> None:
-        """Takes in a version that a peer told; it confirms nothing."""
+    def record_version(self, *, own: int, reported: int, now_ms: int) -> None:
+        """Ignores a version that a peer reported; it confirms nothing."""
 
     def is_service_fresh(self, *, now_ms: int) -> bool:
-        """Returns whether the store was read lately."""
+        """Returns whether the store was read within the bound."""
         return now_ms - self.confirmed_at_ms <= self.bound_ms
 
     def last_confirmed_ms(self) -> int:
@@ -43,7 +43,7 @@
     def valid_until_ms(
         self, view: view.View, *, own_version: int, now_ms: int
     ) -> int:
-        """Returns the time before which keys may be served; 0 for not now."""
+        """Returns until when keys are accepted; 0 without a table."""
         del view, now_ms
         return self.confirmed_at_ms + self.bound_ms if own_version else 0
 
--- a/src/godwittack/member/view.py
+++ b/src/godwittack/member/view.py
@@ -8,16 +8,16 @@
 import random
 
 ENVELOPE_UPDATES = 12
-# Transmissions of one member's state by each daemon: this many times the binary
-# logarithm of the fleet's size, but not fewer than the second.
+# Each daemon transmits one member's state RETRANSMIT_FACTOR times the binary
+# logarithm of the fleet's size, but at least MIN_RETRANSMITS times.
 RETRANSMIT_FACTOR = 2
 MIN_RETRANSMITS = 12
-# More transmissions than any state needs.
+# Transmission count of a state that needs no retransmission; above any limit.
 FULLY_TRANSMITTED = 1_000
 
 
 class MemberState(enum.IntEnum):
-    """What is believed of a daemon; at equal refutation the higher wins."""
+    """Believed state of a daemon; at equal refutation the higher one wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -34,9 +34,9 @@
         peer_address: IP and port for other daemons.
         http_address: IP and port for callers.
         capacity_millicores: Processor time that its machine gives it.
-        is_overloaded: Whether it is late with its own timers.
-        refutation: Raised by the member itself against a false suspicion, and
-            with each change of what it says of itself.
+        is_overloaded: Whether its timers fire late.
+        refutation: Incremented by the member itself to refute a false
+            suspicion, and with each change of the state that it announces.
     """
 
     member_id: str
@@ -51,14 +51,14 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class MemberRow:
-    """A member with what this daemon knows of it.
+    """A member and what this daemon knows about it.
 
     Attributes:
         since_ms: When its state last changed here.
-        probed_at_ms: When a probe of it last ended, either way.
-        failed_pings: Probes in a row that it did not answer.
-        transmissions: How often its latest state was passed on.
-        table_version: Table version it last told.
+        probed_at_ms: When a probe of it last ended, answered or not.
+        failed_pings: Consecutive probes that it did not answer.
+        transmissions: How often its latest state was sent to peers.
+        table_version: Table version that it last reported.
         has_left: Whether it announced that it leaves; missing responses from
             it then do not count as a lost daemon.
     """
@@ -77,15 +77,16 @@
     """Tunable numbers of the membership.
 
     Attributes:
-        fanout: Members probed a tick, all of them while there are no more.
-        suspect_after: Failed probes in a row until a member is suspected.
+        fanout: Members probed per tick; all of them if there are no more.
+        suspect_after: Consecutive failed probes after which a member is
+            suspected.
         suspect_ms: Time to refute a suspicion before a member counts as dead.
         forget_ms: How long a dead or departed member is remembered, so that
-            late gossip does not bring it back.
+            late gossip does not add it again.
         quorum_ms: Age up to which an answered probe counts as contact.
-        contact_ms: How long a judgement on contacts holds.
-        behind_ms: Time to fetch a newer table that was heard of.
-        lease_ms: Age up to which a reading of the table's version from the
+        contact_ms: How long a serving lease granted by contact lasts.
+        behind_ms: Time to fetch a newer table that a peer reported.
+        lease_ms: Age up to which a read of the table's version from the
             service is enough to serve.
     """
 
@@ -99,12 +100,13 @@
     lease_ms: int = 3_500
 
     def table_expiry_ms(self, *, gossip_ms: int) -> int:
-        """Returns after which time an older table is served nowhere.
+        """Returns the time after which no daemon serves an older table.
 
-        Counted from the moment when more than half of the daemons have a
-        version: any other daemon has by then lost its lease, and every
-        judgement of its contacts rests on answers given since, one of which
-        told of the version; it has fetched it or stopped.
+        It counts from the moment when more than half of the daemons have a
+        version. When it has passed, any other daemon's lease by the service
+        has expired, and a lease by contact needs replies sent since that
+        moment, at least one of which reported the version; the daemon has
+        fetched it or stopped serving.
         """
         by_contact_ms = self.quorum_ms + self.contact_ms + self.behind_ms
         return max(self.lease_ms, by_contact_ms) + gossip_ms
@@ -115,8 +117,8 @@
     """This daemon's view of all daemons.
 
     Attributes:
-        expected: Daemons that the settings and the platform's list name, this
-            one included.
+        expected: Number of daemons in the settings and the platform's list,
+            this one included.
     """
 
     me: Member
@@ -129,24 +131,24 @@
     _serving: list[Member] | None = None
 
     def live(self) -> list[Member]:
-        """Returns members believed alive, this one included, by id.
+        """Returns members not known to be dead, this one included, by id.
 
-        The same list until a member changes; it is asked for with each
-        message.
+        It is called for each message, so the same list is returned until a
+        member changes.
         """
         if self._live is None:
-            found = [self.me]
+            live = [self.me]
             for row in self.rows.values():
                 if row.member.state is not MemberState.DEAD:
-                    found.append(row.member)
-            self._live = sorted(found, key=lambda member: member.member_id)
+                    live.append(row.member)
+            self._live = sorted(live, key=lambda member: member.member_id)
             self._serving = None
         return self._live
 
     def serving(self) -> list[Member]:
         """Returns live members that are neither suspected nor leaving.
 
-        The same list until a member changes, as `live`.
+        Like `live`, returns the same list until a member changes.
         """
         live = self.live()
         if self._serving is None:
@@ -154,7 +156,7 @@
         return self._serving
 
     def unresponsive(self, *, since_ms: int) -> list[MemberRow]:
-        """Returns members not known dead that have not answered since then."""
+        """Returns live members without an answered probe since `since_ms`."""
         return [
             row
             for row in self.rows.values()
@@ -163,7 +165,7 @@
         ]
 
     def probe_targets(self) -> list[Member]:
-        """Returns whom to probe this tick, each in turn in random order."""
+        """Returns the members to probe this tick, in a random rotation."""
         live = [
             row.member
             for row in self.rows.values()
@@ -172,32 +174,32 @@
         if len(live) <= self.policy.fanout:
             return live
         by_id = {member.member_id: member for member in live}
-        # Among hundreds a member's turn comes after most of a minute. One
-        # that failed is asked again at once, or its death would show that
-        # late.
+        # With hundreds of members, a rotation takes most of a minute. A member
+        # that failed a probe is probed again at once; otherwise its death
+        # would be detected that late.
         chosen = self._failing_members()
         for member in chosen:
             del by_id[member.member_id]
-        most = min(len(live), len(chosen) + self.policy.fanout)
-        while len(chosen) < most:
+        max_probes = min(len(live), len(chosen) + self.policy.fanout)
+        while len(chosen) < max_probes:
             if not self._order:
                 self._order = sorted(by_id)
                 self.rng.shuffle(self._order)
-            name = self._order.pop()
-            if name in by_id:
-                chosen.append(by_id.pop(name))
+            member_id = self._order.pop()
+            if member_id in by_id:
+                chosen.append(by_id.pop(member_id))
         return chosen
 
     def _failing_members(self) -> list[Member]:
-        found = [
+        failing = [
             row.member
             for row in self.rows.values()
             if row.failed_pings and row.member.state is not MemberState.DEAD
         ]
-        return found[: self.policy.fanout]
+        return failing[: self.policy.fanout]
 
     def updates(self) -> list[Member]:
-        """Returns the member states to pass on, the least told ones first."""
+        """Returns the member states to send, the least transmitted first."""
         rounds = RETRANSMIT_FACTOR * math.ceil(math.log2(len(self.rows) + 2))
         limit = max(MIN_RETRANSMITS, rounds)
         fresh = [r for r in self.rows.values() if r.transmissions < limit]
@@ -208,43 +210,43 @@
         return [row.member for row in chosen]
 
     def apply(
-        self, told: Member, *, now_ms: int, is_widely_known: bool = False
+        self, reported: Member, *, now_ms: int, is_widely_known: bool = False
     ) -> bool:
-        """Takes in a member's state; returns True where it is news.
+        """Applies a reported member state; returns whether it was newer.
 
         Args:
-            told: The member's state.
+            reported: The member's state.
             now_ms: Time of receipt.
             is_widely_known: Whether all daemons received it long ago. A new
                 daemon that retransmitted hundreds of such states would need a
                 minute for it.
         """
-        if told.member_id == self.me.member_id:
-            return self._refute(told)
-        row = self.rows.get(told.member_id)
+        if reported.member_id == self.me.member_id:
+            return self._refute(reported)
+        row = self.rows.get(reported.member_id)
         if row is None:
-            if told.state is not MemberState.DEAD:
-                self._replace_predecessor(told)
-            elif self._is_replaced(told):
+            if reported.state is not MemberState.DEAD:
+                self._remove_predecessor(reported)
+            elif self._is_replaced(reported):
                 return False
-            self.rows[told.member_id] = MemberRow(
-                member=told,
+            self.rows[reported.member_id] = MemberRow(
+                member=reported,
                 since_ms=now_ms,
-                has_left=told.state is MemberState.LEAVING,
+                has_left=reported.state is MemberState.LEAVING,
                 transmissions=FULLY_TRANSMITTED if is_widely_known else 0,
             )
             self._live = None
             return True
         known = (row.member.refutation, row.member.state)
-        if (told.refutation, told.state) <= known:
+        if (reported.refutation, reported.state) <= known:
             return False
-        self._update_row(row, told, now_ms)
+        self._update_row(row, reported, now_ms)
         return True
 
     def record_ack(
         self, member_id: str, *, table_version: int, now_ms: int
     ) -> None:
-        """Counts an answered probe."""
+        """Records an answered probe."""
         row = self.rows.get(member_id)
         if row is None:
             return
@@ -253,7 +255,7 @@
         row.table_version = max(row.table_version, table_version)
 
     def record_failure(self, member_id: str, *, now_ms: int) -> bool:
-        """Counts an unanswered probe; returns True on a new suspicion."""
+        """Records a failed probe; returns whether this changed the state."""
         row = self.rows.get(member_id)
         if row is None:
             return False
@@ -272,16 +274,17 @@
         return True
 
     def expire(self, *, now_ms: int, may_forget: bool) -> bool:
-        """Turns old suspicions into deaths; returns True where any did.
+        """Marks members suspected for too long as dead; returns if any was.
 
         Args:
-            now_ms: Time of the upkeep.
-            may_forget: Whether old deaths may be forgotten. A daemon without
-                the table service must remember them: cut off with a part of
-                the others, it would take that part for the whole system.
+            now_ms: Time of the call.
+            may_forget: Whether members dead for long may be removed. A daemon
+                without the table service must keep them: cut off together
+                with a part of the fleet, it would treat that part as the
+                whole fleet.
         """
         changed = False
-        for name, row in list(self.rows.items()):
+        for member_id, row in list(self.rows.items()):
             age_ms = now_ms - row.since_ms
             state = row.member.state
             if (
@@ -296,17 +299,17 @@
                 and age_ms >= self.policy.forget_ms
                 and may_forget
             ):
-                del self.rows[name]
+                del self.rows[member_id]
                 self._live = None
         return changed
 
     def leave(self) -> None:
-        """Marks this daemon as leaving; the next probes tell the others."""
+        """Marks this daemon as leaving; the next probes announce it."""
         self.me = dataclasses.replace(self.me, state=MemberState.LEAVING)
         self._live = None
 
     def set_overloaded(self, is_overloaded: bool) -> None:
-        """Has the others told that this daemon is overloaded, or no more."""
+        """Sets whether this daemon is overloaded, for the next probes."""
         self.me = dataclasses.replace(
             self.me,
             is_overloaded=is_overloaded,
@@ -315,31 +318,30 @@
         self._live = None
 
     def expected_count(self) -> int:
-        """Returns how many daemons there should be, this one included."""
+        """Returns the expected number of daemons, this one included."""
         rows = [row for row in self.rows.values() if not row.has_left]
         return max(1 + len(rows), self.expected)
 
     def expected_address_count(self) -> int:
-        """Returns at how many addresses there should be daemons.
+        """Returns the expected number of daemon addresses.
 
-        A daemon that was started again counts once, one that does not answer
-        as well.
+        A restarted daemon counts once; one that does not respond counts too.
         """
-        found = {
+        addresses = {
             row.member.peer_address
             for row in self.rows.values()
             if not row.has_left
         }
-        return max(len(found | {self.me.peer_address}), self.expected)
+        return max(len(addresses | {self.me.peer_address}), self.expected)
 
     def reachable_fraction(self, *, now_ms: int) -> float:
-        """Returns which part of the known daemons answered lately.
+        """Returns the fraction of the expected daemons in recent contact.
 
-        Daemons known dead count as known, and at least as many as the
-        settings name: a daemon that is cut off believes all others dead, and
-        must not conclude that it is the whole system. In a large fleet only
-        some are probed in the time that counts; the rest is taken to answer
-        as these did.
+        Dead daemons count as expected, and the total is at least the number in
+        the settings: a daemon that is cut off believes all others to be dead,
+        and must not conclude that it is the whole fleet. In a large fleet only
+        some daemons are probed within `quorum_ms`; the same fraction of the
+        others is assumed to be reachable.
         """
         live = [
             row
@@ -352,36 +354,38 @@
             if now_ms - row.probed_at_ms <= self.policy.quorum_ms
         ]
         answered = sum(1 for row in probed if row.failed_pings == 0)
-        heard = len(live) * answered / len(probed) if probed else 0.0
-        return (1 + heard) / self.expected_count()
+        reachable = len(live) * answered / len(probed) if probed else 0.0
+        return (1 + reachable) / self.expected_count()
 
-    def _refute(self, told: Member) -> bool:
-        accused = told.state in (MemberState.SUSPECT, MemberState.DEAD)
-        if not accused or told.refutation < self.me.refutation:
+    def _refute(self, reported: Member) -> bool:
+        is_accused = reported.state in (MemberState.SUSPECT, MemberState.DEAD)
+        if not is_accused or reported.refutation < self.me.refutation:
             return False
-        self.me = dataclasses.replace(self.me, refutation=told.refutation + 1)
+        self.me = dataclasses.replace(
+            self.me, refutation=reported.refutation + 1
+        )
         self._live = None
         return True
 
-    def _is_replaced(self, told: Member) -> bool:
-        """Returns whether another process lives at a dead one's address.
+    def _is_replaced(self, dead: Member) -> bool:
+        """Returns whether another process runs at a dead member's address.
 
-        News of the death may come after the successor's first word. Taken in,
-        the dead one would count as a daemon that is lost, and a change would
-        wait for it.
+        The report of the death may arrive after the successor's first message.
+        If it were recorded, the dead member would count as a lost daemon, and
+        a change would wait for it.
         """
         return any(
-            member.peer_address == told.peer_address for member in self.live()
+            member.peer_address == dead.peer_address for member in self.live()
         )
 
-    def _replace_predecessor(self, told: Member) -> None:
-        """Forgets the process that had the address before.
+    def _remove_predecessor(self, successor: Member) -> None:
+        """Removes the process that had the address before.
 
-        It is not a lost contact: its place is taken.
+        It does not count as a lost daemon, since its successor replaces it.
         """
-        for name, row in list(self.rows.items()):
-            if row.member.peer_address == told.peer_address:
-                del self.rows[name]
+        for member_id, row in list(self.rows.items()):
+            if row.member.peer_address == successor.peer_address:
+                del self.rows[member_id]
                 self._live = None
 
     def _update_row(self, row: MemberRow, member: Member, now_ms: int) -> None:
--- a/tests/cases/entries.py
+++ b/tests/cases/entries.py
@@ -347,7 +347,9 @@
             weights_version="1",
             busy=3,
         )
-        return planned.decide(wanted="2", replicas=[replica], now_ms=now_ms)
+        return planned.decide(
+            desired_version="2", replicas=[replica], now_ms=now_ms
+        )
 
     decide(1_000, 0)
     assert decide(1_000, 150).load == ("e1",)
--- a/tests/cases/rollout_bounds.py
+++ b/tests/cases/rollout_bounds.py
@@ -240,7 +240,7 @@
         ]
         drained = (
             rollout.Rollout()
-            .decide(wanted="2", replicas=replicas, now_ms=0)
+            .decide(desired_version="2", replicas=replicas, now_ms=0)
             .draining
         )
         left = fleet - away
--- a/tests/cases/rollouts.py
+++ b/tests/cases/rollouts.py
@@ -159,7 +159,7 @@
         for n in range(12)
     ]
     drained = rolling.decide(
-        wanted="2", replicas=behind, now_ms=0, is_pressed=True
+        desired_version="2", replicas=behind, now_ms=0, is_under_load=True
     ).draining
     assert drained == ("r0", "r1", "r2", "r3"), drained
 
@@ -178,11 +178,11 @@
         for n in range(56)
     ]
     drained = rolling.decide(
-        wanted="2",
+        desired_version="2",
         replicas=replicas,
         now_ms=0,
-        is_pressed=True,
-        held={f"r{n:02}" for n in range(10)},
+        is_under_load=True,
+        held_by_others={f"r{n:02}" for n in range(10)},
     ).draining
     assert len(drained) == 56 // 6, drained
 
@@ -201,7 +201,9 @@
         _replica("c", outdated_for_ms=3_000),
         _replica("d", outdated_for_ms=3_000),
     ]
-    drained = rolling.decide(wanted="3", replicas=replicas, now_ms=0).draining
+    drained = rolling.decide(
+        desired_version="3", replicas=replicas, now_ms=0
+    ).draining
     assert drained == ("c", "d"), drained
 
 
@@ -214,11 +216,11 @@
     Cause: only the version that the first had ordered ended its drain.
     """
     rolling = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
-    rolling.decide(wanted="2", replicas=[_replica("a")], now_ms=0)
+    rolling.decide(desired_version="2", replicas=[_replica("a")], now_ms=0)
     rolling.record_order("a", now_ms=100)
     rolling.record_acceptance("a")
     loaded = _replica("a", weights_version="3")
-    after = rolling.decide(wanted="3", replicas=[loaded], now_ms=900)
+    after = rolling.decide(desired_version="3", replicas=[loaded], now_ms=900)
     assert not after.draining, after
 
 
@@ -228,13 +230,13 @@
     names = [f"s{number}" for number in range(40)]
     # Too old for use, as far as this lead has heard.
     stale = [_replica(name, accepts_work=False) for name in names]
-    rolling.decide(wanted="5", replicas=stale, now_ms=0)
-    first = rolling.decide(wanted="5", replicas=stale, now_ms=100).load
+    rolling.decide(desired_version="5", replicas=stale, now_ms=0)
+    first = rolling.decide(desired_version="5", replicas=stale, now_ms=100).load
     for name in first:
         rolling.record_order(name, now_ms=100)
         rolling.record_acceptance(name)
     late = [_replica(name, weights_version="4") for name in names]
-    after = rolling.decide(wanted="5", replicas=late, now_ms=200)
+    after = rolling.decide(desired_version="5", replicas=late, now_ms=200)
     assert after.overview.loading == len(first) > 0, after.overview
     most = pacing.max_store_loads(len(names))
     assert len(after.draining) <= most, (len(after.draining), most)
@@ -243,7 +245,7 @@
         for name in names
     ]
     assert not rolling.decide(
-        wanted="5", replicas=loaded, now_ms=900
+        desired_version="5", replicas=loaded, now_ms=900
     ).overview.loading
 
 
@@ -268,7 +270,10 @@
             for replica in replicas
         ]
         decided = rolling.decide(
-            wanted="2", replicas=aged, now_ms=now_ms, is_pressed=True
+            desired_version="2",
+            replicas=aged,
+            now_ms=now_ms,
+            is_under_load=True,
         )
         for name in decided.load:
             rolling.record_order(name, now_ms=now_ms)
@@ -307,10 +312,10 @@
     for _ in range(6):
         rolling.record_load(took_ms=1_000)
     decided = rolling.decide(
-        wanted="2",
+        desired_version="2",
         replicas=[_replica(f"r{n:02}") for n in range(56)],
         now_ms=0,
-        is_pressed=True,
+        is_under_load=True,
     )
     assert decided.overview.load_ms < 2_000, decided.overview
     assert decided.overview.room < 20, decided.overview
@@ -327,7 +332,9 @@
     replicas = [_replica("a")]
     orders = drained = 0
     for now_ms in range(0, 20_000, 100):
-        decided = rolling.decide(wanted="2", replicas=replicas, now_ms=now_ms)
+        decided = rolling.decide(
+            desired_version="2", replicas=replicas, now_ms=now_ms
+        )
         drained += len(decided.draining)
         for name in decided.load:
             orders += 1
@@ -347,11 +354,13 @@
     """
     rolling = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
     replicas = [_replica(name) for name in ("a", "b", "c", "d")]
-    rolling.decide(wanted="2", replicas=replicas, now_ms=0)
-    for name in rolling.decide(wanted="2", replicas=replicas, now_ms=100).load:
+    rolling.decide(desired_version="2", replicas=replicas, now_ms=0)
+    for name in rolling.decide(
+        desired_version="2", replicas=replicas, now_ms=100
+    ).load:
         rolling.record_order(name, now_ms=100)
         rolling.record_refusal(name, now_ms=100)
-    after = rolling.decide(wanted="2", replicas=replicas, now_ms=200)
+    after = rolling.decide(desired_version="2", replicas=replicas, now_ms=200)
     assert after.draining == ("c", "d"), after.draining
     newer = [
         dataclasses.replace(replica, weights_version="2")
@@ -361,5 +370,7 @@
         dataclasses.replace(replica, outdated_for_ms=3_000)
         for replica in replicas[:2]
     ]
-    after = rolling.decide(wanted="3", replicas=aged + newer, now_ms=300)
+    after = rolling.decide(
+        desired_version="3", replicas=aged + newer, now_ms=300
+    )
     assert after.draining == ("a", "b"), after.draining
--- a/tests/cases/weights.py
+++ b/tests/cases/weights.py
@@ -156,13 +156,17 @@
         rollout.Replica(server_id=name, weights_version="1", busy=3)
         for name in ("a", "b", "c", "d")
     ]
-    rolling.decide(wanted="2", replicas=behind, now_ms=0)
-    ordered = rolling.decide(wanted="2", replicas=behind, now_ms=100).load
+    rolling.decide(desired_version="2", replicas=behind, now_ms=0)
+    ordered = rolling.decide(
+        desired_version="2", replicas=behind, now_ms=100
+    ).load
     assert ordered == ("a", "b"), ordered
     for name in ordered:
         rolling.record_order(name, now_ms=100)
     rolling.record_refusal("a", now_ms=100)
-    drained = rolling.decide(wanted="2", replicas=behind, now_ms=200).draining
+    drained = rolling.decide(
+        desired_version="2", replicas=behind, now_ms=200
+    ).draining
     assert drained == ("b", "c"), drained
 
 
@@ -204,7 +208,10 @@
             rollout.Replica(server_id="e2", weights_version="1", busy=1),
         ]
         return planned.decide(
-            wanted="2", replicas=replicas, now_ms=now_ms, is_pressed=True
+            desired_version="2",
+            replicas=replicas,
+            now_ms=now_ms,
+            is_under_load=True,
         )
 
     assert decide(0).load == ("e1",)
--- a/tests/sim/leads.py
+++ b/tests/sim/leads.py
@@ -243,10 +243,10 @@
             for r in world.replicas
         ]
         decision = self.rollout.decide(
-            wanted=wanted,
+            desired_version=wanted,
             replicas=known,
             now_ms=world.clock.now_ms(),
-            held=self.lease.held_by_others(),
+            held_by_others=self.lease.held_by_others(),
         )
         ready = [n for n in decision.load if self.lease.may_send(n)]
         unrecorded = {
