--- a/src/godwittack/claim/__init__.py
+++ b/src/godwittack/claim/__init__.py
@@ -1,1 +1,1 @@
-"""Claims of calls that may run at most once, in the table service."""
+"""Claims for calls that may run at most once, kept in the table service."""
--- a/src/godwittack/claim/batch.py
+++ b/src/godwittack/claim/batch.py
@@ -1,4 +1,4 @@
-"""Commits conditional writes of one daemon in shared transactions."""
+"""Groups conditional writes of one daemon into shared transactions."""
 
 from __future__ import annotations
 
@@ -24,70 +24,71 @@
 
 
 class WriteBatcher:
-    """Puts writes that wait at the same time into one transaction.
+    """Commits writes that are pending at the same time in one transaction.
 
-    The service takes several hundred writes a second for all daemons. While
-    one transaction is on its way, later writes gather and go together.
+    The service accepts several hundred writes a second from all daemons
+    together. While one transaction is in flight, further writes are queued and
+    committed together.
     """
 
     def __init__(self, service: protocol.TableService) -> None:
         """Writes to `service`."""
         self._service = service
-        self._waiting: list[_Pending] = []
+        self._queue: list[_Pending] = []
         self._flusher: asyncio.Task[None] | None = None
 
     async def write(
         self, condition: protocol.Condition, write: protocol.RowWrite
     ) -> Result[protocol.Transacted, protocol.PlatformError]:
-        """Makes one conditional write, perhaps together with others."""
+        """Makes one conditional write, possibly in a batch with others."""
         future: asyncio.Future[
             Result[protocol.Transacted, protocol.PlatformError]
         ] = asyncio.get_running_loop().create_future()
-        self._waiting.append(_Pending(condition, write, future))
+        self._queue.append(_Pending(condition, write, future))
         if self._flusher is None or self._flusher.done():
             self._flusher = asyncio.create_task(self._flush())
         return await future
 
     async def _flush(self) -> None:
-        while self._waiting:
-            batch = _distinct(self._waiting[:MAX_BATCH])
-            self._waiting = [p for p in self._waiting if p not in batch]
+        while self._queue:
+            batch = _distinct(self._queue[:MAX_BATCH])
+            self._queue = [p for p in self._queue if p not in batch]
             await self._commit(batch)
 
     async def _commit(self, batch: list[_Pending]) -> None:
         """Commits a batch; a failed condition fails only its own write."""
         while batch:
-            got = await self._service.transact(
+            reply = await self._service.transact(
                 tuple(p.condition for p in batch),
                 tuple(p.write for p in batch),
             )
-            if isinstance(got, Err) or got.ok_value.committed:
+            if isinstance(reply, Err) or reply.ok_value.committed:
                 for pending in batch:
-                    _resolve(pending, got)
+                    _resolve(pending, reply)
                 return
-            rows = {row.row_id: row for row in got.ok_value.rows}
-            rest: list[_Pending] = []
+            rows = {row.row_id: row for row in reply.ok_value.rows}
+            remaining: list[_Pending] = []
             for pending in batch:
                 row = rows[pending.condition.row_id]
                 if row.version == pending.condition.version:
-                    rest.append(pending)
+                    remaining.append(pending)
                 else:
                     _resolve(pending, Ok(protocol.Transacted(False, (row,))))
-            if len(rest) == len(batch):
-                # No condition failed, yet nothing was committed: the rows
-                # changed back in between. The callers try again.
-                for pending in rest:
+            if len(remaining) == len(batch):
+                # No condition fails now, yet nothing was committed: the rows
+                # changed and changed back. The callers retry.
+                for pending in remaining:
                     row = rows[pending.condition.row_id]
                     _resolve(pending, Ok(protocol.Transacted(False, (row,))))
                 return
-            batch = rest
+            batch = remaining
 
 
-def _distinct(waiting: Iterable[_Pending]) -> list[_Pending]:
-    """Returns the first write of each row; a row is written once a batch."""
+def _distinct(writes: Iterable[_Pending]) -> list[_Pending]:
+    """Returns the first write of each row; a batch writes a row only once."""
     seen: set[protocol.RowId] = set()
     chosen: list[_Pending] = []
-    for pending in waiting:
+    for pending in writes:
         if pending.condition.row_id not in seen:
             seen.add(pending.condition.row_id)
             chosen.append(pending)
@@ -96,10 +97,10 @@
 
 def _resolve(
     pending: _Pending,
-    got: Result[protocol.Transacted, protocol.PlatformError],
+    result: Result[protocol.Transacted, protocol.PlatformError],
 ) -> None:
     if not pending.done.done():
-        pending.done.set_result(got)
+        pending.done.set_result(result)
 
 
 __all__ = ["WriteBatcher"]
--- a/src/godwittack/claim/schema.py
+++ b/src/godwittack/claim/schema.py
@@ -1,4 +1,4 @@
-"""The stored form of a claim."""
+"""Converts claims to and from their stored form."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 
 
 def row_id(key: work.ClaimKey) -> protocol.RowId:
-    """Returns the row of a key; lengths keep the parts apart."""
+    """Returns the row id of a key; the length makes the parts unambiguous."""
     name = f"{len(key.workspace)}.{key.workspace}.{key.service}.{key.key}"
     return protocol.RowId(TABLE, name)
 
 
 def to_json(claim: work.Claim) -> str:
-    """Returns the stored form."""
+    """Returns the stored form of a claim."""
     answer = None
     if claim.answer is not None:
         answer = _AnswerJson(
@@ -51,7 +51,7 @@
 
 
 def from_row(row: protocol.StoredRow) -> work.Claim:
-    """Reads a stored claim."""
+    """Returns the claim that a row stores."""
     stored = _ClaimJson.model_validate_json(row.value)
     answer = None
     if stored.answer is not None:
--- a/src/godwittack/claim/store.py
+++ b/src/godwittack/claim/store.py
@@ -1,4 +1,4 @@
-"""Writes claims and their outcomes, whatever replies are lost."""
+"""Writes claims and their outcomes so that lost replies do no harm."""
 
 from __future__ import annotations
 
@@ -17,78 +17,78 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimReply:
-    """What became of a claim write."""
+    """Result of a claim write."""
 
     verdict: inputs.ClaimVerdict
     claim: work.Claim | None = None
 
 
 class ClaimStore:
-    """Claims on the platform's table service."""
+    """Stores claims in the platform's table service."""
 
     def __init__(self, service: protocol.TableService) -> None:
-        """Keeps claims in `service`."""
+        """Stores claims in `service`."""
         self._service = service
         self._batcher = batch.WriteBatcher(service)
 
-    async def claim(self, order: effects.WriteClaim) -> ClaimReply:
-        """Claims a key if no row, or the row named, stands.
+    async def claim(self, effect: effects.WriteClaim) -> ClaimReply:
+        """Claims a key if it has no row, or still the row to overwrite.
 
-        A reply may be lost after the write took effect. The row that stands
-        then carries this request's nonce, and the next try finds it.
+        A reply may be lost after the write took effect. The stored row then
+        has this request's nonce, and the next attempt recognizes it.
         """
-        row_id = schema.row_id(order.key)
-        got = await self._batcher.write(
-            protocol.Condition(row_id, order.over_version),
-            protocol.RowWrite(row_id, schema.to_json(order.claim)),
+        row_id = schema.row_id(effect.key)
+        reply = await self._batcher.write(
+            protocol.Condition(row_id, effect.over_version),
+            protocol.RowWrite(row_id, schema.to_json(effect.claim)),
         )
-        if isinstance(got, Err):
+        if isinstance(reply, Err):
             return ClaimReply(inputs.ClaimVerdict.UNANSWERED)
-        if got.ok_value.committed:
+        if reply.ok_value.committed:
             return ClaimReply(inputs.ClaimVerdict.HELD)
-        row = got.ok_value.rows[0]
+        row = reply.ok_value.rows[0]
         if row.version == 0:
             return ClaimReply(inputs.ClaimVerdict.UNANSWERED)
-        stands = schema.from_row(row)
-        ours = stands.nonce == order.claim.nonce
-        if ours and stands.state is work.ClaimState.CLAIMED:
+        stored = schema.from_row(row)
+        is_own = stored.nonce == effect.claim.nonce
+        if is_own and stored.state is work.ClaimState.CLAIMED:
             return ClaimReply(inputs.ClaimVerdict.HELD)
-        return ClaimReply(inputs.ClaimVerdict.TAKEN, stands)
+        return ClaimReply(inputs.ClaimVerdict.TAKEN, stored)
 
-    async def store(self, order: effects.StoreOutcome) -> bool:
-        """Writes an outcome over our claim; returns whether it holds.
+    async def store(self, effect: effects.StoreOutcome) -> bool:
+        """Writes an outcome over the request's claim; returns if it is final.
 
-        Where no row stands, or a released one of an earlier caller, our own
-        claim write may still be on its way. The row written here makes its
-        condition fail, so that the key is not blocked by a claim nobody
-        holds.
+        If there is no row, or a released one of an earlier caller, the
+        request's claim write may still be in flight. The row written here
+        makes the condition of that write fail, so that no claim without a
+        holder blocks the key.
         """
-        row_id = schema.row_id(order.key)
-        value = schema.to_json(order.claim)
-        expected = 0
+        row_id = schema.row_id(effect.key)
+        value = schema.to_json(effect.claim)
+        expected_version = 0
         for _ in range(3):
-            got = await self._batcher.write(
-                protocol.Condition(row_id, expected),
+            reply = await self._batcher.write(
+                protocol.Condition(row_id, expected_version),
                 protocol.RowWrite(row_id, value),
             )
-            if isinstance(got, Err):
+            if isinstance(reply, Err):
                 return False
-            if got.ok_value.committed:
+            if reply.ok_value.committed:
                 return True
-            row = got.ok_value.rows[0]
-            if row.version and not _may_replace(row, order.claim):
+            row = reply.ok_value.rows[0]
+            if row.version and not _may_replace(row, effect.claim):
                 return True
-            expected = row.version
+            expected_version = row.version
         return False
 
 
-def _may_replace(row: protocol.StoredRow, ours: work.Claim) -> bool:
-    """Returns whether our outcome belongs over the row that stands."""
-    stands = schema.from_row(row)
-    if stands.nonce == ours.nonce:
-        return stands.state is work.ClaimState.CLAIMED
-    never_sent = ours.state is work.ClaimState.RELEASED
-    return never_sent and stands.state is work.ClaimState.RELEASED
+def _may_replace(row: protocol.StoredRow, own: work.Claim) -> bool:
+    """Returns whether the outcome in `own` may overwrite the stored row."""
+    stored = schema.from_row(row)
+    if stored.nonce == own.nonce:
+        return stored.state is work.ClaimState.CLAIMED
+    never_sent = own.state is work.ClaimState.RELEASED
+    return never_sent and stored.state is work.ClaimState.RELEASED
 
 
 __all__ = ["ClaimReply", "ClaimStore"]
--- a/src/godwittack/lead/lease.py
+++ b/src/godwittack/lead/lease.py
@@ -164,7 +164,7 @@
         return max(0, now_ms - last_ms + self._policy.send_ms)
 
     def forfeit(self) -> None:
-        """Gives up the lease after a server has seen a higher fencing number."""
+        """Gives up the lease: a server has seen a higher fencing number."""
         self._row = self._row.model_copy(update={"holder": ""})
         self._granted_until_ms.clear()
 
--- a/src/godwittack/lead/pacing.py
+++ b/src/godwittack/lead/pacing.py
@@ -12,8 +12,8 @@
 import dataclasses
 import math
 
-# The weight store slows down if more replicas than this load at once: it allowed
-# two of five or six, eight of 22, and 22 of 56.
+# The weight store slows down if more replicas load at once than two of five or
+# six, eight of 22, or 22 of 56.
 MIN_STORE_LOADS = 2
 STORE_LOADS_FRACTION = 0.37
 # Fraction of the replicas that may load at once under load while there is time:
@@ -25,8 +25,8 @@
 # seconds of eight, covers a late start and part of the time without a lead: the
 # successor of a lost lead starts within two to four seconds.
 FINISH_FRACTION = 0.75
-# Time from taking a replica out of service until it reports new weights, assumed
-# until loads were observed: 1.0 to 3.2 s under load, since running requests end
+# Time from taking a replica out of service until it reports new weights, used
+# until a load is observed: 1.0 to 3.2 s under load, since running requests end
 # first, and 0.5 s if none runs.
 ASSUMED_LOAD_MS = 2_200.0
 # Weight of a shorter load when the estimate is lowered.
