--- a/src/godwittack/lead/lease.py
+++ b/src/godwittack/lead/lease.py
@@ -127,7 +127,7 @@
 
     @property
     def fencing(self) -> int:
-        """The last holder's number, which rises with each change of holder."""
+        """The last holder's fencing number; each new holder's is higher."""
         return self._row.fencing
 
     @property
--- a/src/godwittack/lead/pacing.py
+++ b/src/godwittack/lead/pacing.py
@@ -61,8 +61,8 @@
         usable: Replicas that respond and whose weights may be used, including
             those that drain or load at present.
         behind: Usable replicas that lack the desired weights.
-        oldest_ms: Time since newer weights were published than the oldest of
-            these have.
+        oldest_ms: For how long the oldest weights among these have been
+            outdated.
         load_ms: Time for which a load keeps a replica out of service.
         use_limit_ms: Time after a publication in which older weights may be
             used; 0 for no limit.
@@ -87,9 +87,9 @@
 def max_loading(remaining: RemainingWork) -> int:
     """Returns how many may be taken out of service at once.
 
-    Half of the usable replicas keep serving, unless there is only one. When two
-    thirds of a fleet are unreachable, a fraction of the whole fleet could be
-    all replicas that respond, and none would be left to serve.
+    Half of the usable replicas keep serving, unless there is only one. If two
+    thirds of a fleet are unreachable, a fraction of the whole fleet could
+    include all replicas that respond, and none would be left to serve.
     """
     return min(
         max_store_loads(remaining.replicas), max(1, remaining.usable // 2)
--- a/src/godwittack/lead/rollout.py
+++ b/src/godwittack/lead/rollout.py
@@ -15,7 +15,7 @@
 
 # Delay before a server that refused an order is drained again; it doubles with
 # each refusal. A starting server accepts an order within a second; one that
-# never does is tried every few seconds.
+# always refuses is tried every few seconds.
 MIN_RETRY_DELAY_MS = 200
 MAX_RETRY_DELAY_MS = 3_200
 
@@ -119,8 +119,8 @@
     since_ms: int
     version_before: str
     incarnation: str
-    accepted_work: bool
-    is_accepted: bool = False
+    was_serving: bool
+    order_accepted: bool = False
     # Weights version that it was ordered to load; empty while it drains.
     version_ordered: str = ""
 
@@ -289,7 +289,7 @@
                 the others handle their share of the requests.
         """
         out_of_service = sum(
-            progress.accepted_work for progress in self._progress.values()
+            progress.was_serving for progress in self._progress.values()
         )
         for replica in behind:
             if len(self._progress) >= max_total:
@@ -339,7 +339,7 @@
         """
         progress = self._progress.get(server_id)
         if progress is not None:
-            progress.is_accepted = True
+            progress.order_accepted = True
 
     def record_load(self, *, took_ms: int) -> None:
         """Records how long a load kept a server out of service.
@@ -409,7 +409,7 @@
         )
         done = replica is not None and self._has_loaded(progress, replica)
         limit_ms = self.policy.drain_limit_ms
-        if progress.is_accepted:
+        if progress.order_accepted:
             limit_ms = self.policy.accepted_limit_ms
         elif progress.step is Step.LOADING:
             limit_ms = self.policy.load_limit_ms
--- a/src/godwittack/member/assignment.py
+++ b/src/godwittack/member/assignment.py
@@ -172,9 +172,7 @@
     picked = _members_by_target(member_ids, targets).get(target, ())
     missing = max(0, MIN_AUDIENCE - len(picked))
     ranked = rank(f"model/{target}", member_ids)
-    extra = [member_id for member_id in ranked if member_id not in picked][
-        :missing
-    ]
+    extra = [other for other in ranked if other not in picked][:missing]
     return tuple(sorted((*picked, *extra)))
 
 
--- a/src/godwittack/member/freshness.py
+++ b/src/godwittack/member/freshness.py
@@ -34,8 +34,8 @@
     """Freshness of one table.
 
     A few daemons poll the store continuously. The others rely on the beliefs
-    that these send, each with the age of the store's own reply: polled by
-    hundreds of daemons, the store would refuse most calls.
+    that these send, each with the age of the store's own reply: if hundreds of
+    daemons polled it, the store would refuse most calls.
 
     Attributes:
         topic: Which table.
--- a/src/godwittack/member/serving_lease.py
+++ b/src/godwittack/member/serving_lease.py
@@ -30,7 +30,7 @@
     def valid_until_ms(
         self, view: View, *, own_version: int, now_ms: int
     ) -> int:
-        """Returns the time before which work may start; 0 if it may not."""
+        """Returns the time before which new work may start; 0 if none may."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -85,7 +85,7 @@
     def valid_until_ms(
         self, view: View, *, own_version: int, now_ms: int
     ) -> int:
-        """Returns the time before which work may start; 0 if it may not.
+        """Returns the time before which new work may start; 0 if none may.
 
         It expires without an event: a daemon that was suspended and resumes
         sees that it has passed before it handles anything that arrived in the
