--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -22,7 +22,7 @@
 from typing import TYPE_CHECKING
 
 from godwittack.core import inputs, router, server_inputs, work
-from godwittack.member import duty, view
+from godwittack.member import assignment, view
 from godwittack.peer import codec, datagram, exchange, peer_pb2, pending, wire
 from godwittack.peer import server as peer_server
 from godwittack.table import model, schema
@@ -146,7 +146,7 @@
 
         def feed() -> object:
             for number in range(count):
-                members.heard(_member(number), now_ms=0)
+                members.apply(_member(number), now_ms=0)
             return members
 
         return feed
@@ -161,18 +161,18 @@
     def run(count: int) -> Callable[[], object]:
         members = _view()
         for number in range(340):
-            members.heard(_member(number), now_ms=0)
+            members.apply(_member(number), now_ms=0)
 
         def feed() -> object:
             for turn in range(count):
                 now_ms = turn * 500
                 members.expire(now_ms=now_ms, may_forget=True)
                 for target in members.probe_targets():
-                    members.acked(
+                    members.record_ack(
                         target.member_id, table_version=1, now_ms=now_ms
                     )
                 members.updates()
-                members.contact_share(now_ms=now_ms)
+                members.reachable_fraction(now_ms=now_ms)
             return members
 
         return feed
@@ -189,7 +189,7 @@
 
     def run(count: int) -> Callable[[], object]:
         def feed() -> object:
-            return [duty.watcher(f"s{n}", members) for n in range(count)]
+            return [assignment.watcher(f"s{n}", members) for n in range(count)]
 
         return feed
 
--- a/src/godwittack/core/splitting.py
+++ b/src/godwittack/core/splitting.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from godwittack.core import work
-from godwittack.member import duty
+from godwittack.member import assignment
 from godwittack.table import model
 
 if TYPE_CHECKING:
@@ -43,16 +43,18 @@
     They must be known before they report any demand: a daemon that assumed to
     be the only one would admit the whole limit in the first second.
     """
-    if len(world.live_daemons) <= duty.MESH_LIMIT:
+    if len(world.live_daemons) <= assignment.MESH_LIMIT:
         return
     target = request.work.target
     names = tuple(sorted(world.live_daemons))
     targets = world.table.targets
     cell = f"workspace/{request.workspace}"
-    group = duty.group_names(request.workspace, target, names, targets)
+    group = assignment.workspace_group_ids(
+        request.workspace, target, names, targets
+    )
     world.shares.groups[cell].update(group)
     if request.work.kind is work.WorkKind.PLAIN:
-        audience = duty.audience_names(target, names, targets)
+        audience = assignment.audience_ids(target, names, targets)
         world.shares.groups[f"service/{target}"].update(audience)
 
 
--- a/tests/cases/rollout_bounds.py
+++ b/tests/cases/rollout_bounds.py
@@ -13,7 +13,7 @@
 from godwittack.core import backlog, inputs, server_inputs
 from godwittack.daemon import lead, model_state, watch
 from godwittack.lead import lease, pacing, rollout
-from godwittack.member import duty, view
+from godwittack.member import assignment, view
 from sim import fakes, loop
 
 # From an order under load to the report of new weights, where the requests
@@ -60,7 +60,7 @@
         )
         for other in names:
             if other != name:
-                members.heard(_member(other), now_ms=self.clock.now_ms())
+                members.apply(_member(other), now_ms=self.clock.now_ms())
         self.lead = lead.Leader(
             core=self.runtime,
             client=engines,
@@ -117,11 +117,11 @@
         engines = one_lead.Engines(clock, load_s=LOADED_S)
         table = fakes.TableFake(random.Random(1))
         names = ("a", "b")
-        ranked = duty.leaders(
+        ranked = assignment.leaders(
             one_lead.MODEL,
             [_member(n) for n in names],
             (one_lead.MODEL,),
-            duty.ByTarget(),
+            assignment.AudienceByTarget(),
         )
         first, second = (
             _Daemon(name, names, engines=engines, table=table, use_limit_ms=0)
@@ -156,7 +156,7 @@
         load = asyncio.create_task(led.press())
         await led.run(for_s=12.0)
         load.cancel()
-        most = pacing.most_at_store(servers)
+        most = pacing.max_store_loads(servers)
         assert engines.most_loading <= most, (engines.most_loading, most)
         assert not engines.refused, engines.refused
 
@@ -240,7 +240,7 @@
         ]
         drained = (
             rollout.Rollout()
-            .decide(wanted="2", replicas=replicas, now_ms=0)
+            .decide(desired_version="2", replicas=replicas, now_ms=0)
             .draining
         )
         left = fleet - away
