--- a/src/godwittack/core/attempts.py
+++ b/src/godwittack/core/attempts.py
@@ -31,7 +31,7 @@
         return
     request, attempt = found
     attempt.heard_at_ms = world.now_ms
-    servers.heard(world, attempt.server_id)
+    servers.record_contact(world, attempt.server_id)
     if _echo_holds(world, request, attempt, told.echoed_request, told.stamp):
         attempt.opened = True
         if request.head is None:
@@ -47,13 +47,13 @@
     if not attempt.opened:
         return
     attempt.heard_at_ms = world.now_ms
-    servers.heard(world, attempt.server_id)
+    servers.record_contact(world, attempt.server_id)
     fresh, gap = _in_order(request, told.frames)
     if fresh:
         _hand_on(world, request, attempt, fresh)
     if fresh and fresh[-1].terminal:
         world.emit(effects.EndStream(request.request_id))
-        servers.worked(world, attempt)
+        servers.record_success(world, attempt)
         crashes.completed(world, request)
         closing.finish(world, request)
         return
@@ -77,8 +77,8 @@
         )
     ):
         return
-    servers.worked(world, attempt)
-    servers.heard(world, attempt.server_id)
+    servers.record_success(world, attempt)
+    servers.record_contact(world, attempt.server_id)
     crashes.completed(world, request)
     closing.learn_service_time(
         world, request.work.target, world.now_ms - attempt.sent_at_ms
@@ -153,7 +153,7 @@
     if _may_have_crashed(told) and crashes.broke(world, request, attempt):
         doubt.ask(world, world.servers[attempt.server_id])
     if told.cause is not inputs.FailureCause.STREAM_GONE:
-        servers.failed(world, attempt, told)
+        servers.record_failure(world, attempt, told)
     if request.begun or request.begun_elsewhere:
         if told.cause is inputs.FailureCause.STREAM_GONE:
             followup.break_stream(
@@ -255,7 +255,7 @@
         expected=str(attempt.stamp),
         echoed=str(stamp),
     )
-    servers.state_echoed(world, attempt.server_id, stamp)
+    servers.apply_echoed_state(world, attempt.server_id, stamp)
     if request.begun or request.begun_elsewhere:
         followup.break_stream(
             world, request, "the engine restarted or changed weights"
--- a/src/godwittack/core/availability.py
+++ b/src/godwittack/core/availability.py
@@ -18,12 +18,12 @@
     from godwittack.core import effects, server_inputs
 
 # Servers of which a word is kept beyond their entry, the latest ones.
-MOST_NOTICES = 1_024
+MAX_NOTICES = 1_024
 # Names of servers in one log line.
-MOST_NAMED = 8
+MAX_LOGGED_SERVERS = 8
 
 
-def leaving_told(
+def record_leaving(
     world: entities.World, told: server_inputs.ServerLeaving
 ) -> None:
     """Takes in that a server leaves, said by itself or by another daemon."""
@@ -34,7 +34,7 @@
     notice.is_leaving = True
     server = world.servers.get(told.server_id)
     if server is not None:
-        apply(world, server)
+        apply_notice(world, server)
     if is_news:
         world.event(
             "server_leaving",
@@ -46,7 +46,7 @@
         )
 
 
-def rest_asked(world: entities.World, told: server_inputs.RestAsked) -> None:
+def record_rest(world: entities.World, told: server_inputs.RestAsked) -> None:
     """Takes in that a server wants nothing from this daemon for a while."""
     notice = _notice(world, told.server_id, told.incarnation)
     if notice is None:
@@ -57,7 +57,7 @@
     world.resting.add(told.server_id)
     server = world.servers.get(told.server_id)
     if server is not None:
-        apply(world, server)
+        apply_notice(world, server)
     if is_news and until_ms > world.now_ms:
         world.event(
             "server_rests",
@@ -68,7 +68,7 @@
         )
 
 
-def apply(world: entities.World, server: entities.ServerRow) -> None:
+def apply_notice(world: entities.World, server: entities.ServerRow) -> None:
     """Applies what is kept of a server to its row."""
     notice = world.notices.get(server.server_id)
     if notice is not None and _concerns(notice, server):
@@ -77,7 +77,7 @@
         server.rest_until_ms = notice.rest_until_ms
 
 
-def start_seen(world: entities.World, server: entities.ServerRow) -> None:
+def reconcile_notice(world: entities.World, server: entities.ServerRow) -> None:
     """Drops what another start of a server had said than the one known now."""
     notice = world.notices.get(server.server_id)
     if notice is None:
@@ -86,10 +86,10 @@
         del world.notices[server.server_id]
         server.leaving = False
         server.rest_until_ms = 0
-    apply(world, server)
+    apply_notice(world, server)
 
 
-def entry_gone(world: entities.World, server_id: str) -> None:
+def drop_unnamed_notice(world: entities.World, server_id: str) -> None:
     """Drops what a server had said whose starts have no names.
 
     Nothing else would ever show that another one has begun.
@@ -139,14 +139,14 @@
         world.event("server_rested", server=server_id, start=notice.start)
 
 
-def left_out(world: entities.World, target: str) -> dict[str, str]:
+def unavailable_servers(world: entities.World, target: str) -> dict[str, str]:
     """Returns the servers of a target that say they want no work, to log."""
     servers = world.servers_by_target[target].values()
     leaving = [s.server_id for s in servers if s.leaving]
     resting = [s.server_id for s in servers if is_resting(world, s)]
     found = {"leaving": leaving, "resting": resting}
     return {
-        why: ",".join(sorted(names)[:MOST_NAMED])
+        why: ",".join(sorted(names)[:MAX_LOGGED_SERVERS])
         for why, names in found.items()
         if names
     }
@@ -179,7 +179,7 @@
     kept = entities.NoticeRow(start=start)
     world.notices.pop(server_id, None)
     world.notices[server_id] = kept
-    while len(world.notices) > MOST_NOTICES:
+    while len(world.notices) > MAX_NOTICES:
         del world.notices[next(iter(world.notices))]
     return kept
 
@@ -197,13 +197,13 @@
 
 
 __all__ = [
-    "apply",
+    "apply_notice",
     "end_rests",
-    "entry_gone",
+    "drop_unnamed_notice",
     "is_resting",
-    "leaving_told",
-    "left_out",
+    "record_leaving",
+    "unavailable_servers",
     "may_send",
-    "rest_asked",
-    "start_seen",
+    "record_rest",
+    "reconcile_notice",
 ]
--- a/src/godwittack/core/dispatching.py
+++ b/src/godwittack/core/dispatching.py
@@ -67,13 +67,13 @@
     """Holds a request until a server has rested, or refuses it at once."""
     target = request.work.target
     has_room = _held(world, target) < min(
-        resting.room(world, target), _queue_limit(world, request)
+        resting.max_waiting(world, target), _queue_limit(world, request)
     )
     if not has_room or not resting.may_wait(world, request):
         refusing.no_server(world, request)
         return
     request.awaits_rest = True
-    _hold(world, request, wait_ms=resting.left_ms(world, request) or 0)
+    _hold(world, request, wait_ms=resting.shortest_rest_ms(world, request) or 0)
 
 
 def _hold(
@@ -94,7 +94,7 @@
             target=request.work.target,
             wait_ms=round(wait_ms),
             before=before,
-            **availability.left_out(world, request.work.target),
+            **availability.unavailable_servers(world, request.work.target),
         )
     queue.push(
         request_id=request.request_id,
@@ -241,7 +241,7 @@
 
 def _rests_on(world: entities.World, request: entities.RequestRow) -> bool:
     """Returns whether the rests that a request waits for were made too long."""
-    return request.awaits_rest and resting.is_hopeless(world, request)
+    return request.awaits_rest and resting.is_rest_too_long(world, request)
 
 
 def _held(world: entities.World, target: str) -> int:
--- a/src/godwittack/core/doubt.py
+++ b/src/godwittack/core/doubt.py
@@ -56,14 +56,16 @@
         if availability.is_resting(world, server):
             continue
         if server.reported_at_ms > server.ejected_at_ms:
-            servers.probed(
+            servers.apply_probe_result(
                 world,
                 server_inputs.ProbeAnswered(
                     world.now_ms, server.server_id, alive=True
                 ),
             )
             continue
-        server.ejected_until_ms = world.now_ms + servers.pause_ms(world, server)
+        server.ejected_until_ms = world.now_ms + servers.ejection_ms(
+            world, server
+        )
         if not _is_reported_by_another(world, server):
             world.emit(effects.Probe(server.server_id, server.address))
 
@@ -118,7 +120,7 @@
         server.heard_at_ms = world.now_ms
         return
     was_trusted = not server.ejected_until_ms
-    servers.probed(world, answered)
+    servers.apply_probe_result(world, answered)
     if answered.alive or world.table.forwarding is None:
         return
     if was_trusted:
--- a/src/godwittack/core/followup.py
+++ b/src/godwittack/core/followup.py
@@ -54,7 +54,8 @@
         outcome=outcome,
         reason=effects.Reason.DISPATCH_FAILED,
         detail=f"{attempt.server_id}: {detail}",
-        retry_after_ms=resting.return_ms(world, request) or FAILED_RETRY_MS,
+        retry_after_ms=resting.retry_after_ms(world, request)
+        or FAILED_RETRY_MS,
     )
 
 
--- a/src/godwittack/core/refusing.py
+++ b/src/godwittack/core/refusing.py
@@ -54,7 +54,7 @@
 def no_server(world: entities.World, request: entities.RequestRow) -> None:
     """Refuses a request that no server takes in its time."""
     target = request.work.target
-    left_out = availability.left_out(world, target)
+    left_out = availability.unavailable_servers(world, target)
     why = "".join(f"; {name}: {ids}" for name, ids in left_out.items())
     not_run(
         world,
@@ -114,7 +114,7 @@
 def return_ms(world: entities.World, request: entities.RequestRow) -> int:
     """Returns when a server has room or is rested; 0 where none tells."""
     limit_ms = rate_limits.retry_after_ms(world, request.work.target)
-    rested_ms = resting.return_ms(world, request)
+    rested_ms = resting.retry_after_ms(world, request)
     if limit_ms and rested_ms:
         return min(limit_ms, rested_ms)
     return limit_ms or rested_ms
--- a/src/godwittack/core/resting.py
+++ b/src/godwittack/core/resting.py
@@ -23,7 +23,9 @@
 MAX_RETURN_MS = 60_000
 
 
-def left_ms(world: entities.World, request: entities.RequestRow) -> int | None:
+def shortest_rest_ms(
+    world: entities.World, request: entities.RequestRow
+) -> int | None:
     """Returns when the first server that only rests wants work again.
 
     None where no server would take the request after its rest.
@@ -39,32 +41,34 @@
 
 def may_wait(world: entities.World, request: entities.RequestRow) -> bool:
     """Returns whether a rest ends well within a request's time."""
-    rest_ms = left_ms(world, request)
+    rest_ms = shortest_rest_ms(world, request)
     if rest_ms is None:
         return False
     return rest_ms <= _longest_wait_ms(world, request)
 
 
-def is_hopeless(world: entities.World, request: entities.RequestRow) -> bool:
+def is_rest_too_long(
+    world: entities.World, request: entities.RequestRow
+) -> bool:
     """Returns whether all servers rest for longer than a request can wait."""
-    if left_ms(world, request) is None or _has_usable(world, request):
+    if shortest_rest_ms(world, request) is None or _has_usable(world, request):
         return False
     return not may_wait(world, request)
 
 
-def return_ms(world: entities.World, request: entities.RequestRow) -> int:
+def retry_after_ms(world: entities.World, request: entities.RequestRow) -> int:
     """Returns when to come back to servers that all rest; 0 where not all do.
 
     Callers are spread: all at one moment, they would fill the servers again.
     """
-    rest_ms = left_ms(world, request)
+    rest_ms = shortest_rest_ms(world, request)
     if rest_ms is None or _has_usable(world, request):
         return 0
     drawn = xxhash.xxh3_64_intdigest(request.request_id.encode())
     return min(rest_ms + drawn % RETURN_SPREAD_MS, MAX_RETURN_MS)
 
 
-def room(world: entities.World, target: str) -> int:
+def max_waiting(world: entities.World, target: str) -> int:
     """Returns how many requests may wait here for servers of a target to rest.
 
     All daemons send what they hold when a rest ends. Together it is no more
@@ -97,4 +101,10 @@
     )
 
 
-__all__ = ["is_hopeless", "left_ms", "may_wait", "return_ms", "room"]
+__all__ = [
+    "is_rest_too_long",
+    "shortest_rest_ms",
+    "may_wait",
+    "retry_after_ms",
+    "max_waiting",
+]
--- a/src/godwittack/core/retries.py
+++ b/src/godwittack/core/retries.py
@@ -66,7 +66,7 @@
         return Limit.ATTEMPTS
     if crashes.is_suspect(world, request):
         return Limit.CRASHES
-    if resting.is_hopeless(world, request):
+    if resting.is_rest_too_long(world, request):
         return Limit.REST
     return None if _spend(world, request.work.target) else Limit.BUDGET
 
--- a/src/godwittack/core/router.py
+++ b/src/godwittack/core/router.py
@@ -108,23 +108,23 @@
             case inputs.OutcomeStored():
                 self._outcome_stored(told)
             case server_inputs.LoadReported():
-                servers.load_reported(world, told)
+                servers.apply_load_report(world, told)
             case server_inputs.LoadEchoed():
-                servers.load_echoed(world, told)
+                servers.apply_echoed_load(world, told)
             case server_inputs.RateLimitEchoed():
                 rate_limits.echoed(world, told)
             case server_inputs.RateLimitTold():
                 rate_limits.told_by_peer(world, told)
             case server_inputs.CacheDigest():
-                servers.digest(world, told)
+                servers.apply_cache_digest(world, told)
             case server_inputs.ServerListed():
-                servers.listed(world, told)
+                servers.apply_list_entry(world, told)
             case server_inputs.ServerDraining():
-                servers.draining_told(world, told)
+                servers.apply_draining(world, told)
             case server_inputs.ServerLeaving():
-                availability.leaving_told(world, told)
+                availability.record_leaving(world, told)
             case server_inputs.RestAsked():
-                availability.rest_asked(world, told)
+                availability.record_rest(world, told)
             case server_inputs.ProbeAnswered():
                 doubt.probed(world, told)
             case server_inputs.ServerDoubted():
--- a/src/godwittack/core/sending.py
+++ b/src/godwittack/core/sending.py
@@ -39,7 +39,7 @@
         else -1,
         after=request.next_frame - 1,
         left_ms=ends_at_ms(request) - world.now_ms,
-        **availability.left_out(world, request.work.target),
+        **availability.unavailable_servers(world, request.work.target),
     )
 
 
--- a/src/godwittack/core/servers.py
+++ b/src/godwittack/core/servers.py
@@ -19,10 +19,12 @@
 
 
 # Time for which a server that reset a new connection counts as full.
-FULL_MS = 300
+FULL_AFTER_RESET_MS = 300
 
 
-def listed(world: entities.World, told: server_inputs.ServerListed) -> None:
+def apply_list_entry(
+    world: entities.World, told: server_inputs.ServerListed
+) -> None:
     """Takes in an entry of the instance list."""
     if told.gone:
         _remove(world, told.server_id)
@@ -45,7 +47,7 @@
         )
         world.servers[told.server_id] = server
         world.servers_by_target[told.target][told.server_id] = server
-        availability.apply(world, server)
+        availability.apply_notice(world, server)
     _take_listed_state(world, server, told)
     # The list lags: it may still show a server as live that has said itself
     # that it leaves. Only a new incarnation takes that back.
@@ -75,7 +77,7 @@
     world.freed_targets.add(server.target)
 
 
-def draining_told(
+def apply_draining(
     world: entities.World, told: server_inputs.ServerDraining
 ) -> None:
     """Keeps new work from a server until a time, for a load of weights."""
@@ -84,7 +86,7 @@
         server.draining_until_ms = told.until_ms
 
 
-def load_reported(
+def apply_load_report(
     world: entities.World, told: server_inputs.LoadReported
 ) -> None:
     """Takes in a load report unless a newer one is known."""
@@ -127,7 +129,9 @@
     )
 
 
-def load_echoed(world: entities.World, told: server_inputs.LoadEchoed) -> None:
+def apply_echoed_load(
+    world: entities.World, told: server_inputs.LoadEchoed
+) -> None:
     """Takes in the load that came with an answer."""
     server = world.servers.get(told.server_id)
     if server is None:
@@ -140,7 +144,9 @@
     world.freed_targets.add(server.target)
 
 
-def digest(world: entities.World, told: server_inputs.CacheDigest) -> None:
+def apply_cache_digest(
+    world: entities.World, told: server_inputs.CacheDigest
+) -> None:
     """Takes in what changed in an engine's cache."""
     server = world.servers.get(told.server_id)
     if server is None or server.incarnation != told.incarnation:
@@ -164,14 +170,16 @@
         )
 
 
-def heard(world: entities.World, server_id: str) -> None:
+def record_contact(world: entities.World, server_id: str) -> None:
     """Notes that a server said something."""
     server = world.servers.get(server_id)
     if server is not None:
         server.heard_at_ms = world.now_ms
 
 
-def probed(world: entities.World, told: server_inputs.ProbeAnswered) -> None:
+def apply_probe_result(
+    world: entities.World, told: server_inputs.ProbeAnswered
+) -> None:
     """Takes in whether a fresh connection to a server worked."""
     server = world.servers.get(told.server_id)
     if server is None:
@@ -184,7 +192,7 @@
         _eject(world, server, "probe failed")
 
 
-def worked(world: entities.World, attempt: entities.AttemptRow) -> None:
+def record_success(world: entities.World, attempt: entities.AttemptRow) -> None:
     """Counts an attempt that ended well."""
     server = world.servers.get(attempt.server_id)
     if server is not None:
@@ -192,7 +200,7 @@
         server.ejected_until_ms = 0
 
 
-def failed(
+def record_failure(
     world: entities.World,
     attempt: entities.AttemptRow,
     told: inputs.AttemptFailed,
@@ -203,7 +211,7 @@
         return
     if told.cause is inputs.FailureCause.REFUSED:
         if told.phase is inputs.FailurePhase.CONNECT:
-            server.full_until_ms = world.now_ms + FULL_MS
+            server.full_until_ms = world.now_ms + FULL_AFTER_RESET_MS
         return
     if told.cause is inputs.FailureCause.OTHER_SERVER:
         # Another process has its address: at this one it is gone for good.
@@ -220,14 +228,16 @@
         _suspect(world, server, told.detail)
 
 
-def silent(world: entities.World, attempt: entities.AttemptRow) -> None:
+def record_missing_first_frame(
+    world: entities.World, attempt: entities.AttemptRow
+) -> None:
     """Counts an attempt that showed no first frame."""
     server = world.servers.get(attempt.server_id)
     if server is not None:
         _suspect(world, server, "silent before the first frame")
 
 
-def state_echoed(
+def apply_echoed_state(
     world: entities.World, server_id: str, stamp: work.Stamp
 ) -> None:
     """Believes the state that an engine itself gave with an answer."""
@@ -259,7 +269,7 @@
     server.incarnation = seen_incarnation
     server.weights_version = weights_version
     server.cache.clear()
-    availability.start_seen(world, server)
+    availability.reconcile_notice(world, server)
     world.event(
         "server_restarted" if restarted else "server_state",
         server=server.server_id,
@@ -305,7 +315,7 @@
     told: server_inputs.ServerListed | server_inputs.LoadReported,
     source: server_inputs.Source,
 ) -> None:
-    availability.leaving_told(
+    availability.record_leaving(
         world,
         server_inputs.ServerLeaving(
             world.now_ms, told.server_id, told.incarnation, source
@@ -330,7 +340,7 @@
     server = world.servers.pop(server_id, None)
     if server is not None:
         crashes.ended(world, server)
-        availability.entry_gone(world, server_id)
+        availability.drop_unnamed_notice(world, server_id)
         world.servers_by_target[server.target].pop(server_id, None)
         world.event("server_gone", server=server_id)
 
@@ -354,7 +364,7 @@
 ) -> None:
     server.failures += 1
     server.ejected_at_ms = world.now_ms
-    server.ejected_until_ms = world.now_ms + pause_ms(world, server)
+    server.ejected_until_ms = world.now_ms + ejection_ms(world, server)
     world.event(
         "server_ejected",
         server=server.server_id,
@@ -364,23 +374,23 @@
     )
 
 
-def pause_ms(world: entities.World, server: entities.ServerRow) -> int:
+def ejection_ms(world: entities.World, server: entities.ServerRow) -> int:
     """Returns the pause of a server by its failures in a row."""
     doubled = world.policy.eject_ms * 2 ** min(server.failures - 1, 10)
     return min(doubled, world.policy.eject_max_ms)
 
 
 __all__ = [
-    "digest",
-    "draining_told",
-    "failed",
-    "heard",
-    "load_echoed",
-    "listed",
-    "load_reported",
-    "pause_ms",
-    "probed",
-    "silent",
-    "state_echoed",
-    "worked",
+    "apply_cache_digest",
+    "apply_draining",
+    "record_failure",
+    "record_contact",
+    "apply_echoed_load",
+    "apply_list_entry",
+    "apply_load_report",
+    "ejection_ms",
+    "apply_probe_result",
+    "record_missing_first_frame",
+    "apply_echoed_state",
+    "record_success",
 ]
--- a/src/godwittack/core/silence.py
+++ b/src/godwittack/core/silence.py
@@ -64,7 +64,7 @@
     if _is_in_line(world, request, attempt):
         return
     world.emit(effects.CancelAttempt(attempt.attempt_id, True))
-    servers.silent(world, attempt)
+    servers.record_missing_first_frame(world, attempt)
     closing.close_attempt(world, attempt.attempt_id)
     request.sent = True
     followup.retry(world, request, attempt, "silent before the first frame")
--- a/tests/cases/availability.py
+++ b/tests/cases/availability.py
@@ -230,10 +230,10 @@
 def what_is_kept_of_servers_is_bounded() -> None:
     """Guards against memory that grows with each server that leaves."""
     core = Core()
-    for number in range(availability.MOST_NOTICES + 10):
+    for number in range(availability.MAX_NOTICES + 10):
         core.tell(server_inputs.ServerLeaving, f"gone{number}", "")
     _rest(core, "s1")
-    assert len(core.world.notices) == availability.MOST_NOTICES
+    assert len(core.world.notices) == availability.MAX_NOTICES
     core.wait(3_100)
     assert "s1" not in core.world.notices
     assert not core.world.resting
--- a/tests/cases/fleet_bounds.py
+++ b/tests/cases/fleet_bounds.py
@@ -156,7 +156,7 @@
     core.arrive("release", "alone")
     assert core.dispatch().server_id == full.server_id
     core.world.servers[spare.server_id].leaving = False
-    core.wait(servers.FULL_MS)
+    core.wait(servers.FULL_AFTER_RESET_MS)
     core.arrive("release", "later")
     assert core.dispatch().server_id == full.server_id
 
@@ -190,7 +190,7 @@
     core.arrive("short", "early")
     assert core.refusal()
     _report(core, "e1")
-    core.wait(servers.pause_ms(core.world, dark) + 100)
+    core.wait(servers.ejection_ms(core.world, dark) + 100)
     core.arrive("short", "back")
     assert core.dispatch().server_id == "e1"
 
