--- a/src/godwittack/core/attempts.py
+++ b/src/godwittack/core/attempts.py
@@ -54,7 +54,7 @@
     if fresh and fresh[-1].terminal:
         world.emit(effects.EndStream(request.request_id))
         servers.record_success(world, attempt)
-        crashes.completed(world, request)
+        crashes.record_completion(world, request)
         closing.finish(world, request)
         return
     if gap:
@@ -79,7 +79,7 @@
         return
     servers.record_success(world, attempt)
     servers.record_contact(world, attempt.server_id)
-    crashes.completed(world, request)
+    crashes.record_completion(world, request)
     closing.learn_service_time(
         world, request.work.target, world.now_ms - attempt.sent_at_ms
     )
@@ -150,7 +150,9 @@
         cause=told.cause.value,
         detail=told.detail,
     )
-    if _may_have_crashed(told) and crashes.broke(world, request, attempt):
+    if _may_have_crashed(told) and crashes.record_broken_connection(
+        world, request, attempt
+    ):
         doubt.ask(world, world.servers[attempt.server_id])
     if told.cause is not inputs.FailureCause.STREAM_GONE:
         servers.record_failure(world, attempt, told)
--- a/src/godwittack/core/crashes.py
+++ b/src/godwittack/core/crashes.py
@@ -23,7 +23,7 @@
 EXPLAINED_MS = 6_000
 
 
-def broke(
+def record_broken_connection(
     world: entities.World,
     request: entities.RequestRow,
     attempt: entities.AttemptRow,
@@ -50,9 +50,11 @@
     return True
 
 
-def ended(world: entities.World, server: entities.ServerRow) -> None:
+def record_process_end(
+    world: entities.World, server: entities.ServerRow
+) -> None:
     """Takes in that the process which a server ran has ended."""
-    server.ended_start = start_of(world, server)
+    server.ended_start = start_name(world, server)
     server.ended_at_ms = world.now_ms
     found = _recent(world, server)
     server.broken = []
@@ -60,7 +62,7 @@
         _count(world, server, found)
 
 
-def alive(
+def record_health_response(
     world: entities.World, server: entities.ServerRow, incarnation: str
 ) -> None:
     """Takes in a sign of life, which may show another process."""
@@ -69,17 +71,19 @@
     if incarnation == server.incarnation:
         server.broken = []
     else:
-        ended(world, server)
+        record_process_end(world, server)
 
 
-def completed(world: entities.World, request: entities.RequestRow) -> None:
+def record_completion(
+    world: entities.World, request: entities.RequestRow
+) -> None:
     """Clears a content that a server has run to its end."""
     content = request.content
     if not world.quarantine.crashes(content):
         return
     done = quarantine.Completion(content=content, at_ms=world.now_ms)
-    was_kept = world.quarantine.is_kept(content)
-    if not world.quarantine.complete(done):
+    was_kept = world.quarantine.is_persisted(content)
+    if not world.quarantine.add_completion(done):
         return
     world.event("crashes_cleared", request.request_id, content=done.content)
     # Daemons that hear of no server here know only of what was kept.
@@ -87,10 +91,10 @@
     world.emit(effects.TellCrashes(target=target, completions=(done,)))
 
 
-def told(world: entities.World, news: inputs.CrashesTold) -> None:
+def apply_peer_update(world: entities.World, news: inputs.CrashesTold) -> None:
     """Takes in what another daemon knows."""
     for done in news.completions:
-        if world.quarantine.complete(done):
+        if world.quarantine.add_completion(done):
             world.event("crashes_cleared", content=done.content)
     _add(world, news.crashes)
 
@@ -100,7 +104,7 @@
     return world.now_ms < world.quarantine.until_ms(request.content)
 
 
-def start_of(
+def start_name(
     world: entities.World,
     server: entities.ServerRow,
     stamp: work.Stamp | None = None,
@@ -180,12 +184,14 @@
             status=502 if request.work.route else 503,
             outcome=effects.Outcome.UNKNOWN,
             reason=effects.Reason.QUARANTINED,
-            detail=why(world, request),
-            retry_after_ms=left_ms(world, request),
+            detail=quarantine_reason(world, request),
+            retry_after_ms=quarantine_left_ms(world, request),
         )
 
 
-def is_suspect(world: entities.World, request: entities.RequestRow) -> bool:
+def would_be_quarantined(
+    world: entities.World, request: entities.RequestRow
+) -> bool:
     """Returns whether broken connections would put a request in quarantine.
 
     Sent on before it is known if their servers ended, it could end one more.
@@ -198,29 +204,33 @@
             for crash in _recent(world, server)
             if crash.content == content
         )
-    return len(starts) >= quarantine.MOST_CRASHES
+    return len(starts) >= quarantine.CRASHES_TO_QUARANTINE
 
 
-def why(world: entities.World, request: entities.RequestRow) -> str:
+def quarantine_reason(
+    world: entities.World, request: entities.RequestRow
+) -> str:
     """Returns why a request is in quarantine, for people."""
     count = len(world.quarantine.crashes(request.content))
     return f"{count} servers ended while they ran this request"
 
 
-def left_ms(world: entities.World, request: entities.RequestRow) -> int:
+def quarantine_left_ms(
+    world: entities.World, request: entities.RequestRow
+) -> int:
     """Returns how long a request stays in quarantine."""
     return world.quarantine.until_ms(request.content) - world.now_ms
 
 
 __all__ = [
-    "alive",
-    "broke",
-    "completed",
-    "ended",
+    "record_health_response",
+    "record_broken_connection",
+    "record_completion",
+    "record_process_end",
     "is_quarantined",
-    "is_suspect",
-    "left_ms",
-    "start_of",
-    "told",
-    "why",
+    "would_be_quarantined",
+    "quarantine_left_ms",
+    "start_name",
+    "apply_peer_update",
+    "quarantine_reason",
 ]
--- a/src/godwittack/core/doubt.py
+++ b/src/godwittack/core/doubt.py
@@ -113,9 +113,9 @@
     if server is None:
         return
     if answered.alive:
-        crashes.alive(world, server, answered.incarnation)
+        crashes.record_health_response(world, server, answered.incarnation)
     elif answered.ended:
-        crashes.ended(world, server)
+        crashes.record_process_end(world, server)
     if answered.alive and not server.ejected_until_ms:
         server.heard_at_ms = world.now_ms
         return
@@ -155,7 +155,7 @@
     for attempt in server.sent.values():
         request = world.requests.get(attempt.request_id)
         if request is not None:
-            crashes.broke(world, request, attempt)
+            crashes.record_broken_connection(world, request, attempt)
 
 
 def _move_away(world: entities.World, server: entities.ServerRow) -> None:
--- a/src/godwittack/core/quarantine.py
+++ b/src/godwittack/core/quarantine.py
@@ -14,22 +14,22 @@
 
 # Server starts that must have ended under a content until it is quarantined.
 # Requests that ran beside it are seldom with it three times.
-MOST_CRASHES = 3
+CRASHES_TO_QUARANTINE = 3
 # Crashes from which a content is kept beyond the daemons' lives. Kept from the
 # third on only, a restart of all daemons between would begin the count anew.
-KEPT_CRASHES = MOST_CRASHES - 1
+CRASHES_TO_PERSIST = CRASHES_TO_QUARANTINE - 1
 # A quarantine's first length; each further crash doubles it.
 QUARANTINE_MS = 600_000
-MOST_DOUBLINGS = 6
+MAX_DOUBLINGS = 6
 # Time after a content's last crash or quarantine for which it is remembered.
-MEMORY_MS = 600_000
-FORGET_EVERY_MS = 10_000
+RETENTION_MS = 600_000
+EXPIRY_INTERVAL_MS = 10_000
 MAX_CONTENTS = 4_096
-MAX_STARTS = 16
+MAX_CRASHES_PER_CONTENT = 16
 # Servers whose unnamed starts are counted.
 MAX_SERVERS = 4_096
 # Contents not in quarantine whose crashes are compared with other daemons.
-MOST_TOLD = 128
+MAX_EXCHANGED_CONTENTS = 128
 _NUMBER_SEPARATOR = "#"
 
 
@@ -102,12 +102,12 @@
         if crash.at_ms <= self._completed_ms.get(crash.content, -1):
             return False
         row = self._rows.setdefault(crash.content, {})
-        if crash.start in row or len(row) >= MAX_STARTS:
+        if crash.start in row or len(row) >= MAX_CRASHES_PER_CONTENT:
             return False
         row[crash.start] = crash
         self._digest = None
         self._rows.move_to_end(crash.content)
-        if len(row) >= MOST_CRASHES:
+        if len(row) >= CRASHES_TO_QUARANTINE:
             self._quarantined.add(crash.content)
         self._bound()
         return True
@@ -121,7 +121,7 @@
         if len(self._ended) > MAX_SERVERS:
             self._ended.popitem(last=False)
 
-    def complete(self, done: Completion) -> bool:
+    def add_completion(self, done: Completion) -> bool:
         """Drops the crashes before a completed run; returns if there were."""
         row = self._rows.get(done.content)
         if row is None:
@@ -136,7 +136,7 @@
         self._rows[done.content] = kept
         if not kept:
             del self._rows[done.content]
-        if len(kept) < MOST_CRASHES:
+        if len(kept) < CRASHES_TO_QUARANTINE:
             self._quarantined.discard(done.content)
         return len(kept) < before
 
@@ -144,27 +144,27 @@
         """Returns the crashes known of a content."""
         return tuple(self._rows.get(content, {}).values())
 
-    def is_kept(self, content: str) -> bool:
+    def is_persisted(self, content: str) -> bool:
         """Returns whether a content's crashes are kept beyond this process."""
-        return len(self._rows.get(content, {})) >= KEPT_CRASHES
+        return len(self._rows.get(content, {})) >= CRASHES_TO_PERSIST
 
     def until_ms(self, content: str) -> int:
         """Returns when a content's quarantine ends; 0 where it has none."""
         if content not in self._quarantined:
             return 0
         row = self._rows[content]
-        doublings = min(len(row) - MOST_CRASHES, MOST_DOUBLINGS)
+        doublings = min(len(row) - CRASHES_TO_QUARANTINE, MAX_DOUBLINGS)
         last_ms = max(crash.at_ms for crash in row.values())
         return last_ms + QUARANTINE_MS * 2**doublings
 
-    def known(self) -> tuple[Crash, ...]:
+    def crashes_to_exchange(self) -> tuple[Crash, ...]:
         """Returns what other daemons should know as well.
 
         All crashes of contents in quarantine, and those of the contents of
         which crashes were told last.
         """
         others = [c for c in self._rows if c not in self._quarantined]
-        contents = [*self._quarantined, *others[-MOST_TOLD:]]
+        contents = [*self._quarantined, *others[-MAX_EXCHANGED_CONTENTS:]]
         return tuple(
             crash for content in contents for crash in self.crashes(content)
         )
@@ -180,24 +180,24 @@
         """Returns a number that is equal where the same is known."""
         if self._digest is None:
             self._digest = 0
-            for crash in self.known():
+            for crash in self.crashes_to_exchange():
                 named = f"{crash.content}\n{crash.start}".encode()
                 self._digest ^= xxhash.xxh3_64_intdigest(named)
         return self._digest
 
-    def forget(self, *, now_ms: int) -> None:
+    def expire(self, *, now_ms: int) -> None:
         """Drops contents whose last crash or quarantine is long over."""
-        if now_ms - self._forgot_ms < FORGET_EVERY_MS:
+        if now_ms - self._forgot_ms < EXPIRY_INTERVAL_MS:
             return
         self._forgot_ms = now_ms
         for content, row in list(self._rows.items()):
             last_ms = max(crash.at_ms for crash in row.values())
             ends_ms = max(last_ms, self.until_ms(content))
-            if now_ms - ends_ms > MEMORY_MS:
+            if now_ms - ends_ms > RETENTION_MS:
                 self._drop(content)
         while self._completed_ms:
             oldest = next(iter(self._completed_ms))
-            if now_ms - self._completed_ms[oldest] <= MEMORY_MS:
+            if now_ms - self._completed_ms[oldest] <= RETENTION_MS:
                 break
             del self._completed_ms[oldest]
 
@@ -216,9 +216,9 @@
 
 
 __all__ = [
-    "KEPT_CRASHES",
-    "MEMORY_MS",
-    "MOST_CRASHES",
+    "CRASHES_TO_PERSIST",
+    "RETENTION_MS",
+    "CRASHES_TO_QUARANTINE",
     "Completion",
     "Crash",
     "Quarantine",
--- a/src/godwittack/core/refusing.py
+++ b/src/godwittack/core/refusing.py
@@ -72,8 +72,8 @@
         world,
         request,
         effects.Reason.QUARANTINED,
-        crashes.why(world, request),
-        crashes.left_ms(world, request),
+        crashes.quarantine_reason(world, request),
+        crashes.quarantine_left_ms(world, request),
     )
 
 
--- a/src/godwittack/core/retries.py
+++ b/src/godwittack/core/retries.py
@@ -64,7 +64,7 @@
         return Limit.DEADLINE
     if _tries_used(world, request):
         return Limit.ATTEMPTS
-    if crashes.is_suspect(world, request):
+    if crashes.would_be_quarantined(world, request):
         return Limit.CRASHES
     if resting.is_rest_too_long(world, request):
         return Limit.REST
--- a/src/godwittack/core/router.py
+++ b/src/godwittack/core/router.py
@@ -146,7 +146,7 @@
             case server_inputs.PeerDispatched():
                 backlog.peer_dispatched(world, told)
             case inputs.CrashesTold():
-                crashes.told(world, told)
+                crashes.apply_peer_update(world, told)
             case inputs.PeerDemand():
                 self._peer_demand(told)
             case inputs.MembersChanged():
@@ -181,7 +181,7 @@
         doubt.check_ejected(world)
         availability.end_rests(world)
         dispatching.expire_queued(world)
-        world.quarantine.forget(now_ms=world.now_ms)
+        world.quarantine.expire(now_ms=world.now_ms)
 
     def _outcome_stored(self, told: inputs.OutcomeStored) -> None:
         held = outcomes.stored(self.world, told)
--- a/src/godwittack/core/servers.py
+++ b/src/godwittack/core/servers.py
@@ -215,11 +215,11 @@
         return
     if told.cause is inputs.FailureCause.OTHER_SERVER:
         # Another process has its address: at this one it is gone for good.
-        crashes.ended(world, server)
+        crashes.record_process_end(world, server)
         _mark_gone_here(world, server)
         return
     if told.cause is inputs.FailureCause.ENDED:
-        crashes.ended(world, server)
+        crashes.record_process_end(world, server)
     if told.phase is inputs.FailurePhase.CONNECT:
         # The process is gone or starts anew: its cache is empty either way.
         server.cache.clear()
@@ -260,7 +260,7 @@
     ):
         return
     if server.incarnation and server.incarnation != seen_incarnation:
-        crashes.ended(world, server)
+        crashes.record_process_end(world, server)
         _forget_process(server)
     if server.weights_version != weights_version:
         # New weights are what it was drained for.
@@ -339,7 +339,7 @@
 def _remove(world: entities.World, server_id: str) -> None:
     server = world.servers.pop(server_id, None)
     if server is not None:
-        crashes.ended(world, server)
+        crashes.record_process_end(world, server)
         availability.drop_unnamed_notice(world, server_id)
         world.servers_by_target[server.target].pop(server_id, None)
         world.event("server_gone", server=server_id)
--- a/src/godwittack/daemon/crash_rows.py
+++ b/src/godwittack/daemon/crash_rows.py
@@ -82,7 +82,7 @@
     def _keep(self, content: str) -> None:
         known = self._runtime.core.world.quarantine
         crashes = known.crashes(content)
-        if not known.is_kept(content):
+        if not known.is_persisted(content):
             return
         if self._written.get(content, 0) >= len(crashes):
             return
@@ -173,9 +173,9 @@
 
     A quarantine may last for longer than its crashes would be remembered.
     """
-    if len(kept.crashes) >= quarantine.MOST_CRASHES:
+    if len(kept.crashes) >= quarantine.CRASHES_TO_QUARANTINE:
         return True
-    return now_wall_ms - crash.at_wall_ms <= quarantine.MEMORY_MS
+    return now_wall_ms - crash.at_wall_ms <= quarantine.RETENTION_MS
 
 
 __all__ = ["CrashRows", "Store"]
--- a/src/godwittack/daemon/outbox.py
+++ b/src/godwittack/daemon/outbox.py
@@ -92,7 +92,7 @@
         now_ms = self._clock.now_ms()
         if now_ms - self._told_again_ms >= TELL_AGAIN_MS:
             self._told_again_ms = now_ms
-            self.tell_crashes(known.known(), known.completions())
+            self.tell_crashes(known.crashes_to_exchange(), known.completions())
 
     def wake(self) -> None:
         """Has what waits sent now."""
--- a/tests/cases/crash_rows.py
+++ b/tests/cases/crash_rows.py
@@ -169,7 +169,7 @@
     work = types.SimpleNamespace(target="m", route=None)
     request = types.SimpleNamespace(content="desk/f", request_id="r", work=work)
     other.core.world.out = []
-    crashes.completed(other.core.world, request)
+    crashes.record_completion(other.core.world, request)
     for told in other.core.world.out:
         if isinstance(told, effects.TellCrashes):
             other.rows.seen(told)
@@ -186,7 +186,7 @@
     Daemon(store).crash("s1", "s2")
     await _settle()
     later = Daemon(store)
-    later.clock.advance(by_ms=quarantine.MEMORY_MS + 1)
+    later.clock.advance(by_ms=quarantine.RETENTION_MS + 1)
     later.crash("s3")
     await _settle()
     assert not later.known.until_ms("desk/f")
--- a/tests/cases/quarantines.py
+++ b/tests/cases/quarantines.py
@@ -97,7 +97,7 @@
             content
             for content in {crash.content for crash in news}
             if len({c.start for c in news if c.content == content})
-            >= quarantine.MOST_CRASHES
+            >= quarantine.CRASHES_TO_QUARANTINE
         }
         assert len(views[0]) == len(expected), seed
 
@@ -181,7 +181,7 @@
     for _ in range(3):
         _crash(core)
     assert _is_refused(core)
-    other.tell(inputs.CrashesTold, core.world.quarantine.known())
+    other.tell(inputs.CrashesTold, core.world.quarantine.crashes_to_exchange())
     assert _is_refused(other)
     core.frames(begun, 2, end=True)
     completions = _told(core, "completions")
@@ -313,9 +313,9 @@
         )
 
     crash("s1", 10)
-    known.complete(quarantine.Completion(content="c", at_ms=100))
+    known.add_completion(quarantine.Completion(content="c", at_ms=100))
     assert crash("s2", 200)
-    known.complete(quarantine.Completion(content="c", at_ms=20))
+    known.add_completion(quarantine.Completion(content="c", at_ms=20))
     assert not crash("s3", 50)
 
 
@@ -330,7 +330,7 @@
         )
     assert known[0].digest() != known[1].digest()
     for told, heard in (known, reversed(known)):
-        for crash in told.known():
+        for crash in told.crashes_to_exchange():
             heard.add(crash)
     assert known[0].digest() == known[1].digest() != 0
     assert [len(view) for view in known] == [1, 1]
@@ -355,5 +355,5 @@
         for n in range(quarantine.MAX_CONTENTS + 500)
     )
     assert kept == quarantine.MAX_CONTENTS
-    known.forget(now_ms=10 * quarantine.QUARANTINE_MS)
+    known.expire(now_ms=10 * quarantine.QUARANTINE_MS)
     assert len(known) == 0
