--- a/src/godwittack/core/dispatching.py
+++ b/src/godwittack/core/dispatching.py
@@ -129,7 +129,7 @@
     )
     _open(world, request, attempt)
     server.sent[attempt_id] = attempt
-    rate_limits.sent(world, server)
+    rate_limits.record_dispatch(world, server)
     if server.ejected_until_ms:
         server.trial_attempt = attempt_id
     keys = sending.cached_keys(request, server)
--- a/src/godwittack/core/entities.py
+++ b/src/godwittack/core/entities.py
@@ -291,7 +291,7 @@
     right_until_ms: int = 0
     stopping: bool = False
     stopped: bool = False
-    weights_named: dict[str, list[weights.Naming]] = dataclasses.field(
+    weights_named: dict[str, list[weights.DesiredVersion]] = dataclasses.field(
         default_factory=dict
     )
     most_daemons: int = 1
--- a/src/godwittack/core/placing.py
+++ b/src/godwittack/core/placing.py
@@ -150,9 +150,9 @@
     # them ends well: sending it its full share could fail all of them.
     if server.ejected_until_ms and server.trial_attempt:
         return False
-    if not rate_limits.has_room(world, server):
+    if not rate_limits.has_capacity(world, server):
         return False
-    if weights.too_old(world, server) or weights.unknown(world, server):
+    if weights.are_too_old(world, server) or weights.are_unknown(world, server):
         return False
     # Without a report the engine's incarnation and weights are not known, and
     # an answer could not be checked against them.
--- a/src/godwittack/core/rate_limits.py
+++ b/src/godwittack/core/rate_limits.py
@@ -18,20 +18,22 @@
 
 # Pause between two accounts of a limit that stays as it is, by any daemon. It
 # bounds how long one that missed the first stays unaware.
-TELL_EVERY_MS = 1_000
+ANNOUNCE_INTERVAL_MS = 1_000
 # Part by which a limit must change to be told at once.
-CHANGED_PART = 0.1
-LEAST_RETRY_MS = 100
-MOST_RETRY_MS = 5_000
+MIN_CHANGE_RATIO = 0.1
+MIN_RETRY_MS = 100
+MAX_RETRY_MS = 5_000
 
 
-def echoed(world: entities.World, told: server_inputs.RateLimitEchoed) -> None:
+def apply_echoed_limit(
+    world: entities.World, told: server_inputs.RateLimitEchoed
+) -> None:
     """Takes in what an answer of the server said."""
     server = world.servers.get(told.server_id)
     if server is None:
         return
     is_news = _take(world, server, told.limit_per_s, told.at_ms, "server")
-    is_due = world.now_ms - server.limit_shared_ms >= TELL_EVERY_MS
+    is_due = world.now_ms - server.limit_shared_ms >= ANNOUNCE_INTERVAL_MS
     if not is_news and (told.limit_per_s is None or not is_due):
         return
     server.limit_shared_ms = world.now_ms
@@ -46,7 +48,7 @@
     )
 
 
-def told_by_peer(
+def apply_peer_update(
     world: entities.World, told: server_inputs.RateLimitTold
 ) -> None:
     """Takes in what another daemon heard from the server."""
@@ -59,7 +61,7 @@
     _take(world, server, told.limit_per_s, told.at_ms - told.age_ms, "peer")
 
 
-def deal_all(world: entities.World) -> None:
+def recompute_shares(world: entities.World) -> None:
     """Works all parts out anew, as daemons come and go."""
     for server in world.servers.values():
         if server.limit is not None:
@@ -72,13 +74,13 @@
     return server is not None and server.limit is not None
 
 
-def has_room(world: entities.World, server: entities.ServerRow) -> bool:
+def has_capacity(world: entities.World, server: entities.ServerRow) -> bool:
     """Returns whether a request may be sent to a server now."""
     limit = server.limit
     return limit is None or limit.wait_ms(now_ms=world.now_ms) <= 0
 
 
-def sent(world: entities.World, server: entities.ServerRow) -> None:
+def record_dispatch(world: entities.World, server: entities.ServerRow) -> None:
     """Counts a request sent to a server."""
     if server.limit is not None:
         server.limit.take(now_ms=world.now_ms)
@@ -96,8 +98,8 @@
     if not limits:
         return 0
     waits_ms = (limit.wait_ms(now_ms=world.now_ms) for limit in limits)
-    wait_ms = min(min(waits_ms), MOST_RETRY_MS)
-    return max(LEAST_RETRY_MS, math.ceil(wait_ms))
+    wait_ms = min(min(waits_ms), MAX_RETRY_MS)
+    return max(MIN_RETRY_MS, math.ceil(wait_ms))
 
 
 def _take(
@@ -145,7 +147,7 @@
 def _is_news(before: float | None, per_s: float | None) -> bool:
     if before is None or per_s is None:
         return True
-    return abs(per_s - before) > CHANGED_PART * before
+    return abs(per_s - before) > MIN_CHANGE_RATIO * before
 
 
 def _deal(
@@ -167,11 +169,11 @@
 
 
 __all__ = [
-    "deal_all",
-    "echoed",
-    "has_room",
+    "recompute_shares",
+    "apply_echoed_limit",
+    "has_capacity",
     "is_limited",
     "retry_after_ms",
-    "sent",
-    "told_by_peer",
+    "record_dispatch",
+    "apply_peer_update",
 ]
--- a/src/godwittack/core/router.py
+++ b/src/godwittack/core/router.py
@@ -112,9 +112,9 @@
             case server_inputs.LoadEchoed():
                 servers.apply_echoed_load(world, told)
             case server_inputs.RateLimitEchoed():
-                rate_limits.echoed(world, told)
+                rate_limits.apply_echoed_limit(world, told)
             case server_inputs.RateLimitTold():
-                rate_limits.told_by_peer(world, told)
+                rate_limits.apply_peer_update(world, told)
             case server_inputs.CacheDigest():
                 servers.apply_cache_digest(world, told)
             case server_inputs.ServerListed():
@@ -141,7 +141,7 @@
                 # Peers, lagging replicas and the object store's copy may all
                 # bring an older table than the one in force here.
                 if told.table.version > world.table.version:
-                    weights.named(world, told)
+                    weights.record_desired_versions(world, told)
                     world.table = told.table
             case server_inputs.PeerDispatched():
                 backlog.peer_dispatched(world, told)
@@ -160,7 +160,7 @@
                 world.shares.live = world.live_daemons
                 world.shares.groups.clear()
                 world.carriers = frozenset(told.carriers) or world.live_daemons
-                rate_limits.deal_all(world)
+                rate_limits.recompute_shares(world)
             case inputs.RightToServe():
                 held = told.until_ms > world.now_ms
                 if world.right_to_serve != held:
--- a/src/godwittack/core/sourcing.py
+++ b/src/godwittack/core/sourcing.py
@@ -202,7 +202,7 @@
     first_token_ms = wait + compute_ms + copy_ms
     pressure_ms = copied * us_per_token * COPY_PRESSURE_PART / 1000
     cost = first_token_ms + reread_ms + pressure_ms
-    cost += weights.cost_ms(world, server)
+    cost += weights.outdated_cost_ms(world, server)
     if is_home and known < max(shared, 1):
         cost -= HOME_MS
     return Placed(
--- a/src/godwittack/core/weights.py
+++ b/src/godwittack/core/weights.py
@@ -10,18 +10,20 @@
 
 # Namings of one model that are remembered; servers with older weights are too
 # old by far.
-MOST_NAMED = 16
+MAX_KNOWN_VERSIONS = 16
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Naming:
+class DesiredVersion:
     """A version of weights, and the earliest time at which it was named."""
 
     version: str
     at_ms: int
 
 
-def named(world: entities.World, told: inputs.TableChanged) -> None:
+def record_desired_versions(
+    world: entities.World, told: inputs.TableChanged
+) -> None:
     """Notes when newer weights than those in force are named."""
     at_ms = _earliest_ms(world, told.newest_before_ms)
     for name, row in told.table.models.items():
@@ -30,8 +32,8 @@
             continue
         known = world.weights_named.setdefault(name, [])
         named_ms = _longest_ago_ms(world) if before is None else at_ms
-        known.append(Naming(row.weights_version, named_ms))
-        del known[:-MOST_NAMED]
+        known.append(DesiredVersion(row.weights_version, named_ms))
+        del known[:-MAX_KNOWN_VERSIONS]
 
 
 def _earliest_ms(world: entities.World, newest_before_ms: int | None) -> int:
@@ -60,7 +62,7 @@
     return world.now_ms - world.policy.old_weights_limit_ms * 3 // 4
 
 
-def too_old(world: entities.World, server: entities.ServerRow) -> bool:
+def are_too_old(world: entities.World, server: entities.ServerRow) -> bool:
     """Returns whether a server's weights are too old for new work.
 
     A server that was away while weights were loaded comes back with those it
@@ -68,10 +70,10 @@
     operators have taken out of use.
     """
     limit_ms = world.policy.old_weights_limit_ms
-    return limit_ms > 0 and old_for_ms(world, server) >= limit_ms
+    return limit_ms > 0 and outdated_for_ms(world, server) >= limit_ms
 
 
-def unknown(world: entities.World, server: entities.ServerRow) -> bool:
+def are_unknown(world: entities.World, server: entities.ServerRow) -> bool:
     """Returns whether an engine's entry tells no weights.
 
     Nothing could be expected of its answer, nor be kept apart in a cache.
@@ -81,14 +83,16 @@
     return routed and is_engine and not server.weights_version
 
 
-def cost_ms(world: entities.World, server: entities.ServerRow) -> float:
+def outdated_cost_ms(
+    world: entities.World, server: entities.ServerRow
+) -> float:
     """Returns what a server's old weights add to the cost of choosing it."""
-    if old_for_ms(world, server) < world.policy.old_weights_from_ms:
+    if outdated_for_ms(world, server) < world.policy.old_weights_from_ms:
         return 0.0
     return float(world.policy.old_weights_cost_ms)
 
 
-def old_for_ms(world: entities.World, server: entities.ServerRow) -> int:
+def outdated_for_ms(world: entities.World, server: entities.ServerRow) -> int:
     """Returns for how long newer weights are named; -1 if none are.
 
     Each naming counts by itself: one that follows before the one before it is
@@ -103,14 +107,16 @@
     return -1
 
 
-def oldest_ms(world: entities.World, target: str) -> int:
+def longest_outdated_ms(world: entities.World, target: str) -> int:
     """Returns for how long the oldest weights of a target are replaced.
 
     Returns:
         Milliseconds since newer ones were named; -1 if all have the newest.
     """
     servers = world.servers_by_target.get(target, {}).values()
-    return max((old_for_ms(world, server) for server in servers), default=-1)
+    return max(
+        (outdated_for_ms(world, server) for server in servers), default=-1
+    )
 
 
 def is_newer(version: str, than: str) -> bool:
@@ -124,12 +130,12 @@
 
 
 __all__ = [
-    "Naming",
-    "cost_ms",
+    "DesiredVersion",
+    "outdated_cost_ms",
     "is_newer",
-    "named",
-    "old_for_ms",
-    "oldest_ms",
-    "too_old",
-    "unknown",
+    "record_desired_versions",
+    "outdated_for_ms",
+    "longest_outdated_ms",
+    "are_too_old",
+    "are_unknown",
 ]
--- a/src/godwittack/daemon/model_state.py
+++ b/src/godwittack/daemon/model_state.py
@@ -26,8 +26,8 @@
             weights_version=row.weights_version,
             busy=row.running + row.waiting + len(row.sent),
             is_reachable=row.ejected_until_ms <= world.now_ms,
-            old_for_ms=weights.old_for_ms(world, row),
-            gets_work=not weights.too_old(world, row),
+            old_for_ms=weights.outdated_for_ms(world, row),
+            gets_work=not weights.are_too_old(world, row),
         )
         for row in world.servers_by_target[model].values()
         if _may_load(row)
@@ -54,8 +54,8 @@
     wait_ms = mean_wait_ms(world, model)
     return rollout_log.PaceInputs(
         wanted=wanted,
-        oldest_ms=weights.oldest_ms(world, model),
-        too_old=sum(weights.too_old(world, row) for row in servers),
+        oldest_ms=weights.longest_outdated_ms(world, model),
+        too_old=sum(weights.are_too_old(world, row) for row in servers),
         wait_ms=wait_ms,
         is_pressed=wait_ms > PRESSED_MS,
     )
@@ -73,7 +73,7 @@
         for row in world.servers_by_target[model].values()
         if not row.leaving
         and max(row.ejected_until_ms, row.draining_until_ms) <= world.now_ms
-        and not weights.too_old(world, row)
+        and not weights.are_too_old(world, row)
     ]
     return sum(waits) / len(waits) if waits else 0.0
 
--- a/src/godwittack/metric/meters.py
+++ b/src/godwittack/metric/meters.py
@@ -127,11 +127,14 @@
         "godwittack_live_daemons": lambda: len(world.live_daemons),
         "godwittack_unstored_outcomes": lambda: len(world.outcomes),
         "godwittack_weights_oldest_ms": lambda: max(
-            (weights.oldest_ms(world, name) for name in world.table.models),
+            (
+                weights.longest_outdated_ms(world, name)
+                for name in world.table.models
+            ),
             default=-1,
         ),
         "godwittack_servers_behind": lambda: sum(
-            weights.old_for_ms(world, server) >= 0
+            weights.outdated_for_ms(world, server) >= 0
             for server in world.servers.values()
         ),
         "godwittack_cpu_seconds": _cpu_seconds,
--- a/tests/sim/large_fleets.py
+++ b/tests/sim/large_fleets.py
@@ -206,7 +206,7 @@
         world = self.core.world
         row = world.servers[name]
         free_ms = max(row.draining_until_ms, row.ejected_until_ms)
-        return free_ms <= world.now_ms and not weights.too_old(world, row)
+        return free_ms <= world.now_ms and not weights.are_too_old(world, row)
 
     def tick(self, ticks: int) -> None:
         """Hears of time, namings, waiting prompts and engines."""
