--- a/bench/limits.py
+++ b/bench/limits.py
@@ -65,7 +65,7 @@
             for name in sorted(self.live):
                 self._arrive(name, demand_per_s[name] / 100, kind)
         for name in self.live:
-            self.shares[name].measure(self.now_ms)
+            self.shares[name].update_demand(self.now_ms)
         if self.now_ms % GOSSIP_MS == 0:
             self._gossip()
 
@@ -83,7 +83,7 @@
     def notice(self, name: str) -> None:
         """Tells the others that a daemon is gone."""
         for other in self.live:
-            self.shares[other].peer_gone(name)
+            self.shares[other].forget_peer(name)
             self.shares[other].live = frozenset(self.live)
 
     def in_flight(self) -> int:
@@ -96,16 +96,16 @@
     def _arrive(self, name: str, mean: float, kind: str) -> None:
         share = self.shares[name]
         for _ in range(_poisson(self.rng, mean)):
-            share.arrived(CELL)
+            share.record_arrival(CELL)
             if kind == "rate":
-                taken = share.take_rate(
+                taken = share.take_rate_token(
                     CELL, limit_per_s=RATE_LIMIT, now_ms=self.now_ms
                 )
                 self.accepted += taken
                 continue
-            if not share.room(CELL, limit=LIMIT):
+            if not share.allows_request(CELL, limit=LIMIT):
                 continue
-            share.began(CELL)
+            share.record_start(CELL)
             ends_ms = self.now_ms + int(self.rng.expovariate(1 / SERVICE_MS))
             self.count += 1
             heapq.heappush(self.done, (ends_ms, self.count, name))
@@ -113,16 +113,16 @@
     def _finish(self) -> None:
         while self.done and self.done[0][0] <= self.now_ms:
             _, _, name = heapq.heappop(self.done)
-            self.shares[name].ended(CELL)
+            self.shares[name].record_end(CELL)
 
     def _gossip(self) -> None:
         for teller in self.live - self.cut:
             use = self.shares[teller].cells[CELL]
             for hearer in self.live - self.cut - {teller}:
-                self.shares[hearer].peer_told(
+                self.shares[hearer].record_peer_demand(
                     daemon=teller,
                     cell=CELL,
-                    wanted=use.wanted,
+                    demand=use.demand,
                     rate_per_s=use.rate_per_s,
                 )
 
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -320,7 +320,7 @@
         live = tuple(sorted(core.world.daemon for core in self.cores))
         for teller, core in enumerate(self.cores):
             told = tuple(
-                inputs.CellDemand(c, u.wanted, u.rate_per_s)
+                inputs.CellDemand(c, u.demand, u.rate_per_s)
                 for c, u in core.world.shares.cells.items()
             )
             for hearer in range(len(self.cores)):
--- a/src/godwittack/core/admission.py
+++ b/src/godwittack/core/admission.py
@@ -59,7 +59,7 @@
         return
     world.requests[request.request_id] = request
     for cell in request.cells:
-        world.shares.began(cell)
+        world.shares.record_start(cell)
     retries.earn(world, asked.target)
     world.spill_budget.earn()
     placing.note_demand(world, request)
@@ -168,9 +168,9 @@
         return True
     splitting.note(world, request)
     for cell in limits:
-        world.shares.arrived(cell)
+        world.shares.record_arrival(cell)
     for cell, limit in limits.items():
-        if not world.shares.room(cell, limit=limit):
+        if not world.shares.allows_request(cell, limit=limit):
             _turn_away(
                 world,
                 request.request_id,
@@ -183,7 +183,9 @@
             return False
     rate = workspace.max_requests_per_s
     cell = splitting.workspace_cell(workspace)
-    if world.shares.take_rate(cell, limit_per_s=rate, now_ms=world.now_ms):
+    if world.shares.take_rate_token(
+        cell, limit_per_s=rate, now_ms=world.now_ms
+    ):
         return True
     _turn_away(
         world,
--- a/src/godwittack/core/closing.py
+++ b/src/godwittack/core/closing.py
@@ -148,9 +148,9 @@
     world.requests.pop(request.request_id, None)
     if request.phase is entities.Phase.QUEUED:
         queue = world.queues[request.work.target][request.queue_rank]
-        queue.drop(request.request_id)
+        queue.remove(request.request_id)
     for cell in request.cells:
-        world.shares.ended(cell)
+        world.shares.record_end(cell)
     world.freed_targets.add(request.work.target)
     world.emit(effects.Forget(request.request_id))
 
--- a/src/godwittack/core/dispatching.py
+++ b/src/godwittack/core/dispatching.py
@@ -37,7 +37,7 @@
     wait_ms = 0.0
     if must_hold:
         slots_ms = turns.slots_wait_ms(world, request.work.target, before)
-        ahead = queue.ahead(request.workspace)
+        ahead = queue.count_ahead(request.workspace)
         turns_ms = turns.wait_ms(world, request.work.target, rank, before=ahead)
         wait_ms = max(slots_ms, turns_ms)
     if not _meets_deadline(world, request, choice, wait_ms):
@@ -274,7 +274,7 @@
         if choice.first_token_ms > request.begin_by_ms - world.now_ms:
             refusing.late(world, request, choice.wait_ms)
             continue
-        queue.take(waiting)
+        queue.dequeue(waiting)
         turns.taken(
             world,
             request.work.target,
--- a/src/godwittack/core/placing.py
+++ b/src/godwittack/core/placing.py
@@ -183,7 +183,7 @@
             if not attempt.opened:
                 unseen_tokens += attempt.expected_tokens
     # The other daemons have sent as well and not been seen either.
-    others = world.shares.rate_ratio(model_cell(server.target))
+    others = world.shares.arrival_ratio(model_cell(server.target))
     in_flight += round(unseen * others)
     tokens += unseen_tokens * others
     backlog_ms = max(0.0, tokens * us_per_token / 1000 - since_ms)
@@ -228,7 +228,7 @@
 def note_demand(world: entities.World, request: entities.RequestRow) -> None:
     """Counts the request's levels, once a request."""
     target = request.work.target
-    world.shares.arrived(model_cell(target))
+    world.shares.record_arrival(model_cell(target))
     for level in request.work.levels:
         if not world.heat.knows(level.key):
             break
--- a/src/godwittack/core/rate_limits.py
+++ b/src/godwittack/core/rate_limits.py
@@ -121,7 +121,7 @@
         world.freed_targets.add(server.target)
     elif server.limit is None:
         server.limit = advertised.AdvertisedLimit(
-            per_s=per_s, filled_at_ms=world.now_ms
+            per_s=per_s, refilled_at_ms=world.now_ms
         )
         _deal(world, server, server.limit)
     else:
@@ -136,7 +136,7 @@
         server=server.server_id,
         per_s=_shown(per_s),
         before=_shown(before),
-        part_per_s=round(server.limit.part_per_s, 3) if server.limit else 0,
+        part_per_s=round(server.limit.share_per_s, 3) if server.limit else 0,
         carriers=len(world.carriers),
         source=source,
         age_ms=world.now_ms - heard_ms,
@@ -157,9 +157,9 @@
 ) -> None:
     # A daemon that has yet to meet the others would take the whole for its own.
     is_unmet = world.known_daemons > 1 and not world.has_met_others
-    limit.deal(
+    limit.assign_share(
         server_id=server.server_id,
-        own=world.daemon,
+        own_daemon=world.daemon,
         daemons=() if is_unmet else world.carriers,
     )
 
--- a/src/godwittack/core/resuming.py
+++ b/src/godwittack/core/resuming.py
@@ -47,7 +47,7 @@
     world.requests[request.request_id] = request
     request.cells = tuple(splitting.limits(world, request, workspace))
     for cell in request.cells:
-        world.shares.began(cell)
+        world.shares.record_start(cell)
     server = world.servers.get(told.server_id)
     if workspace.name != told.stamp.workspace or server is None:
         _refuse(world, request, server is None)
--- a/src/godwittack/core/retries.py
+++ b/src/godwittack/core/retries.py
@@ -51,7 +51,7 @@
     shared = _shared_budget(world, target)
     return {
         "tokens": round(shared.tokens, 2),
-        "part": round(shared.part, 2),
+        "part": round(shared.share, 2),
         "daemons": world.most_daemons,
         "live": len(world.live_daemons),
         "known": world.known_daemons,
@@ -109,7 +109,7 @@
             ratio=policy.retry_ratio,
             saved_ratio=policy.retry_saved_ratio,
             window_ms=policy.retry_window_ms,
-            part=part,
+            share=part,
             granted_at_ms=world.started_at_ms + policy.retry_window_ms,
         )
     found.resize(part)
--- a/src/godwittack/core/router.py
+++ b/src/godwittack/core/router.py
@@ -172,7 +172,7 @@
 
     def _tick(self) -> None:
         world = self.world
-        world.shares.measure(world.now_ms)
+        world.shares.update_demand(world.now_ms)
         outcomes.retry_due(world)
         attempts.reply_unstored(world)
         doubt.check(world)
@@ -192,15 +192,15 @@
     def _peer_demand(self, told: inputs.PeerDemand) -> None:
         shares = self.world.shares
         if not told.alive:
-            shares.peer_gone(told.daemon_id)
+            shares.forget_peer(told.daemon_id)
             return
         # A cell that is not named any more has no demand there any more.
-        shares.peer_gone(told.daemon_id)
+        shares.forget_peer(told.daemon_id)
         for cell in told.cells:
-            shares.peer_told(
+            shares.record_peer_demand(
                 daemon=told.daemon_id,
                 cell=cell.cell,
-                wanted=cell.wanted,
+                demand=cell.wanted,
                 rate_per_s=cell.rate_per_s,
             )
 
--- a/src/godwittack/daemon/demand.py
+++ b/src/godwittack/daemon/demand.py
@@ -38,7 +38,7 @@
     told: dict[str, list[inputs.CellDemand]] = collections.defaultdict(list)
     for demand in demands:
         cell = demand.cell
-        for name in shares.groups[cell] | shares.told[cell].keys():
+        for name in shares.groups[cell] | shares.reported[cell].keys():
             told[name].append(demand)
     return told
 
--- a/src/godwittack/daemon/news.py
+++ b/src/godwittack/daemon/news.py
@@ -312,7 +312,7 @@
         rounded = (
             inputs.CellDemand(
                 name,
-                round(use.wanted, 1),
+                round(use.demand, 1),
                 demand.rounded_rate(name, use.rate_per_s),
             )
             for name, use in cells.items()
--- a/src/godwittack/limit/advertised.py
+++ b/src/godwittack/limit/advertised.py
@@ -19,9 +19,9 @@
     from collections.abc import Iterable
 
 # Holders of the smallest rate. Each request a second adds one.
-LEAST_HOLDERS = 3
+MIN_HOLDERS = 3
 # Below it nobody would learn for long that a server names a limit no more.
-LEAST_RATE_PER_S = 0.2
+MIN_RATE_PER_S = 0.2
 BURST = 1.0
 
 
@@ -31,38 +31,40 @@
 
     Attributes:
         per_s: Requests a second from all daemons together.
-        part_per_s: This daemon's part; 0 for one that holds none.
+        share_per_s: This daemon's part; 0 for one that holds none.
         tokens: Requests that it may send at once.
-        filled_at_ms: Up to when tokens are counted.
+        refilled_at_ms: Up to when tokens are counted.
     """
 
     per_s: float
-    filled_at_ms: int
-    part_per_s: float = 0.0
+    refilled_at_ms: int
+    share_per_s: float = 0.0
     tokens: float = 0.0
 
-    def deal(self, *, server_id: str, own: str, daemons: Iterable[str]) -> None:
+    def assign_share(
+        self, *, server_id: str, own_daemon: str, daemons: Iterable[str]
+    ) -> None:
         """Works this daemon's part out.
 
         Args:
             server_id: The server that named the limit.
-            own: This daemon.
+            own_daemon: This daemon.
             daemons: Those that send requests, this one included or not.
         """
         names = tuple(sorted(daemons))
-        count = min(len(names), LEAST_HOLDERS + math.floor(self.per_s))
-        held = own in duty.rank(f"limit/{server_id}", names)[:count]
-        rate_per_s = max(self.per_s, LEAST_RATE_PER_S)
-        self.part_per_s = rate_per_s / count if held else 0.0
+        count = min(len(names), MIN_HOLDERS + math.floor(self.per_s))
+        held = own_daemon in duty.rank(f"limit/{server_id}", names)[:count]
+        rate_per_s = max(self.per_s, MIN_RATE_PER_S)
+        self.share_per_s = rate_per_s / count if held else 0.0
 
     def wait_ms(self, *, now_ms: int) -> float:
         """Returns how long until a request may be sent; infinity for never."""
         self._fill(now_ms)
         if self.tokens >= BURST:
             return 0.0
-        if self.part_per_s <= 0:
+        if self.share_per_s <= 0:
             return math.inf
-        return (BURST - self.tokens) / self.part_per_s * 1000
+        return (BURST - self.tokens) / self.share_per_s * 1000
 
     def take(self, *, now_ms: int) -> None:
         """Counts a request that is sent."""
@@ -70,9 +72,9 @@
         self.tokens -= 1.0
 
     def _fill(self, now_ms: int) -> None:
-        gained = (now_ms - self.filled_at_ms) * self.part_per_s / 1000
+        gained = (now_ms - self.refilled_at_ms) * self.share_per_s / 1000
         self.tokens = min(BURST, self.tokens + gained)
-        self.filled_at_ms = now_ms
+        self.refilled_at_ms = now_ms
 
 
 __all__ = ["AdvertisedLimit"]
--- a/src/godwittack/limit/budget.py
+++ b/src/godwittack/limit/budget.py
@@ -52,7 +52,7 @@
         ratio: Tokens earned a request below the own part.
         saved_ratio: Tokens saved a request at the own part.
         window_ms: Time after which savings are forgotten.
-        part: This daemon's part of the burst.
+        share: This daemon's part of the burst.
         granted_at_ms: When the process has run for a window.
         tokens: Tokens left.
         saved: Savings of the current half of a window and the one before.
@@ -61,7 +61,7 @@
     ratio: float
     saved_ratio: float
     window_ms: int
-    part: float
+    share: float
     granted_at_ms: int = 0
     tokens: float = 0.0
     saved: tuple[float, float] = (0.0, 0.0)
@@ -69,9 +69,9 @@
     _earned_before: float = 0.0
     _half: int = 0
 
-    def resize(self, part: float) -> None:
+    def resize(self, share: float) -> None:
         """Takes another part, as daemons come or go."""
-        self.part = part
+        self.share = share
         self.tokens = min(self.tokens, self._most())
 
     def earn(self, *, now_ms: int) -> None:
@@ -103,14 +103,14 @@
         return True
 
     def _most(self) -> float:
-        return self.part if self._is_granted else min(self.part, 1.0)
+        return self.share if self._is_granted else min(self.share, 1.0)
 
     def _grant(self, now_ms: int) -> None:
         if self._is_granted or now_ms < self.granted_at_ms:
             return
         self._is_granted = True
-        granted = max(0.0, self.part - self._earned_before)
-        self.tokens = min(self.part, self.tokens + granted)
+        granted = max(0.0, self.share - self._earned_before)
+        self.tokens = min(self.share, self.tokens + granted)
 
     def _forget(self, now_ms: int) -> None:
         half = now_ms * 2 // self.window_ms
--- a/src/godwittack/limit/fair.py
+++ b/src/godwittack/limit/fair.py
@@ -7,7 +7,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Waiting:
+class QueuedRequest:
     """One request held back.
 
     Attributes:
@@ -26,7 +26,7 @@
     """Orders requests of one target by weighted virtual finish time."""
 
     virtual_time: float = 0.0
-    _lines: dict[str, collections.deque[Waiting]] = dataclasses.field(
+    _lines: dict[str, collections.deque[QueuedRequest]] = dataclasses.field(
         default_factory=lambda: collections.defaultdict(collections.deque)
     )
     _last_tag: dict[str, float] = dataclasses.field(default_factory=dict)
@@ -39,7 +39,9 @@
         start = max(self.virtual_time, self._last_tag.get(workspace, 0.0))
         tag = start + cost / weight
         self._last_tag[workspace] = tag
-        self._lines[workspace].append(Waiting(request_id, workspace, tag, cost))
+        self._lines[workspace].append(
+            QueuedRequest(request_id, workspace, tag, cost)
+        )
         self._cost += cost
 
     def charge(self, *, workspace: str, weight: float, cost: float) -> None:
@@ -47,14 +49,14 @@
         start = max(self.virtual_time, self._last_tag.get(workspace, 0.0))
         self._last_tag[workspace] = start + cost / weight
 
-    def heads(self) -> list[Waiting]:
+    def heads(self) -> list[QueuedRequest]:
         """Returns each workspace's oldest request, fairest first."""
         return sorted(
             (line[0] for line in self._lines.values() if line),
             key=lambda waiting: (waiting.finish_tag, waiting.request_id),
         )
 
-    def take(self, waiting: Waiting) -> None:
+    def dequeue(self, waiting: QueuedRequest) -> None:
         """Removes a request that goes out, and moves virtual time."""
         self.virtual_time = max(
             self.virtual_time, waiting.finish_tag - waiting.cost
@@ -64,7 +66,7 @@
         self._cost -= waiting.cost
         self._tidy(waiting.workspace)
 
-    def drop(self, request_id: str) -> None:
+    def remove(self, request_id: str) -> None:
         """Removes a request wherever it stands."""
         for workspace, line in list(self._lines.items()):
             for waiting in list(line):
@@ -73,7 +75,7 @@
                     self._cost -= waiting.cost
             self._tidy(workspace)
 
-    def ahead(self, workspace: str) -> int:
+    def count_ahead(self, workspace: str) -> int:
         """Returns how many go out before a further request of a workspace."""
         own = len(self._lines.get(workspace, ()))
         return sum(min(len(line), own + 1) for line in self._lines.values())
@@ -98,4 +100,4 @@
         return sum(len(line) for line in self._lines.values())
 
 
-__all__ = ["FairQueue", "Waiting"]
+__all__ = ["FairQueue", "QueuedRequest"]
--- a/src/godwittack/limit/shares.py
+++ b/src/godwittack/limit/shares.py
@@ -15,9 +15,9 @@
 SMOOTHING = 0.35
 # Windows for which a larger share must have stood before it is used: by then
 # every other daemon has heard the figures and taken back its own.
-GROWTH_WINDOWS = 1
+GROWTH_DELAY_WINDOWS = 1
 # Part of the free room that is split evenly; the rest follows demand.
-EVEN_PART = 0.5
+EVEN_SPLIT_RATIO = 0.5
 # Seconds of its rate that a daemon may let through at once.
 BURST_S = 0.25
 NO_SHARE_WAIT_MS = 5_000
@@ -25,7 +25,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class CellUse:
+class CellUsage:
     """This daemon's own use of one limited cell.
 
     Attributes:
@@ -33,7 +33,7 @@
         peak: Most that ran at one time in the current window.
         refused: Requests refused for this cell in the current window.
         arrivals: Requests that arrived in the current window.
-        wanted: Requests running or refused, as told to the others.
+        demand: Requests running or refused, as told to the others.
         rate_per_s: Requests arriving a second, as told to the others.
         tokens: Requests that the rate still lets through at once.
     """
@@ -42,17 +42,17 @@
     peak: int = 0
     refused: int = 0
     arrivals: int = 0
-    wanted: float = 0.0
+    demand: float = 0.0
     rate_per_s: float = 0.0
     tokens: float = 0.0
     refilled_at_ms: int = -1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Told:
+class ReportedDemand:
     """What one daemon last said of one cell."""
 
-    wanted: float
+    demand: float
     rate_per_s: float
 
 
@@ -75,10 +75,10 @@
 
     daemon: str = ""
     live: frozenset[str] = frozenset()
-    cells: dict[str, CellUse] = dataclasses.field(
-        default_factory=lambda: collections.defaultdict(CellUse)
+    cells: dict[str, CellUsage] = dataclasses.field(
+        default_factory=lambda: collections.defaultdict(CellUsage)
     )
-    told: dict[str, dict[str, Told]] = dataclasses.field(
+    reported: dict[str, dict[str, ReportedDemand]] = dataclasses.field(
         default_factory=lambda: collections.defaultdict(dict)
     )
     groups: dict[str, set[str]] = dataclasses.field(
@@ -89,27 +89,27 @@
     _recent: dict[str, collections.deque[tuple[int, float]]] = (
         dataclasses.field(
             default_factory=lambda: collections.defaultdict(
-                lambda: collections.deque(maxlen=GROWTH_WINDOWS + 1)
+                lambda: collections.deque(maxlen=GROWTH_DELAY_WINDOWS + 1)
             )
         )
     )
 
-    def arrived(self, cell: str) -> None:
+    def record_arrival(self, cell: str) -> None:
         """Counts a request that wants to use the cell, allowed or not."""
         self.cells[cell].arrivals += 1
 
-    def began(self, cell: str) -> None:
+    def record_start(self, cell: str) -> None:
         """Counts a request now in flight."""
         use = self.cells[cell]
         use.in_flight += 1
         use.peak = max(use.peak, use.in_flight)
 
-    def ended(self, cell: str) -> None:
+    def record_end(self, cell: str) -> None:
         """Counts a request that left."""
         use = self.cells[cell]
         use.in_flight = max(0, use.in_flight - 1)
 
-    def room(self, cell: str, *, limit: int) -> bool:
+    def allows_request(self, cell: str, *, limit: int) -> bool:
         """Returns whether one more request may be in flight."""
         use = self.cells[cell]
         if use.in_flight < self._flight_share(cell, limit):
@@ -117,7 +117,9 @@
         use.refused += 1
         return False
 
-    def take_rate(self, cell: str, *, limit_per_s: float, now_ms: int) -> bool:
+    def take_rate_token(
+        self, cell: str, *, limit_per_s: float, now_ms: int
+    ) -> bool:
         """Takes one request from the rate share, or returns False."""
         use = self.cells[cell]
         share = self._rate_share(cell, limit_per_s)
@@ -141,10 +143,10 @@
         missing = 1.0 - self.cells[cell].tokens
         return min(NO_SHARE_WAIT_MS, math.ceil(missing / share * 1000))
 
-    def rate_ratio(self, cell: str) -> float:
+    def arrival_ratio(self, cell: str) -> float:
         """Returns the arrivals of all daemons over this one's, at least 1."""
         own = self.cells[cell].rate_per_s
-        told = self.told[cell]
+        told = self.reported[cell]
         if own <= 0.0 or not told:
             return 1.0
         everyone = sum(
@@ -152,21 +154,21 @@
         )
         return min(1.0 + everyone / own, float(max(1, len(self.live))))
 
-    def peer_told(
-        self, *, daemon: str, cell: str, wanted: float, rate_per_s: float
+    def record_peer_demand(
+        self, *, daemon: str, cell: str, demand: float, rate_per_s: float
     ) -> None:
         """Takes in a peer's demand."""
-        if wanted or rate_per_s:
-            self.told[cell][daemon] = Told(wanted, rate_per_s)
+        if demand or rate_per_s:
+            self.reported[cell][daemon] = ReportedDemand(demand, rate_per_s)
         else:
-            self.told[cell].pop(daemon, None)
+            self.reported[cell].pop(daemon, None)
 
-    def peer_gone(self, daemon: str) -> None:
+    def forget_peer(self, daemon: str) -> None:
         """Forgets a dead peer, so that its share returns to the others."""
-        for told in self.told.values():
+        for told in self.reported.values():
             told.pop(daemon, None)
 
-    def measure(self, now_ms: int) -> None:
+    def update_demand(self, now_ms: int) -> None:
         """Closes a demand window, where one is over; runs each tick."""
         span_ms = now_ms - self._window_from_ms
         if span_ms < WINDOW_MS:
@@ -177,14 +179,16 @@
             rate = use.arrivals * 1000 / span_ms
             use.rate_per_s += SMOOTHING * (rate - use.rate_per_s)
             wanted = float(use.peak + use.refused)
-            use.wanted += SMOOTHING * (wanted - use.wanted)
+            use.demand += SMOOTHING * (wanted - use.demand)
             use.arrivals = 0
             use.refused = 0
             use.peak = use.in_flight
-            self.told[cell][self.daemon] = Told(use.wanted, use.rate_per_s)
+            self.reported[cell][self.daemon] = ReportedDemand(
+                use.demand, use.rate_per_s
+            )
 
     def _flight_share(self, cell: str, limit: int) -> int:
-        wanted = {name: told.wanted for name, told in self._known(cell).items()}
+        wanted = {name: told.demand for name, told in self._known(cell).items()}
         exact = _split(float(limit), wanted)
         share = _whole(exact, limit)[self.daemon]
         return int(self._grown_late(cell, share))
@@ -203,12 +207,12 @@
             recent[-1] = (self._window, min(recent[-1][1], share))
         else:
             recent.append((self._window, share))
-        oldest = self._window - GROWTH_WINDOWS
+        oldest = self._window - GROWTH_DELAY_WINDOWS
         return min(value for window, value in recent if window >= oldest)
 
-    def _known(self, cell: str) -> dict[str, Told]:
-        told = self.told[cell]
-        none = Told(0.0, 0.0)
+    def _known(self, cell: str) -> dict[str, ReportedDemand]:
+        told = self.reported[cell]
+        none = ReportedDemand(0.0, 0.0)
         # Among hundreds of daemons few see a cell's requests; the rest would
         # each hold a part of its free room that nobody uses.
         everyone = len(self.live) <= duty.MESH_LIMIT
@@ -223,8 +227,8 @@
     if total > 0 and total >= limit:
         return {name: limit * d / total for name, d in demand.items()}
     free = limit - total
-    even = free * (EVEN_PART if total else 1.0) / len(demand)
-    by_demand = free * (1.0 - EVEN_PART) / total if total else 0.0
+    even = free * (EVEN_SPLIT_RATIO if total else 1.0) / len(demand)
+    by_demand = free * (1.0 - EVEN_SPLIT_RATIO) / total if total else 0.0
     return {
         name: wanted + even + by_demand * wanted
         for name, wanted in demand.items()
@@ -246,4 +250,4 @@
     return floors
 
 
-__all__ = ["CellUse", "Shares", "Told"]
+__all__ = ["CellUsage", "Shares", "ReportedDemand"]
--- a/tests/cases/fleet_bounds.py
+++ b/tests/cases/fleet_bounds.py
@@ -85,7 +85,7 @@
             ratio=0.15,
             saved_ratio=0.05,
             window_ms=window_ms,
-            part=part,
+            share=part,
             tokens=part,
         )
         for _ in range(DAEMONS)
--- a/tests/cases/peers.py
+++ b/tests/cases/peers.py
@@ -324,7 +324,7 @@
         shares=shares.Shares(daemon="d1"),
         table=types.SimpleNamespace(targets=()),
     )
-    world.shares.cells["workspace/desk"].wanted = 3.0
+    world.shares.cells["workspace/desk"].demand = 3.0
     told = newses.News(
         members=types.SimpleNamespace(me=me, live=lambda: [me, other]),
         runtime=types.SimpleNamespace(
--- a/tests/cases/rate_limits.py
+++ b/tests/cases/rate_limits.py
@@ -47,8 +47,10 @@
     }
     limits = {}
     for name in names:
-        limits[name] = advertised.AdvertisedLimit(per_s=per_s, filled_at_ms=0)
-        limits[name].deal(server_id="s", own=name, daemons=views[name])
+        limits[name] = advertised.AdvertisedLimit(per_s=per_s, refilled_at_ms=0)
+        limits[name].assign_share(
+            server_id="s", own_daemon=name, daemons=views[name]
+        )
     sent = []
     at_ms = 1.0
     while at_ms < 60_000:
@@ -216,9 +218,9 @@
     everyone = tuple(sorted([f"d{n}" for n in range(200)] + ["d"]))
     core.tell(inputs.MembersChanged, everyone, ("d", "d1"))
     _name_limit(core, "s1", 4.0)
-    assert core.world.servers["s1"].limit.part_per_s == 2.0
+    assert core.world.servers["s1"].limit.share_per_s == 2.0
     core.tell(inputs.MembersChanged, everyone, ("d1", "d2"))
-    assert core.world.servers["s1"].limit.part_per_s == 0.0
+    assert core.world.servers["s1"].limit.share_per_s == 0.0
     assert "s1" not in _sent_to(core, "release", 50)
 
 
@@ -227,12 +229,12 @@
     core = routed_core.Core()
     core.tell(inputs.MembersChanged, ("d",), ("d",), 4)
     _name_limit(core, "s1", 4.0)
-    assert core.world.servers["s1"].limit.part_per_s == 0.0
+    assert core.world.servers["s1"].limit.share_per_s == 0.0
     core.tell(inputs.MembersChanged, ("d", "d1"), ("d", "d1"), 4)
-    assert core.world.servers["s1"].limit.part_per_s == 2.0
+    assert core.world.servers["s1"].limit.share_per_s == 2.0
     # The others are gone: what is left of the fleet holds all of it.
     core.tell(inputs.MembersChanged, ("d",), ("d",), 4)
-    assert core.world.servers["s1"].limit.part_per_s == 4.0
+    assert core.world.servers["s1"].limit.share_per_s == 4.0
 
 
 def limits_that_cannot_be_read_change_nothing() -> None:
--- a/tests/features/steps/fleet_steps.py
+++ b/tests/features/steps/fleet_steps.py
@@ -120,7 +120,7 @@
 def untold(context):
     """Checks the figures that the others hold."""
     for daemon in context.fleet.alive():
-        told = daemon.runtime.core.world.shares.told[CELL]
+        told = daemon.runtime.core.world.shares.reported[CELL]
         assert daemon in context.fleet.users or not told, (daemon.name, told)
 
 
@@ -261,10 +261,10 @@
     use = world.shares.cells[CELL]
     splitting.note(world, _request())
     for _ in range(use.in_flight // 5):
-        world.shares.ended(CELL)
+        world.shares.record_end(CELL)
     for _ in range(wanted - use.in_flight):
-        if world.shares.room(CELL, limit=LIMIT):
-            world.shares.began(CELL)
+        if world.shares.allows_request(CELL, limit=LIMIT):
+            world.shares.record_start(CELL)
     daemon.runtime.submit(inputs.Tick(daemon.fleet.clock.now_ms()))
 
 
