--- a/src/godwittack/core/servers.py
+++ b/src/godwittack/core/servers.py
@@ -1,4 +1,4 @@
-"""Keeps the table of backend servers: lists, loads, caches, failures."""
+"""Updates the backend servers' rows: list, load, cache, failures."""
 
 from __future__ import annotations
 
@@ -18,174 +18,176 @@
     from godwittack.core import work
 
 
-# Time for which a server that reset a new connection counts as full.
+# Time for which a server that reset a new connection is considered full.
 FULL_AFTER_RESET_MS = 300
 
 
 def apply_list_entry(
-    world: entities.World, told: server_inputs.ServerListed
+    world: entities.World, entry: server_inputs.ServerListed
 ) -> None:
-    """Takes in an entry of the instance list."""
-    if told.gone:
-        _remove(world, told.server_id)
+    """Applies an entry of the instance list, or its removal."""
+    if entry.gone:
+        _remove(world, entry.server_id)
         return
-    server = world.servers.get(told.server_id)
-    if server and _is_of_earlier_start(server, told.incarnation):
+    server = world.servers.get(entry.server_id)
+    if server and _is_from_earlier_incarnation(server, entry.incarnation):
         return
     if server and (server.address, server.target) != (
-        told.address,
-        told.target,
+        entry.address,
+        entry.target,
     ):
-        _remove(world, told.server_id)
+        _remove(world, entry.server_id)
         server = None
     if server is None:
         server = entities.ServerRow(
-            server_id=told.server_id,
-            address=told.address,
-            target=told.target,
-            failure_domain=told.failure_domain,
+            server_id=entry.server_id,
+            address=entry.address,
+            target=entry.target,
+            failure_domain=entry.failure_domain,
         )
-        world.servers[told.server_id] = server
-        world.servers_by_target[told.target][told.server_id] = server
+        world.servers[entry.server_id] = server
+        world.servers_by_target[entry.target][entry.server_id] = server
         availability.apply_notice(world, server)
-    _take_listed_state(world, server, told)
-    # The list lags: it may still show a server as live that has said itself
-    # that it leaves. Only a new incarnation takes that back.
-    if told.leaving:
-        _leaves(world, told, server_inputs.Source.LIST)
+    _apply_listed_state(world, server, entry)
+    # The list lags: it may still show as live a server that has announced that
+    # it is leaving. Only a new incarnation revokes that.
+    if entry.leaving:
+        _record_leaving(world, entry, server_inputs.Source.LIST)
 
 
-def _take_listed_state(
+def _apply_listed_state(
     world: entities.World,
     server: entities.ServerRow,
-    told: server_inputs.ServerListed,
+    entry: server_inputs.ServerListed,
 ) -> None:
-    """Believes what the list says of a server, unless more is known.
+    """Applies the state in a list entry unless newer state is known.
 
-    The list lags behind a server's own reports: an older version there would
-    take back what an engine has said of itself since.
+    The list lags behind a server's own reports: an older version in it would
+    overwrite what the engine has reported since.
     """
-    if told.slots and not server.slots:
-        server.slots = told.slots
-    if not told.incarnation:
+    if entry.slots and not server.slots:
+        server.slots = entry.slots
+    if not entry.incarnation:
         return
-    restarted = incarnation.is_older(server.incarnation, told.incarnation)
-    newer = weights.is_newer(told.weights_version, server.weights_version)
+    restarted = incarnation.is_older(server.incarnation, entry.incarnation)
+    newer = weights.is_newer(entry.weights_version, server.weights_version)
     if server.incarnation and not restarted and not newer:
         return
-    _see_state(world, server, told.incarnation, told.weights_version)
+    _update_state(world, server, entry.incarnation, entry.weights_version)
     world.freed_targets.add(server.target)
 
 
 def apply_draining(
-    world: entities.World, told: server_inputs.ServerDraining
+    world: entities.World, draining: server_inputs.ServerDraining
 ) -> None:
-    """Keeps new work from a server until a time, for a load of weights."""
-    server = world.servers.get(told.server_id)
+    """Withholds new work from a server while it loads weights."""
+    server = world.servers.get(draining.server_id)
     if server is not None:
-        server.draining_until_ms = told.until_ms
+        server.draining_until_ms = draining.until_ms
 
 
 def apply_load_report(
-    world: entities.World, told: server_inputs.LoadReported
+    world: entities.World, report: server_inputs.LoadReported
 ) -> None:
-    """Takes in a load report unless a newer one is known."""
-    server = world.servers.get(told.server_id)
-    true_at_ms = told.at_ms - told.age_ms
-    if server is None or _is_of_earlier_start(server, told.incarnation):
+    """Applies a load report unless a newer one is known."""
+    server = world.servers.get(report.server_id)
+    measured_at_ms = report.at_ms - report.age_ms
+    if server is None or _is_from_earlier_incarnation(
+        server, report.incarnation
+    ):
         return
-    restarted = incarnation.is_older(server.incarnation, told.incarnation)
-    if true_at_ms < server.reported_at_ms and not restarted:
+    restarted = incarnation.is_older(server.incarnation, report.incarnation)
+    if measured_at_ms < server.reported_at_ms and not restarted:
         return
-    if not _is_outdated(world, server, told):
-        _see_state(world, server, told.incarnation, told.weights_version)
-    server.reported_at_ms = true_at_ms
-    server.running = told.running
-    server.waiting = told.waiting
-    server.waiting_tokens = told.waiting_tokens
-    server.prefill_us_per_token = told.prefill_us_per_token
-    server.slots = told.slots or server.slots
-    if told.leaving:
-        _leaves(world, told, server_inputs.Source.REPORT)
+    if not _is_outdated(world, server, report):
+        _update_state(world, server, report.incarnation, report.weights_version)
+    server.reported_at_ms = measured_at_ms
+    server.running = report.running
+    server.waiting = report.waiting
+    server.waiting_tokens = report.waiting_tokens
+    server.prefill_us_per_token = report.prefill_us_per_token
+    server.slots = report.slots or server.slots
+    if report.leaving:
+        _record_leaving(world, report, server_inputs.Source.REPORT)
     world.freed_targets.add(server.target)
 
 
 def _is_outdated(
     world: entities.World,
     server: entities.ServerRow,
-    told: server_inputs.LoadReported,
+    report: server_inputs.LoadReported,
 ) -> bool:
-    """Returns whether a report was made before the weights known here.
+    """Returns whether a report predates the weights known here.
 
-    Reports are some hundred milliseconds old, and the list may have told of
-    new weights since. Believed, an old one would have requests sent for
-    weights that are gone, and the same load ordered twice.
+    Reports are some hundred milliseconds old, and the list may have announced
+    new weights since. If an old one were applied, requests would be sent for
+    weights that are gone, and the same load would be ordered twice.
     """
     return (
         world.table.forwarding is not None
-        and server.incarnation == told.incarnation
-        and server.weights_version != told.weights_version
-        and not weights.is_newer(told.weights_version, server.weights_version)
+        and server.incarnation == report.incarnation
+        and server.weights_version != report.weights_version
+        and not weights.is_newer(report.weights_version, server.weights_version)
     )
 
 
 def apply_echoed_load(
-    world: entities.World, told: server_inputs.LoadEchoed
+    world: entities.World, load: server_inputs.LoadEchoed
 ) -> None:
-    """Takes in the load that came with an answer."""
-    server = world.servers.get(told.server_id)
+    """Applies the load that a server sent with an answer."""
+    server = world.servers.get(load.server_id)
     if server is None:
         return
-    server.reported_at_ms = told.at_ms
-    server.heard_at_ms = max(server.heard_at_ms, told.at_ms)
-    server.running = told.running
-    server.waiting = told.waiting
-    server.slots = told.slots or server.slots
+    server.reported_at_ms = load.at_ms
+    server.heard_at_ms = max(server.heard_at_ms, load.at_ms)
+    server.running = load.running
+    server.waiting = load.waiting
+    server.slots = load.slots or server.slots
     world.freed_targets.add(server.target)
 
 
 def apply_cache_digest(
-    world: entities.World, told: server_inputs.CacheDigest
+    world: entities.World, digest: server_inputs.CacheDigest
 ) -> None:
-    """Takes in what changed in an engine's cache."""
-    server = world.servers.get(told.server_id)
-    if server is None or server.incarnation != told.incarnation:
+    """Applies the changes in an engine's cache."""
+    server = world.servers.get(digest.server_id)
+    if server is None or server.incarnation != digest.incarnation:
         return
-    # Keys of routed requests' levels hold the weights' version themselves.
-    by_version = world.table.forwarding is None
-    if by_version and server.weights_version != told.weights_version:
+    # Level keys of routed requests include the version of the weights.
+    keys_lack_version = world.table.forwarding is None
+    if keys_lack_version and server.weights_version != digest.weights_version:
         return
     cache = server.cache
-    if told.cleared:
+    if digest.cleared:
         cache.clear()
-    for key in told.removed:
+    for key in digest.removed:
         cache.forget(key)
-    tokens = told.tokens or (0,) * len(told.stored)
-    for key, stored in zip(told.stored, tokens, strict=True):
+    tokens = digest.tokens or (0,) * len(digest.stored)
+    for key, stored_tokens in zip(digest.stored, tokens, strict=True):
         cache.note(
             key,
             now_ms=world.now_ms,
             limit=world.policy.max_residency,
-            tokens=stored,
+            tokens=stored_tokens,
         )
 
 
 def record_contact(world: entities.World, server_id: str) -> None:
-    """Notes that a server said something."""
+    """Records when this daemon last received something from a server."""
     server = world.servers.get(server_id)
     if server is not None:
         server.heard_at_ms = world.now_ms
 
 
 def apply_probe_result(
-    world: entities.World, told: server_inputs.ProbeAnswered
+    world: entities.World, result: server_inputs.ProbeAnswered
 ) -> None:
-    """Takes in whether a fresh connection to a server worked."""
-    server = world.servers.get(told.server_id)
+    """Applies the result of a probe over a new connection."""
+    server = world.servers.get(result.server_id)
     if server is None:
         return
-    if told.alive:
-        # Not 0: the next request is a trial.
+    if result.alive:
+        # Not 0, which would end the ejection: the next request is a trial.
         server.ejected_until_ms = world.now_ms
         world.freed_targets.add(server.target)
     else:
@@ -193,7 +195,7 @@
 
 
 def record_success(world: entities.World, attempt: entities.AttemptRow) -> None:
-    """Counts an attempt that ended well."""
+    """Resets the failure count after a successful attempt."""
     server = world.servers.get(attempt.server_id)
     if server is not None:
         server.failures = 0
@@ -203,95 +205,103 @@
 def record_failure(
     world: entities.World,
     attempt: entities.AttemptRow,
-    told: inputs.AttemptFailed,
+    failure: inputs.AttemptFailed,
 ) -> None:
-    """Counts an attempt that failed; refusals are no failures."""
+    """Counts a failed attempt; a refusal is not a failure."""
     server = world.servers.get(attempt.server_id)
     if server is None:
         return
-    if told.cause is inputs.FailureCause.REFUSED:
-        if told.phase is inputs.FailurePhase.CONNECT:
+    if failure.cause is inputs.FailureCause.REFUSED:
+        if failure.phase is inputs.FailurePhase.CONNECT:
             server.full_until_ms = world.now_ms + FULL_AFTER_RESET_MS
         return
-    if told.cause is inputs.FailureCause.OTHER_SERVER:
-        # Another process has its address: at this one it is gone for good.
+    if failure.cause is inputs.FailureCause.OTHER_SERVER:
+        # Another process has its address: the server won't return there.
         crashes.record_process_end(world, server)
-        _mark_gone_here(world, server)
+        _mark_gone_at_address(world, server)
         return
-    if told.cause is inputs.FailureCause.ENDED:
+    if failure.cause is inputs.FailureCause.ENDED:
         crashes.record_process_end(world, server)
-    if told.phase is inputs.FailurePhase.CONNECT:
-        # The process is gone or starts anew: its cache is empty either way.
+    if failure.phase is inputs.FailurePhase.CONNECT:
+        # The process has ended or restarted: its cache is empty either way.
         server.cache.clear()
-        _eject(world, server, told.detail)
+        _eject(world, server, failure.detail)
     else:
-        _suspect(world, server, told.detail)
+        _count_failure(world, server, failure.detail)
 
 
 def record_missing_first_frame(
     world: entities.World, attempt: entities.AttemptRow
 ) -> None:
-    """Counts an attempt that showed no first frame."""
+    """Counts an attempt whose first frame did not arrive in time."""
     server = world.servers.get(attempt.server_id)
     if server is not None:
-        _suspect(world, server, "silent before the first frame")
+        _count_failure(world, server, "silent before the first frame")
 
 
 def apply_echoed_state(
     world: entities.World, server_id: str, stamp: work.Stamp
 ) -> None:
-    """Believes the state that an engine itself gave with an answer."""
+    """Applies the state that an engine sent with an answer."""
     server = world.servers.get(server_id)
-    if server is None or _is_of_earlier_start(server, stamp.incarnation):
+    if server is None or _is_from_earlier_incarnation(
+        server, stamp.incarnation
+    ):
         return
     if stamp.incarnation:
-        _see_state(world, server, stamp.incarnation, stamp.weights_version)
+        _update_state(world, server, stamp.incarnation, stamp.weights_version)
 
 
-def _see_state(
+def _update_state(
     world: entities.World,
     server: entities.ServerRow,
-    seen_incarnation: str,
+    new_incarnation: str,
     weights_version: str,
 ) -> None:
     if (server.incarnation, server.weights_version) == (
-        seen_incarnation,
+        new_incarnation,
         weights_version,
     ):
         return
-    if server.incarnation and server.incarnation != seen_incarnation:
+    if server.incarnation and server.incarnation != new_incarnation:
         crashes.record_process_end(world, server)
-        _forget_process(server)
+        _reset_process_state(server)
     if server.weights_version != weights_version:
-        # New weights are what it was drained for.
+        # It was drained in order to load these weights.
         server.draining_until_ms = 0
-    restarted = server.incarnation not in ("", seen_incarnation)
-    server.incarnation = seen_incarnation
+    restarted = server.incarnation not in ("", new_incarnation)
+    server.incarnation = new_incarnation
     server.weights_version = weights_version
     server.cache.clear()
     availability.reconcile_notice(world, server)
     world.event(
         "server_restarted" if restarted else "server_state",
         server=server.server_id,
-        incarnation=seen_incarnation,
+        incarnation=new_incarnation,
         weights=weights_version,
     )
 
 
-def _is_of_earlier_start(server: entities.ServerRow, told: str) -> bool:
-    """Returns whether news is of a process that has ended since.
+def _is_from_earlier_incarnation(
+    server: entities.ServerRow, reported_incarnation: str
+) -> bool:
+    """Returns whether a message is about a process that has ended since.
 
-    News of a server that started again under its id may still come in from a
-    peer, the list, a report or an answer. Believed, it would give the new
-    process the cache, the leaving or the weights of the one before.
+    After a server has restarted under its id, messages about the previous
+    process may still arrive from a peer, the list, a report or an answer. If
+    they were applied, the new process would be given the cache, the leaving
+    state or the weights of the previous one.
     """
-    return bool(told) and incarnation.is_older(told, server.incarnation)
+    return bool(reported_incarnation) and incarnation.is_older(
+        reported_incarnation, server.incarnation
+    )
 
 
-def _forget_process(server: entities.ServerRow) -> None:
-    """Drops what was true of the process that a server ran before.
+def _reset_process_state(server: entities.ServerRow) -> None:
+    """Resets the state that belonged to a server's previous process.
 
-    Its connections broke with it; attempts that were sent there end by that.
+    The connections broke when that process ended, which also ends the attempts
+    sent over them.
     """
     server.leaving = False
     server.draining_until_ms = 0
@@ -310,21 +320,23 @@
     server.begun_sent_ms.clear()
 
 
-def _leaves(
+def _record_leaving(
     world: entities.World,
-    told: server_inputs.ServerListed | server_inputs.LoadReported,
+    report: server_inputs.ServerListed | server_inputs.LoadReported,
     source: server_inputs.Source,
 ) -> None:
     availability.record_leaving(
         world,
         server_inputs.ServerLeaving(
-            world.now_ms, told.server_id, told.incarnation, source
+            world.now_ms, report.server_id, report.incarnation, source
         ),
     )
 
 
-def _mark_gone_here(world: entities.World, server: entities.ServerRow) -> None:
-    """Keeps a server from service until it is listed at another address."""
+def _mark_gone_at_address(
+    world: entities.World, server: entities.ServerRow
+) -> None:
+    """Marks a server as leaving until it is listed at another address."""
     if not server.leaving:
         server.leaving = True
         world.event(
@@ -345,13 +357,13 @@
         world.event("server_gone", server=server_id)
 
 
-def _suspect(
+def _count_failure(
     world: entities.World, server: entities.ServerRow, detail: str
 ) -> None:
-    """Counts a failure that one connection alone may have had.
+    """Counts a failure that may concern a single connection only.
 
-    Pausing a server for one broken connection would refuse work that it
-    could do; with a single server of a service, all of it.
+    Ejecting a server for one broken connection would refuse work that it
+    could do; all of the work, where a service has only this server.
     """
     if server.failures + 1 < world.policy.failures_to_eject:
         server.failures += 1
@@ -375,7 +387,7 @@
 
 
 def ejection_ms(world: entities.World, server: entities.ServerRow) -> int:
-    """Returns the pause of a server by its failures in a row."""
+    """Returns how long to eject a server, by its consecutive failures."""
     doubled = world.policy.eject_ms * 2 ** min(server.failures - 1, 10)
     return min(doubled, world.policy.eject_max_ms)
 
@@ -383,14 +395,14 @@
 __all__ = [
     "apply_cache_digest",
     "apply_draining",
-    "record_failure",
-    "record_contact",
     "apply_echoed_load",
+    "apply_echoed_state",
     "apply_list_entry",
     "apply_load_report",
-    "ejection_ms",
     "apply_probe_result",
+    "ejection_ms",
+    "record_contact",
+    "record_failure",
     "record_missing_first_frame",
-    "apply_echoed_state",
     "record_success",
 ]
