--- a/src/godwittack/core/crashes.py
+++ b/src/godwittack/core/crashes.py
@@ -1,9 +1,9 @@
-"""Notices servers that end under requests, and stops what ends them.
+"""Detects requests that crash servers, and stops sending them.
 
 A closed connection alone proves nothing: an answer may be lost, a connection
-reset, this daemon cut off. It counts once the server's process is known to
-have ended as well. All that ran there is counted with it; what completes a run
-anywhere is cleared.
+reset, this daemon cut off. It counts as a crash once the server's process is
+known to have ended as well. All requests that ran there are counted; a request
+that completes on any server is cleared.
 """
 
 from __future__ import annotations
@@ -18,9 +18,10 @@
 
     from godwittack.core import inputs
 
-# Time in which a server's end explains a connection that closed. An entry of
-# the instance list lapses some four seconds after its server's last sign.
-EXPLAINED_MS = 6_000
+# Time after a connection closed in which the end of the server's process makes
+# it a crash. An entry of the instance list expires some four seconds after the
+# last contact with its server.
+CRASH_WINDOW_MS = 6_000
 
 
 def record_broken_connection(
@@ -28,10 +29,10 @@
     request: entities.RequestRow,
     attempt: entities.AttemptRow,
 ) -> bool:
-    """Notes an attempt that ended before its answer.
+    """Records a connection that closed before the end of the answer.
 
     Returns:
-        Whether it is yet to be known if the server's process has ended.
+        Whether it is still unknown if the server's process has ended.
     """
     server = world.servers.get(attempt.server_id)
     if server is None or server.leaving or not request.content:
@@ -42,30 +43,30 @@
         reporter=world.daemon,
         at_ms=world.now_ms,
     )
-    is_before = attempt.sent_at_ms <= server.ended_at_ms
-    if crash.start == server.ended_start and is_before:
-        _count(world, server, [crash])
+    was_sent_before_end = attempt.sent_at_ms <= server.ended_at_ms
+    if crash.start == server.ended_start and was_sent_before_end:
+        _record_crashes(world, server, [crash])
         return False
-    server.broken = [*_recent(world, server), crash]
+    server.broken = [*_recent_crashes(world, server), crash]
     return True
 
 
 def record_process_end(
     world: entities.World, server: entities.ServerRow
 ) -> None:
-    """Takes in that the process which a server ran has ended."""
+    """Records that a server's process has ended, and counts its crashes."""
     server.ended_start = start_name(world, server)
     server.ended_at_ms = world.now_ms
-    found = _recent(world, server)
+    crashes = _recent_crashes(world, server)
     server.broken = []
-    if found:
-        _count(world, server, found)
+    if crashes:
+        _record_crashes(world, server, crashes)
 
 
 def record_health_response(
     world: entities.World, server: entities.ServerRow, incarnation: str
 ) -> None:
-    """Takes in a sign of life, which may show another process."""
+    """Checks whether a health-check response is from another process."""
     if not incarnation or not server.broken:
         return
     if incarnation == server.incarnation:
@@ -77,26 +78,30 @@
 def record_completion(
     world: entities.World, request: entities.RequestRow
 ) -> None:
-    """Clears a content that a server has run to its end."""
+    """Clears the crashes of a content that a server has completed."""
     content = request.content
     if not world.quarantine.crashes(content):
         return
-    done = quarantine.Completion(content=content, at_ms=world.now_ms)
-    was_kept = world.quarantine.is_persisted(content)
-    if not world.quarantine.add_completion(done):
+    completion = quarantine.Completion(content=content, at_ms=world.now_ms)
+    was_persisted = world.quarantine.is_persisted(content)
+    if not world.quarantine.add_completion(completion):
         return
-    world.event("crashes_cleared", request.request_id, content=done.content)
-    # Daemons that hear of no server here know only of what was kept.
-    target = "" if was_kept else request.work.target
-    world.emit(effects.TellCrashes(target=target, completions=(done,)))
+    world.event(
+        "crashes_cleared", request.request_id, content=completion.content
+    )
+    # Daemons without updates on these servers know persisted crashes only.
+    target = "" if was_persisted else request.work.target
+    world.emit(effects.TellCrashes(target=target, completions=(completion,)))
 
 
-def apply_peer_update(world: entities.World, news: inputs.CrashesTold) -> None:
-    """Takes in what another daemon knows."""
-    for done in news.completions:
-        if world.quarantine.add_completion(done):
-            world.event("crashes_cleared", content=done.content)
-    _add(world, news.crashes)
+def apply_peer_update(
+    world: entities.World, update: inputs.CrashesTold
+) -> None:
+    """Applies the crashes and completions that another daemon sent."""
+    for completion in update.completions:
+        if world.quarantine.add_completion(completion):
+            world.event("crashes_cleared", content=completion.content)
+    _add_crashes(world, update.crashes)
 
 
 def is_quarantined(world: entities.World, request: entities.RequestRow) -> bool:
@@ -109,27 +114,27 @@
     server: entities.ServerRow,
     stamp: work.Stamp | None = None,
 ) -> str:
-    """Names the start of a server that runs now, or that a stamp names."""
-    named = stamp.incarnation if stamp else server.incarnation
-    start = f"{server.server_id}/{named}"
-    if incarnations.born_ms(named):
+    """Returns a unique name of a server's incarnation, or of a stamp's."""
+    incarnation = stamp.incarnation if stamp else server.incarnation
+    start = f"{server.server_id}/{incarnation}"
+    if incarnations.born_ms(incarnation):
         return start
     return world.quarantine.unnamed_start(start)
 
 
-def _recent(
+def _recent_crashes(
     world: entities.World, server: entities.ServerRow
 ) -> list[quarantine.Crash]:
-    since_ms = world.now_ms - EXPLAINED_MS
+    since_ms = world.now_ms - CRASH_WINDOW_MS
     return [crash for crash in server.broken if crash.at_ms >= since_ms]
 
 
-def _count(
+def _record_crashes(
     world: entities.World,
     server: entities.ServerRow,
     crashes: list[quarantine.Crash],
 ) -> None:
-    """Counts crashes seen here, and tells those that hear of the server."""
+    """Records crashes seen here, and announces them to other daemons."""
     world.event(
         "server_crashed",
         server=server.server_id,
@@ -140,36 +145,38 @@
     world.emit(
         effects.TellCrashes(target=server.target, crashes=tuple(crashes))
     )
-    _add(world, crashes)
+    _add_crashes(world, crashes)
 
 
-def _add(world: entities.World, crashes: Iterable[quarantine.Crash]) -> None:
+def _add_crashes(
+    world: entities.World, crashes: Iterable[quarantine.Crash]
+) -> None:
     for crash in crashes:
         was_quarantined = world.quarantine.until_ms(crash.content) > 0
-        is_news = world.quarantine.add(crash)
-        if is_news and world.quarantine.until_ms(crash.content):
-            _tell_quarantined(world, crash.content)
+        is_new = world.quarantine.add(crash)
+        if is_new and world.quarantine.until_ms(crash.content):
+            _announce_quarantine(world, crash.content)
             if not was_quarantined:
-                _stop_runs(world, crash.content)
+                _cancel_unanswered_runs(world, crash.content)
 
 
-def _tell_quarantined(world: entities.World, content: str) -> None:
-    found = world.quarantine.crashes(content)
+def _announce_quarantine(world: entities.World, content: str) -> None:
+    crashes = world.quarantine.crashes(content)
     world.event(
         "quarantined",
         content=content,
-        starts=",".join(sorted(crash.start for crash in found)),
-        reporters=",".join(sorted({crash.reporter for crash in found})),
-        oldest_ms=world.now_ms - min(crash.at_ms for crash in found),
+        starts=",".join(sorted(crash.start for crash in crashes)),
+        reporters=",".join(sorted({crash.reporter for crash in crashes})),
+        oldest_ms=world.now_ms - min(crash.at_ms for crash in crashes),
         for_ms=world.quarantine.until_ms(content) - world.now_ms,
     )
-    if any(crash.reporter == world.daemon for crash in found):
-        # Daemons that hear of no server here may still get the request.
-        world.emit(effects.TellCrashes(target="", crashes=found))
+    if any(crash.reporter == world.daemon for crash in crashes):
+        # Daemons without updates on these servers may still get the request.
+        world.emit(effects.TellCrashes(target="", crashes=crashes))
 
 
-def _stop_runs(world: entities.World, content: str) -> None:
-    """Takes a quarantined request from servers that have not begun it."""
+def _cancel_unanswered_runs(world: entities.World, content: str) -> None:
+    """Cancels runs of a quarantined content that have no answer yet."""
     for request in list(world.requests.values()):
         attempt = world.attempts.get(request.attempt_id)
         if request.content != content or attempt is None or request.begun:
@@ -192,16 +199,17 @@
 def would_be_quarantined(
     world: entities.World, request: entities.RequestRow
 ) -> bool:
-    """Returns whether broken connections would put a request in quarantine.
+    """Returns whether broken connections, if crashes, quarantine a request.
 
-    Sent on before it is known if their servers ended, it could end one more.
+    If it were resent before it is known whether their servers crashed, it could
+    crash another one.
     """
     content = request.content
     starts = {crash.start for crash in world.quarantine.crashes(content)}
     for server in world.servers.values():
         starts.update(
             crash.start
-            for crash in _recent(world, server)
+            for crash in _recent_crashes(world, server)
             if crash.content == content
         )
     return len(starts) >= quarantine.CRASHES_TO_QUARANTINE
@@ -210,7 +218,7 @@
 def quarantine_reason(
     world: entities.World, request: entities.RequestRow
 ) -> str:
-    """Returns why a request is in quarantine, for people."""
+    """Returns why a request is in quarantine, as a readable text."""
     count = len(world.quarantine.crashes(request.content))
     return f"{count} servers ended while they ran this request"
 
@@ -223,14 +231,14 @@
 
 
 __all__ = [
-    "record_health_response",
+    "apply_peer_update",
+    "is_quarantined",
+    "quarantine_left_ms",
+    "quarantine_reason",
     "record_broken_connection",
     "record_completion",
+    "record_health_response",
     "record_process_end",
-    "is_quarantined",
-    "would_be_quarantined",
-    "quarantine_left_ms",
     "start_name",
-    "apply_peer_update",
-    "quarantine_reason",
+    "would_be_quarantined",
 ]
--- a/src/godwittack/core/quarantine.py
+++ b/src/godwittack/core/quarantine.py
@@ -1,7 +1,7 @@
-"""Counts the server starts that ended under a request's content.
+"""Counts server crashes by the content of the requests that were running.
 
-A request that crashes the server that runs it, and is sent again, takes one
-server after the other from all callers. Load pattern: a caller repeats one
+A request that crashes its server, and is sent again, takes down one server
+after the other for all callers. Load pattern: a caller repeats such a request
 within seconds, at any daemon, each time under a new id.
 """
 
@@ -12,13 +12,13 @@
 
 import xxhash
 
-# Server starts that must have ended under a content until it is quarantined.
-# Requests that ran beside it are seldom with it three times.
+# Crashes after which a content is quarantined. Other requests rarely happen to
+# run beside it three times.
 CRASHES_TO_QUARANTINE = 3
-# Crashes from which a content is kept beyond the daemons' lives. Kept from the
-# third on only, a restart of all daemons between would begin the count anew.
+# Crashes from which on a content is stored, to outlive the daemons. Stored from
+# the third on only, a restart of all daemons before it would reset the count.
 CRASHES_TO_PERSIST = CRASHES_TO_QUARANTINE - 1
-# A quarantine's first length; each further crash doubles it.
+# Length of the first quarantine; each further crash doubles it.
 QUARANTINE_MS = 600_000
 MAX_DOUBLINGS = 6
 # Time after a content's last crash or quarantine for which it is remembered.
@@ -26,22 +26,22 @@
 EXPIRY_INTERVAL_MS = 10_000
 MAX_CONTENTS = 4_096
 MAX_CRASHES_PER_CONTENT = 16
-# Servers whose unnamed starts are counted.
+# Servers whose unnamed incarnations are counted.
 MAX_SERVERS = 4_096
-# Contents not in quarantine whose crashes are compared with other daemons.
+# Contents not in quarantine whose crashes are exchanged with other daemons.
 MAX_EXCHANGED_CONTENTS = 128
 _NUMBER_SEPARATOR = "#"
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Crash:
-    """A server start that ended while it ran a request.
+    """A server incarnation that ended while it ran a request.
 
     Attributes:
-        content: What was asked and by whom.
-        start: Names the start of the server, unique over all servers.
-        reporter: Daemon that saw it.
-        at_ms: When it was seen to end.
+        content: Identifies what was requested and by which workspace.
+        start: Name of the incarnation, unique over all servers.
+        reporter: Daemon that observed the crash.
+        at_ms: When the crash was observed.
     """
 
     content: str
@@ -52,33 +52,33 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Completion:
-    """A run that ended without a crash, which proves a content harmless."""
+    """A run without a crash, which proves a content harmless."""
 
     content: str
     at_ms: int
 
 
 class Quarantine:
-    """What is known of contents under which servers ended.
+    """The crashes known by content, and the contents in quarantine.
 
-    Crashes form a set by content and start: told late, twice or in another
-    order, they leave all daemons with the same contents in quarantine.
+    Crashes form a set by content and incarnation: received late, twice or in
+    another order, they leave all daemons with the same contents in quarantine.
     """
 
     def __init__(self) -> None:
-        """Knows of no crash."""
-        self._rows: collections.OrderedDict[str, dict[str, Crash]] = (
+        """Starts without crashes."""
+        self._crashes: collections.OrderedDict[str, dict[str, Crash]] = (
             collections.OrderedDict()
         )
-        self._completed_ms: collections.OrderedDict[str, int] = (
+        self._completed_at_ms: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
         self._quarantined: set[str] = set()
-        # Unnamed starts of a server that are known to have ended.
-        self._ended: collections.OrderedDict[str, int] = (
+        # Unnamed incarnations known to have ended, by server.
+        self._ended_counts: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
-        self._forgot_ms = 0
+        self._expired_at_ms = 0
         self._digest: int | None = 0
 
     def __len__(self) -> int:
@@ -86,139 +86,147 @@
         return len(self._quarantined)
 
     def unnamed_start(self, server: str) -> str:
-        """Returns a name for the present start of a server that has none.
+        """Returns a name for the current incarnation of a server without one.
 
-        Starts are numbered by the crashes that are known. Daemons that know
-        of the same ones number the next alike, so that a crash that several
-        see counts once; one that has missed some may give an old number, and
-        a crash is then counted with an earlier one.
+        Incarnations are numbered by the known crashes. Daemons that know the
+        same crashes assign the same next number, so that a crash observed by
+        several daemons counts once; a daemon that has missed some may assign
+        an old number, and the crash is then counted as an earlier one.
         """
-        number = self._ended.get(server, 0)
+        number = self._ended_counts.get(server, 0)
         return f"{server}{_NUMBER_SEPARATOR}{number}" if number else server
 
     def add(self, crash: Crash) -> bool:
-        """Takes in a crash; returns whether it was news."""
-        self._count_start(crash.start)
-        if crash.at_ms <= self._completed_ms.get(crash.content, -1):
+        """Adds a crash; returns whether it was new."""
+        self._count_ended_start(crash.start)
+        if crash.at_ms <= self._completed_at_ms.get(crash.content, -1):
             return False
-        row = self._rows.setdefault(crash.content, {})
-        if crash.start in row or len(row) >= MAX_CRASHES_PER_CONTENT:
+        by_start = self._crashes.setdefault(crash.content, {})
+        if crash.start in by_start or len(by_start) >= MAX_CRASHES_PER_CONTENT:
             return False
-        row[crash.start] = crash
+        by_start[crash.start] = crash
         self._digest = None
-        self._rows.move_to_end(crash.content)
-        if len(row) >= CRASHES_TO_QUARANTINE:
+        self._crashes.move_to_end(crash.content)
+        if len(by_start) >= CRASHES_TO_QUARANTINE:
             self._quarantined.add(crash.content)
-        self._bound()
+        self._evict_excess()
         return True
 
-    def _count_start(self, start: str) -> None:
+    def _count_ended_start(self, start: str) -> None:
         server, separator, number = start.rpartition(_NUMBER_SEPARATOR)
         if not separator or not number.isdecimal():
             server, number = start, "0"
         ended = int(number) + 1
-        self._ended[server] = max(self._ended.get(server, 0), ended)
-        if len(self._ended) > MAX_SERVERS:
-            self._ended.popitem(last=False)
-
-    def add_completion(self, done: Completion) -> bool:
-        """Drops the crashes before a completed run; returns if there were."""
-        row = self._rows.get(done.content)
-        if row is None:
+        self._ended_counts[server] = max(
+            self._ended_counts.get(server, 0), ended
+        )
+        if len(self._ended_counts) > MAX_SERVERS:
+            self._ended_counts.popitem(last=False)
+
+    def add_completion(self, completion: Completion) -> bool:
+        """Drops crashes before a completed run; returns whether any were."""
+        by_start = self._crashes.get(completion.content)
+        if by_start is None:
             return False
-        newest_ms = self._completed_ms.get(done.content, done.at_ms)
-        self._completed_ms[done.content] = max(newest_ms, done.at_ms)
-        if len(self._completed_ms) > MAX_CONTENTS:
-            self._completed_ms.popitem(last=False)
+        newest_ms = self._completed_at_ms.get(
+            completion.content, completion.at_ms
+        )
+        self._completed_at_ms[completion.content] = max(
+            newest_ms, completion.at_ms
+        )
+        if len(self._completed_at_ms) > MAX_CONTENTS:
+            self._completed_at_ms.popitem(last=False)
         self._digest = None
-        before = len(row)
-        kept = {s: c for s, c in row.items() if c.at_ms > done.at_ms}
-        self._rows[done.content] = kept
-        if not kept:
-            del self._rows[done.content]
-        if len(kept) < CRASHES_TO_QUARANTINE:
-            self._quarantined.discard(done.content)
-        return len(kept) < before
+        count_before = len(by_start)
+        remaining = {
+            s: c for s, c in by_start.items() if c.at_ms > completion.at_ms
+        }
+        self._crashes[completion.content] = remaining
+        if not remaining:
+            del self._crashes[completion.content]
+        if len(remaining) < CRASHES_TO_QUARANTINE:
+            self._quarantined.discard(completion.content)
+        return len(remaining) < count_before
 
     def crashes(self, content: str) -> tuple[Crash, ...]:
-        """Returns the crashes known of a content."""
-        return tuple(self._rows.get(content, {}).values())
+        """Returns the known crashes of a content."""
+        return tuple(self._crashes.get(content, {}).values())
 
     def is_persisted(self, content: str) -> bool:
-        """Returns whether a content's crashes are kept beyond this process."""
-        return len(self._rows.get(content, {})) >= CRASHES_TO_PERSIST
+        """Returns whether a content's crashes outlive this process."""
+        return len(self._crashes.get(content, {})) >= CRASHES_TO_PERSIST
 
     def until_ms(self, content: str) -> int:
-        """Returns when a content's quarantine ends; 0 where it has none."""
+        """Returns when a content's quarantine ends; 0 if it has none."""
         if content not in self._quarantined:
             return 0
-        row = self._rows[content]
-        doublings = min(len(row) - CRASHES_TO_QUARANTINE, MAX_DOUBLINGS)
-        last_ms = max(crash.at_ms for crash in row.values())
+        by_start = self._crashes[content]
+        doublings = min(len(by_start) - CRASHES_TO_QUARANTINE, MAX_DOUBLINGS)
+        last_ms = max(crash.at_ms for crash in by_start.values())
         return last_ms + QUARANTINE_MS * 2**doublings
 
     def crashes_to_exchange(self) -> tuple[Crash, ...]:
-        """Returns what other daemons should know as well.
+        """Returns the crashes that other daemons should know as well.
 
-        All crashes of contents in quarantine, and those of the contents of
-        which crashes were told last.
+        These are all crashes of contents in quarantine, and those of the other
+        contents with the latest crashes.
         """
-        others = [c for c in self._rows if c not in self._quarantined]
+        others = [c for c in self._crashes if c not in self._quarantined]
         contents = [*self._quarantined, *others[-MAX_EXCHANGED_CONTENTS:]]
         return tuple(
             crash for content in contents for crash in self.crashes(content)
         )
 
     def completions(self) -> tuple[Completion, ...]:
-        """Returns the completed runs that took crashes back."""
+        """Returns the completed runs that cleared crashes."""
         return tuple(
             Completion(content=c, at_ms=t)
-            for c, t in self._completed_ms.items()
+            for c, t in self._completed_at_ms.items()
         )
 
     def digest(self) -> int:
-        """Returns a number that is equal where the same is known."""
+        """Returns a hash that is equal where the same crashes are known."""
         if self._digest is None:
             self._digest = 0
             for crash in self.crashes_to_exchange():
-                named = f"{crash.content}\n{crash.start}".encode()
-                self._digest ^= xxhash.xxh3_64_intdigest(named)
+                key = f"{crash.content}\n{crash.start}".encode()
+                self._digest ^= xxhash.xxh3_64_intdigest(key)
         return self._digest
 
     def expire(self, *, now_ms: int) -> None:
-        """Drops contents whose last crash or quarantine is long over."""
-        if now_ms - self._forgot_ms < EXPIRY_INTERVAL_MS:
+        """Drops contents whose last crash or quarantine is long past."""
+        if now_ms - self._expired_at_ms < EXPIRY_INTERVAL_MS:
             return
-        self._forgot_ms = now_ms
-        for content, row in list(self._rows.items()):
-            last_ms = max(crash.at_ms for crash in row.values())
-            ends_ms = max(last_ms, self.until_ms(content))
-            if now_ms - ends_ms > RETENTION_MS:
+        self._expired_at_ms = now_ms
+        for content, by_start in list(self._crashes.items()):
+            last_ms = max(crash.at_ms for crash in by_start.values())
+            ends_at_ms = max(last_ms, self.until_ms(content))
+            if now_ms - ends_at_ms > RETENTION_MS:
                 self._drop(content)
-        while self._completed_ms:
-            oldest = next(iter(self._completed_ms))
-            if now_ms - self._completed_ms[oldest] <= RETENTION_MS:
+        while self._completed_at_ms:
+            oldest = next(iter(self._completed_at_ms))
+            if now_ms - self._completed_at_ms[oldest] <= RETENTION_MS:
                 break
-            del self._completed_ms[oldest]
+            del self._completed_at_ms[oldest]
 
-    def _bound(self) -> None:
-        while len(self._rows) > MAX_CONTENTS:
+    def _evict_excess(self) -> None:
+        while len(self._crashes) > MAX_CONTENTS:
             oldest = next(
-                (c for c in self._rows if c not in self._quarantined),
-                next(iter(self._rows)),
+                (c for c in self._crashes if c not in self._quarantined),
+                next(iter(self._crashes)),
             )
             self._drop(oldest)
 
     def _drop(self, content: str) -> None:
         self._digest = None
-        del self._rows[content]
+        del self._crashes[content]
         self._quarantined.discard(content)
 
 
 __all__ = [
     "CRASHES_TO_PERSIST",
-    "RETENTION_MS",
     "CRASHES_TO_QUARANTINE",
+    "RETENTION_MS",
     "Completion",
     "Crash",
     "Quarantine",
--- a/src/godwittack/core/rate_limits.py
+++ b/src/godwittack/core/rate_limits.py
@@ -1,8 +1,9 @@
-"""Keeps to the rates that servers in need take from all daemons together.
+"""Enforces the rates that overloaded servers accept from all daemons together.
 
-Load pattern: a server of several can do a part of its work for a while. Each
-daemon sees a part of what is sent there; keeping to the whole rate by itself,
-each would send it, and those that have not asked it lately go on as before.
+Load pattern: one of several servers can do only a part of its work for a time.
+Each daemon sees a part of what is sent there; if each applied the whole rate
+by itself, together they would exceed it, and daemons that have not called the
+server lately would continue to send as before.
 """
 
 from __future__ import annotations
@@ -16,25 +17,25 @@
 if TYPE_CHECKING:
     from godwittack.core import entities, server_inputs
 
-# Pause between two accounts of a limit that stays as it is, by any daemon. It
-# bounds how long one that missed the first stays unaware.
+# Pause between two announcements of an unchanged limit, by any daemon. Bounds
+# how long a daemon that missed the first one does not know the limit.
 ANNOUNCE_INTERVAL_MS = 1_000
-# Part by which a limit must change to be told at once.
+# Relative change of a limit above which it is announced at once.
 MIN_CHANGE_RATIO = 0.1
 MIN_RETRY_MS = 100
 MAX_RETRY_MS = 5_000
 
 
 def apply_echoed_limit(
-    world: entities.World, told: server_inputs.RateLimitEchoed
+    world: entities.World, echo: server_inputs.RateLimitEchoed
 ) -> None:
-    """Takes in what an answer of the server said."""
-    server = world.servers.get(told.server_id)
+    """Applies a limit, or its end, that a server sent with an answer."""
+    server = world.servers.get(echo.server_id)
     if server is None:
         return
-    is_news = _take(world, server, told.limit_per_s, told.at_ms, "server")
+    is_new = _apply_limit(world, server, echo.limit_per_s, echo.at_ms, "server")
     is_due = world.now_ms - server.limit_shared_ms >= ANNOUNCE_INTERVAL_MS
-    if not is_news and (told.limit_per_s is None or not is_due):
+    if not is_new and (echo.limit_per_s is None or not is_due):
         return
     server.limit_shared_ms = world.now_ms
     world.emit(
@@ -42,34 +43,36 @@
             server_id=server.server_id,
             target=server.target,
             incarnation=server.incarnation,
-            limit_per_s=told.limit_per_s,
-            at_ms=told.at_ms,
+            limit_per_s=echo.limit_per_s,
+            at_ms=echo.at_ms,
         )
     )
 
 
 def apply_peer_update(
-    world: entities.World, told: server_inputs.RateLimitTold
+    world: entities.World, update: server_inputs.RateLimitTold
 ) -> None:
-    """Takes in what another daemon heard from the server."""
-    server = world.servers.get(told.server_id)
+    """Applies a limit, or its end, that another daemon announced."""
+    server = world.servers.get(update.server_id)
     if server is None:
         return
-    if incarnation.is_older(told.incarnation, server.incarnation):
+    if incarnation.is_older(update.incarnation, server.incarnation):
         return
     server.limit_shared_ms = world.now_ms
-    _take(world, server, told.limit_per_s, told.at_ms - told.age_ms, "peer")
+    _apply_limit(
+        world, server, update.limit_per_s, update.at_ms - update.age_ms, "peer"
+    )
 
 
 def recompute_shares(world: entities.World) -> None:
-    """Works all parts out anew, as daemons come and go."""
+    """Recomputes this daemon's share of each limit when daemons change."""
     for server in world.servers.values():
         if server.limit is not None:
-            _deal(world, server, server.limit)
+            _recompute_share(world, server, server.limit)
 
 
 def is_limited(world: entities.World, server_id: str) -> bool:
-    """Returns whether a limit of the server is known here."""
+    """Returns whether this daemon knows a limit of a server."""
     server = world.servers.get(server_id)
     return server is not None and server.limit is not None
 
@@ -81,13 +84,13 @@
 
 
 def record_dispatch(world: entities.World, server: entities.ServerRow) -> None:
-    """Counts a request sent to a server."""
+    """Counts a request sent to a server against its limit."""
     if server.limit is not None:
         server.limit.take(now_ms=world.now_ms)
 
 
 def retry_after_ms(world: entities.World, target: str) -> int:
-    """Returns when a server of a target has room again; 0 without limits."""
+    """Returns when a target has capacity again; 0 without limits."""
     limits = [
         server.limit
         for server in world.servers_by_target[target].values()
@@ -102,17 +105,17 @@
     return max(MIN_RETRY_MS, math.ceil(wait_ms))
 
 
-def _take(
+def _apply_limit(
     world: entities.World,
     server: entities.ServerRow,
     per_s: float | None,
-    heard_ms: int,
+    received_at_ms: int,
     source: str,
 ) -> bool:
-    """Takes in a server's word; returns whether it says something new."""
-    if heard_ms < server.limit_heard_ms:
+    """Applies a server's limit; returns whether it changed significantly."""
+    if received_at_ms < server.limit_heard_ms:
         return False
-    server.limit_heard_ms = heard_ms
+    server.limit_heard_ms = received_at_ms
     before = server.limit.per_s if server.limit is not None else None
     if before == per_s:
         return False
@@ -123,57 +126,57 @@
         server.limit = advertised.AdvertisedLimit(
             per_s=per_s, refilled_at_ms=world.now_ms
         )
-        _deal(world, server, server.limit)
+        _recompute_share(world, server, server.limit)
     else:
-        # Up to now it holds by the rate before.
+        # Refills the tokens up to now at the previous rate.
         server.limit.wait_ms(now_ms=world.now_ms)
         server.limit.per_s = per_s
-        _deal(world, server, server.limit)
-    if not _is_news(before, per_s):
+        _recompute_share(world, server, server.limit)
+    if not _is_significant(before, per_s):
         return False
     world.event(
         "server_limit",
         server=server.server_id,
-        per_s=_shown(per_s),
-        before=_shown(before),
+        per_s=_format_limit(per_s),
+        before=_format_limit(before),
         part_per_s=round(server.limit.share_per_s, 3) if server.limit else 0,
         carriers=len(world.carriers),
         source=source,
-        age_ms=world.now_ms - heard_ms,
+        age_ms=world.now_ms - received_at_ms,
     )
     return True
 
 
-def _is_news(before: float | None, per_s: float | None) -> bool:
+def _is_significant(before: float | None, per_s: float | None) -> bool:
     if before is None or per_s is None:
         return True
     return abs(per_s - before) > MIN_CHANGE_RATIO * before
 
 
-def _deal(
+def _recompute_share(
     world: entities.World,
     server: entities.ServerRow,
     limit: advertised.AdvertisedLimit,
 ) -> None:
-    # A daemon that has yet to meet the others would take the whole for its own.
-    is_unmet = world.known_daemons > 1 and not world.has_met_others
+    # A daemon that has not met the others yet would claim the whole limit.
+    is_alone = world.known_daemons > 1 and not world.has_met_others
     limit.assign_share(
         server_id=server.server_id,
         own_daemon=world.daemon,
-        daemons=() if is_unmet else world.carriers,
+        daemons=() if is_alone else world.carriers,
     )
 
 
-def _shown(limit_per_s: float | None) -> str | float:
+def _format_limit(limit_per_s: float | None) -> str | float:
     return "none" if limit_per_s is None else limit_per_s
 
 
 __all__ = [
-    "recompute_shares",
     "apply_echoed_limit",
+    "apply_peer_update",
     "has_capacity",
     "is_limited",
-    "retry_after_ms",
+    "recompute_shares",
     "record_dispatch",
-    "apply_peer_update",
+    "retry_after_ms",
 ]
--- a/src/godwittack/limit/__init__.py
+++ b/src/godwittack/limit/__init__.py
@@ -1,1 +1,1 @@
-"""Limits over all daemons, fair order and retry budgets."""
+"""Limits shared by all daemons, fair queueing and retry budgets."""
--- a/src/godwittack/limit/budget.py
+++ b/src/godwittack/limit/budget.py
@@ -1,4 +1,4 @@
-"""Budgets that keep something a small part of the requests."""
+"""Budgets that limit extra work to a small fraction of the requests."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Budget:
-    """Tokens earned by requests and spent by what adds load.
+    """Tokens earned by requests and spent by operations that add load.
 
-    Retries and recomputations add load just when there is too much of it. The
-    symptom would be an overload that lasts after its cause has passed. Bounded
-    to a share of the requests they cannot cause it.
+    Retries and recomputations add load just when there is too much of it, and
+    can make an overload outlast its cause. Bounded to a fraction of the
+    requests they cannot.
 
     Attributes:
-        ratio: Tokens earned a request.
-        burst: Most tokens kept.
+        ratio: Tokens earned per request.
+        burst: Maximum number of tokens kept.
     """
 
     ratio: float = 0.1
@@ -23,7 +23,7 @@
     tokens: float = 10.0
 
     def earn(self) -> None:
-        """Counts one accepted request."""
+        """Earns tokens for one accepted request."""
         self.tokens = min(self.burst, self.tokens + self.ratio)
 
     def spend(self) -> bool:
@@ -36,26 +36,26 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class SharedBudget:
-    """One daemon's part of a budget that holds for all daemons together.
+    """One daemon's share of a budget for all daemons together.
 
-    The burst is divided evenly. A process gets its part once it has run for a
-    whole window: whatever ran in its place before can't have spent a part in
-    the same window. Until then it spends what requests earn, and keeps one
-    retry at most. A part of less than one token is completed by savings: a
-    smaller ratio of the requests, forgotten after a window.
+    The burst is divided evenly. A process gets its share once it has run for a
+    whole window: a process that it replaced can't have spent a share in the
+    same window. Until then it spends the tokens that requests earn, and keeps
+    at most one. A share of less than one token is supplemented by savings: a
+    smaller ratio of the requests, which expires after a window.
 
     In any window all daemons then spend at most the burst, `ratio` of the
     requests in it, and `saved_ratio` of those in the window before, however
     often daemons start and end.
 
     Attributes:
-        ratio: Tokens earned a request below the own part.
-        saved_ratio: Tokens saved a request at the own part.
-        window_ms: Time after which savings are forgotten.
-        share: This daemon's part of the burst.
+        ratio: Tokens earned per request while below the share.
+        saved_ratio: Tokens saved per request once the share is full.
+        window_ms: Time after which savings expire.
+        share: This daemon's share of the burst.
         granted_at_ms: When the process has run for a window.
         tokens: Tokens left.
-        saved: Savings of the current half of a window and the one before.
+        saved: Savings of the current and the previous half of a window.
     """
 
     ratio: float
@@ -66,33 +66,33 @@
     tokens: float = 0.0
     saved: tuple[float, float] = (0.0, 0.0)
     _is_granted: bool = False
-    _earned_before: float = 0.0
-    _half: int = 0
+    _earned_before_grant: float = 0.0
+    _half_window: int = 0
 
     def resize(self, share: float) -> None:
-        """Takes another part, as daemons come or go."""
+        """Sets the share when the number of daemons changes."""
         self.share = share
-        self.tokens = min(self.tokens, self._most())
+        self.tokens = min(self.tokens, self._capacity())
 
     def earn(self, *, now_ms: int) -> None:
-        """Counts one accepted request."""
-        self._grant(now_ms)
-        most = self._most()
-        if self.tokens < most:
+        """Earns tokens for one accepted request."""
+        self._grant_share(now_ms)
+        capacity = self._capacity()
+        if self.tokens < capacity:
             before = self.tokens
-            self.tokens = min(most, before + self.ratio)
+            self.tokens = min(capacity, before + self.ratio)
             if not self._is_granted:
-                self._earned_before += self.tokens - before
+                self._earned_before_grant += self.tokens - before
             return
-        self._forget(now_ms)
+        self._expire_savings(now_ms)
         current, before = self.saved
-        missing = max(0.0, 1.0 - most - current - before)
+        missing = max(0.0, 1.0 - capacity - current - before)
         self.saved = (current + min(missing, self.saved_ratio), before)
 
     def spend(self, *, now_ms: int) -> bool:
         """Takes a token, or returns False where none is left."""
-        self._grant(now_ms)
-        self._forget(now_ms)
+        self._grant_share(now_ms)
+        self._expire_savings(now_ms)
         if self.tokens >= 1.0 - 1e-9:
             self.tokens = max(0.0, self.tokens - 1.0)
             return True
@@ -102,23 +102,23 @@
         self.saved = (0.0, 0.0)
         return True
 
-    def _most(self) -> float:
+    def _capacity(self) -> float:
         return self.share if self._is_granted else min(self.share, 1.0)
 
-    def _grant(self, now_ms: int) -> None:
+    def _grant_share(self, now_ms: int) -> None:
         if self._is_granted or now_ms < self.granted_at_ms:
             return
         self._is_granted = True
-        granted = max(0.0, self.share - self._earned_before)
+        granted = max(0.0, self.share - self._earned_before_grant)
         self.tokens = min(self.share, self.tokens + granted)
 
-    def _forget(self, now_ms: int) -> None:
-        half = now_ms * 2 // self.window_ms
-        if half > self._half + 1:
+    def _expire_savings(self, now_ms: int) -> None:
+        half_window = now_ms * 2 // self.window_ms
+        if half_window > self._half_window + 1:
             self.saved = (0.0, 0.0)
-        elif half > self._half:
+        elif half_window > self._half_window:
             self.saved = (0.0, self.saved[0])
-        self._half = max(self._half, half)
+        self._half_window = max(self._half_window, half_window)
 
 
 __all__ = ["Budget", "SharedBudget"]
--- a/src/godwittack/limit/shares.py
+++ b/src/godwittack/limit/shares.py
@@ -1,4 +1,4 @@
-"""Each daemon's share of a limit that holds over all daemons."""
+"""Each daemon's share of a limit for all daemons together."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from godwittack.member import duty
 
 WINDOW_MS = 500
-# Part of a window's demand that enters the figure told. Shares that follow
-# each window move all the time, and every move overshoots: the daemon that
-# grows is faster than the one that must wait for its requests to end.
+# Weight of a window's demand in the announced figure. Shares that follow each
+# window change all the time, and every change overshoots: a daemon whose share
+# grows is faster than one that must wait for its requests to end.
 SMOOTHING = 0.35
-# Windows for which a larger share must have stood before it is used: by then
-# every other daemon has heard the figures and taken back its own.
+# Windows for which a larger share must have been due before it is used: by then
+# every other daemon has received the figures and reduced its own share.
 GROWTH_DELAY_WINDOWS = 1
-# Part of the free room that is split evenly; the rest follows demand.
+# Part of the unused limit that is split evenly; the rest follows demand.
 EVEN_SPLIT_RATIO = 0.5
 # Seconds of its rate that a daemon may let through at once.
 BURST_S = 0.25
@@ -26,15 +26,15 @@
 
 @dataclasses.dataclass(slots=True)
 class CellUsage:
-    """This daemon's own use of one limited cell.
+    """This daemon's own usage of one limited cell.
 
     Attributes:
         in_flight: Requests running now.
-        peak: Most that ran at one time in the current window.
+        peak: Maximum running at one time in the current window.
         refused: Requests refused for this cell in the current window.
         arrivals: Requests that arrived in the current window.
-        demand: Requests running or refused, as told to the others.
-        rate_per_s: Requests arriving a second, as told to the others.
+        demand: Requests running or refused, as announced to peers.
+        rate_per_s: Requests arriving per second, as announced to peers.
         tokens: Requests that the rate still lets through at once.
     """
 
@@ -50,7 +50,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReportedDemand:
-    """What one daemon last said of one cell."""
+    """The demand for one cell that one daemon last announced."""
 
     demand: float
     rate_per_s: float
@@ -58,19 +58,19 @@
 
 @dataclasses.dataclass(slots=True)
 class Shares:
-    """Splits limits between daemons by what each has told of its demand.
+    """Splits limits between daemons by the demand that each has announced.
 
-    While the demand of all is below the limit, a daemon has what it wants
-    and a part of the free room, so that a demand that moves to it is not
+    While the total demand is below the limit, a daemon's share is its demand
+    and a part of the unused rest, so that demand that shifts to it is not
     refused while the limit is far. Above the limit, the shares follow demand.
-    Every daemon computes all shares from the same told figures, its own
+    Every daemon computes all shares from the same announced figures, its own
     included, so that they add up to the limit while views agree.
 
     Attributes:
         daemon: This daemon's name among the others.
         live: All live daemons.
-        groups: Daemons that split a cell, by its name. Used in a large fleet
-            only, where few daemons see the requests of one workspace.
+        groups: Daemons that split a cell's limit, by cell. Used in a large
+            fleet only, where few daemons receive one workspace's requests.
     """
 
     daemon: str = ""
@@ -84,7 +84,7 @@
     groups: dict[str, set[str]] = dataclasses.field(
         default_factory=lambda: collections.defaultdict(set)
     )
-    _window_from_ms: int = -WINDOW_MS
+    _window_start_ms: int = -WINDOW_MS
     _window: int = 0
     _recent: dict[str, collections.deque[tuple[int, float]]] = (
         dataclasses.field(
@@ -95,44 +95,44 @@
     )
 
     def record_arrival(self, cell: str) -> None:
-        """Counts a request that wants to use the cell, allowed or not."""
+        """Counts a request for the cell, whether admitted or not."""
         self.cells[cell].arrivals += 1
 
     def record_start(self, cell: str) -> None:
-        """Counts a request now in flight."""
-        use = self.cells[cell]
-        use.in_flight += 1
-        use.peak = max(use.peak, use.in_flight)
+        """Counts a request that is now in flight."""
+        usage = self.cells[cell]
+        usage.in_flight += 1
+        usage.peak = max(usage.peak, usage.in_flight)
 
     def record_end(self, cell: str) -> None:
-        """Counts a request that left."""
-        use = self.cells[cell]
-        use.in_flight = max(0, use.in_flight - 1)
+        """Counts a request that has ended."""
+        usage = self.cells[cell]
+        usage.in_flight = max(0, usage.in_flight - 1)
 
     def allows_request(self, cell: str, *, limit: int) -> bool:
-        """Returns whether one more request may be in flight."""
-        use = self.cells[cell]
-        if use.in_flight < self._flight_share(cell, limit):
+        """Returns whether one more may be in flight, or counts a refusal."""
+        usage = self.cells[cell]
+        if usage.in_flight < self._in_flight_share(cell, limit):
             return True
-        use.refused += 1
+        usage.refused += 1
         return False
 
     def take_rate_token(
         self, cell: str, *, limit_per_s: float, now_ms: int
     ) -> bool:
-        """Takes one request from the rate share, or returns False."""
-        use = self.cells[cell]
+        """Takes a token from the rate share, or returns False if none is left."""
+        usage = self.cells[cell]
         share = self._rate_share(cell, limit_per_s)
         burst = max(1.0, share * BURST_S)
-        if use.refilled_at_ms < 0:
-            use.tokens = burst
+        if usage.refilled_at_ms < 0:
+            usage.tokens = burst
         else:
-            elapsed_ms = now_ms - use.refilled_at_ms
-            use.tokens = min(burst, use.tokens + share * elapsed_ms / 1000)
-        use.refilled_at_ms = now_ms
-        if use.tokens < 1.0:
+            elapsed_ms = now_ms - usage.refilled_at_ms
+            usage.tokens = min(burst, usage.tokens + share * elapsed_ms / 1000)
+        usage.refilled_at_ms = now_ms
+        if usage.tokens < 1.0:
             return False
-        use.tokens -= 1.0
+        usage.tokens -= 1.0
         return True
 
     def rate_wait_ms(self, cell: str, *, limit_per_s: float) -> int:
@@ -144,64 +144,72 @@
         return min(NO_SHARE_WAIT_MS, math.ceil(missing / share * 1000))
 
     def arrival_ratio(self, cell: str) -> float:
-        """Returns the arrivals of all daemons over this one's, at least 1."""
-        own = self.cells[cell].rate_per_s
-        told = self.reported[cell]
-        if own <= 0.0 or not told:
+        """Returns all daemons' arrivals divided by this one's, at least 1."""
+        own_per_s = self.cells[cell].rate_per_s
+        reported = self.reported[cell]
+        if own_per_s <= 0.0 or not reported:
             return 1.0
-        everyone = sum(
-            use.rate_per_s for name, use in told.items() if name != self.daemon
+        others_per_s = sum(
+            demand.rate_per_s
+            for name, demand in reported.items()
+            if name != self.daemon
+        )
+        return min(
+            1.0 + others_per_s / own_per_s, float(max(1, len(self.live)))
         )
-        return min(1.0 + everyone / own, float(max(1, len(self.live))))
 
     def record_peer_demand(
         self, *, daemon: str, cell: str, demand: float, rate_per_s: float
     ) -> None:
-        """Takes in a peer's demand."""
+        """Records a peer's demand for a cell."""
         if demand or rate_per_s:
             self.reported[cell][daemon] = ReportedDemand(demand, rate_per_s)
         else:
             self.reported[cell].pop(daemon, None)
 
     def forget_peer(self, daemon: str) -> None:
-        """Forgets a dead peer, so that its share returns to the others."""
-        for told in self.reported.values():
-            told.pop(daemon, None)
+        """Drops a peer's demand, so that its share returns to the others."""
+        for by_daemon in self.reported.values():
+            by_daemon.pop(daemon, None)
 
     def update_demand(self, now_ms: int) -> None:
-        """Closes a demand window, where one is over; runs each tick."""
-        span_ms = now_ms - self._window_from_ms
+        """Ends the demand window if it is over; called on each tick."""
+        span_ms = now_ms - self._window_start_ms
         if span_ms < WINDOW_MS:
             return
-        self._window_from_ms = now_ms
+        self._window_start_ms = now_ms
         self._window += 1
-        for cell, use in self.cells.items():
-            rate = use.arrivals * 1000 / span_ms
-            use.rate_per_s += SMOOTHING * (rate - use.rate_per_s)
-            wanted = float(use.peak + use.refused)
-            use.demand += SMOOTHING * (wanted - use.demand)
-            use.arrivals = 0
-            use.refused = 0
-            use.peak = use.in_flight
+        for cell, usage in self.cells.items():
+            rate_per_s = usage.arrivals * 1000 / span_ms
+            usage.rate_per_s += SMOOTHING * (rate_per_s - usage.rate_per_s)
+            demand = float(usage.peak + usage.refused)
+            usage.demand += SMOOTHING * (demand - usage.demand)
+            usage.arrivals = 0
+            usage.refused = 0
+            usage.peak = usage.in_flight
             self.reported[cell][self.daemon] = ReportedDemand(
-                use.demand, use.rate_per_s
+                usage.demand, usage.rate_per_s
             )
 
-    def _flight_share(self, cell: str, limit: int) -> int:
-        wanted = {name: told.demand for name, told in self._known(cell).items()}
-        exact = _split(float(limit), wanted)
-        share = _whole(exact, limit)[self.daemon]
-        return int(self._grown_late(cell, share))
+    def _in_flight_share(self, cell: str, limit: int) -> int:
+        demands = {
+            name: reported.demand
+            for name, reported in self._demand_by_daemon(cell).items()
+        }
+        exact_shares = _split_limit(float(limit), demands)
+        share = _round_shares(exact_shares, limit)[self.daemon]
+        return int(self._delay_growth(cell, share))
 
     def _rate_share(self, cell: str, limit_per_s: float) -> float:
         rates = {
-            name: told.rate_per_s for name, told in self._known(cell).items()
+            name: reported.rate_per_s
+            for name, reported in self._demand_by_daemon(cell).items()
         }
-        share = _split(limit_per_s, rates)[self.daemon]
-        return self._grown_late(cell + RATE_SUFFIX, share)
+        share = _split_limit(limit_per_s, rates)[self.daemon]
+        return self._delay_growth(cell + RATE_SUFFIX, share)
 
-    def _grown_late(self, cell: str, share: float) -> float:
-        """Returns the least share of the last windows, this one included."""
+    def _delay_growth(self, cell: str, share: float) -> float:
+        """Returns the smallest share of the last windows and this one."""
         recent = self._recent[cell]
         if recent and recent[-1][0] == self._window:
             recent[-1] = (self._window, min(recent[-1][1], share))
@@ -210,44 +218,49 @@
         oldest = self._window - GROWTH_DELAY_WINDOWS
         return min(value for window, value in recent if window >= oldest)
 
-    def _known(self, cell: str) -> dict[str, ReportedDemand]:
-        told = self.reported[cell]
-        none = ReportedDemand(0.0, 0.0)
-        # Among hundreds of daemons few see a cell's requests; the rest would
-        # each hold a part of its free room that nobody uses.
-        everyone = len(self.live) <= duty.MESH_LIMIT
-        some = self.groups[cell] | told.keys()
-        names = (self.live if everyone else some) | {self.daemon}
-        return {name: told.get(name, none) for name in sorted(names)}
+    def _demand_by_daemon(self, cell: str) -> dict[str, ReportedDemand]:
+        reported = self.reported[cell]
+        no_demand = ReportedDemand(0.0, 0.0)
+        # Among hundreds of daemons, few receive a cell's requests; each of the
+        # others would hold an unused part of the cell's limit.
+        is_mesh = len(self.live) <= duty.MESH_LIMIT
+        involved = self.groups[cell] | reported.keys()
+        daemons = (self.live if is_mesh else involved) | {self.daemon}
+        return {name: reported.get(name, no_demand) for name in sorted(daemons)}
 
 
-def _split(limit: float, demand: dict[str, float]) -> dict[str, float]:
+def _split_limit(limit: float, demands: dict[str, float]) -> dict[str, float]:
     """Returns each daemon's share; the shares add up to the limit."""
-    total = sum(demand.values())
+    total = sum(demands.values())
     if total > 0 and total >= limit:
-        return {name: limit * d / total for name, d in demand.items()}
+        return {
+            name: limit * demand / total for name, demand in demands.items()
+        }
     free = limit - total
-    even = free * (EVEN_SPLIT_RATIO if total else 1.0) / len(demand)
-    by_demand = free * (1.0 - EVEN_SPLIT_RATIO) / total if total else 0.0
+    even_part = free * (EVEN_SPLIT_RATIO if total else 1.0) / len(demands)
+    growth_ratio = free * (1.0 - EVEN_SPLIT_RATIO) / total if total else 0.0
     return {
-        name: wanted + even + by_demand * wanted
-        for name, wanted in demand.items()
+        name: demand + even_part + growth_ratio * demand
+        for name, demand in demands.items()
     }
 
 
-def _whole(exact: dict[str, float], limit: int) -> dict[str, int]:
+def _round_shares(exact_shares: dict[str, float], limit: int) -> dict[str, int]:
     """Rounds shares to whole requests that still add up to the limit.
 
     Rounding each share up would pass the limit by the number of daemons,
     rounding each down would leave a part unused; the largest remainders get
     what is left, in the same order on every daemon.
     """
-    floors = {name: int(share + 1e-9) for name, share in exact.items()}
-    left = limit - sum(floors.values())
-    order = sorted(exact, key=lambda name: (floors[name] - exact[name], name))
-    for name in order[: max(0, left)]:
-        floors[name] += 1
-    return floors
+    rounded = {name: int(share + 1e-9) for name, share in exact_shares.items()}
+    unassigned = limit - sum(rounded.values())
+    by_remainder = sorted(
+        exact_shares,
+        key=lambda name: (rounded[name] - exact_shares[name], name),
+    )
+    for name in by_remainder[: max(0, unassigned)]:
+        rounded[name] += 1
+    return rounded
 
 
-__all__ = ["CellUsage", "Shares", "ReportedDemand"]
+__all__ = ["CellUsage", "ReportedDemand", "Shares"]
