--- a/src/godwittack/core/crashes.py
+++ b/src/godwittack/core/crashes.py
@@ -55,7 +55,7 @@
     world: entities.World, server: entities.ServerRow
 ) -> None:
     """Records that a server's process has ended, and counts its crashes."""
-    server.ended_start = start_name(world, server)
+    server.ended_start = incarnation_id(world, server)
     server.ended_at_ms = world.now_ms
     crashes = _recent_crashes(world, server)
     server.broken = []
@@ -109,17 +109,17 @@
     return world.now_ms < world.quarantine.until_ms(request.content)
 
 
-def start_name(
+def incarnation_id(
     world: entities.World,
     server: entities.ServerRow,
     stamp: work.Stamp | None = None,
 ) -> str:
-    """Returns a unique name of a server's incarnation, or of a stamp's."""
+    """Returns a unique id of a server's incarnation, or of a stamp's."""
     incarnation = stamp.incarnation if stamp else server.incarnation
-    start = f"{server.server_id}/{incarnation}"
+    name = f"{server.server_id}/{incarnation}"
     if incarnations.born_ms(incarnation):
-        return start
-    return world.quarantine.unnamed_start(start)
+        return name
+    return world.quarantine.numbered_incarnation(name)
 
 
 def _recent_crashes(
@@ -239,6 +239,6 @@
     "record_completion",
     "record_health_response",
     "record_process_end",
-    "start_name",
+    "incarnation_id",
     "would_be_quarantined",
 ]
--- a/src/godwittack/core/dispatching.py
+++ b/src/godwittack/core/dispatching.py
@@ -292,7 +292,7 @@
     attempt: entities.AttemptRow,
 ) -> None:
     server = world.servers[attempt.server_id]
-    attempt.server_start = crashes.start_name(world, server, attempt.stamp)
+    attempt.server_start = crashes.incarnation_id(world, server, attempt.stamp)
     request.phase = entities.Phase.RUNNING
     request.attempt_id = attempt.attempt_id
     request.attempts += 1
--- a/src/godwittack/core/quarantine.py
+++ b/src/godwittack/core/quarantine.py
@@ -85,8 +85,8 @@
         """Returns how many contents are in quarantine."""
         return len(self._quarantined)
 
-    def unnamed_start(self, server: str) -> str:
-        """Returns a name for the current incarnation of a server without one.
+    def numbered_incarnation(self, server: str) -> str:
+        """Returns an id for the current incarnation of a server without one.
 
         Incarnations are numbered by the known crashes. Daemons that know the
         same crashes assign the same next number, so that a crash observed by
--- a/src/godwittack/limit/shares.py
+++ b/src/godwittack/limit/shares.py
@@ -120,7 +120,7 @@
     def take_rate_token(
         self, cell: str, *, limit_per_s: float, now_ms: int
     ) -> bool:
-        """Takes a token from the rate share, or returns False if none is left."""
+        """Takes a token from the rate share; False if none is left."""
         usage = self.cells[cell]
         share = self._rate_share(cell, limit_per_s)
         burst = max(1.0, share * BURST_S)
