--- a/src/godwittack/core/availability.py
+++ b/src/godwittack/core/availability.py
@@ -1,6 +1,6 @@
 """Tracks which servers are leaving, or resting (asking for no work for a time).
 
-Load pattern: one of several servers is full or about to stop, and says so in
+Load pattern: one of several servers is full or about to stop, and states it in
 each answer. Lists, load reports and peer updates follow seconds later, or
 contradict it because they are older; and an entry that expires and comes back
 lacks what was announced before. What a server announces therefore holds for
