--- a/src/godwittack/core/quarantine.py
+++ b/src/godwittack/core/quarantine.py
@@ -15,8 +15,8 @@
 # Crashes after which a content is quarantined. Other requests rarely happen to
 # run beside it three times.
 CRASHES_TO_QUARANTINE = 3
-# Crashes from which on a content is stored, to outlive the daemons. Stored from
-# the third on only, a restart of all daemons before it would reset the count.
+# Crashes after which a content is also stored, to outlive the daemons. If this
+# were the third one, a restart of all daemons before it would reset the count.
 CRASHES_TO_PERSIST = CRASHES_TO_QUARANTINE - 1
 # Length of the first quarantine; each further crash doubles it.
 QUARANTINE_MS = 600_000
--- a/src/godwittack/core/servers.py
+++ b/src/godwittack/core/servers.py
@@ -195,7 +195,7 @@
 
 
 def record_success(world: entities.World, attempt: entities.AttemptRow) -> None:
-    """Resets the failure count after a successful attempt."""
+    """Resets a server's failures and ejection after a success."""
     server = world.servers.get(attempt.server_id)
     if server is not None:
         server.failures = 0
