--- a/src/godwittack/core/admission.py
+++ b/src/godwittack/core/admission.py
@@ -66,7 +66,7 @@
         return
     world.requests[request.request_id] = request
     for cell in request.cells:
-        world.shares.began(cell)
+        world.shares.record_start(cell)
     retries.earn(world, requested.target)
     world.spill_budget.earn()
     placing.record_demand(world, request)
@@ -177,9 +177,9 @@
         return True
     splitting.record_groups(world, request)
     for cell in limits:
-        world.shares.arrived(cell)
+        world.shares.record_arrival(cell)
     for cell, limit in limits.items():
-        if not world.shares.room(cell, limit=limit):
+        if not world.shares.allows_request(cell, limit=limit):
             _refuse(
                 world,
                 request.request_id,
@@ -192,7 +192,9 @@
             return False
     rate = workspace.max_requests_per_s
     cell = splitting.workspace_cell(workspace)
-    if world.shares.take_rate(cell, limit_per_s=rate, now_ms=world.now_ms):
+    if world.shares.take_rate_token(
+        cell, limit_per_s=rate, now_ms=world.now_ms
+    ):
         return True
     _refuse(
         world,
--- a/src/godwittack/core/attempts.py
+++ b/src/godwittack/core/attempts.py
@@ -31,7 +31,7 @@
         return
     request, attempt = found
     attempt.last_progress_ms = world.now_ms
-    servers.heard(world, attempt.server_id)
+    servers.record_contact(world, attempt.server_id)
     if _echo_holds(world, request, attempt, told.echoed_request, told.stamp):
         attempt.opened = True
         if request.head is None:
@@ -47,14 +47,14 @@
     if not attempt.opened:
         return
     attempt.last_progress_ms = world.now_ms
-    servers.heard(world, attempt.server_id)
+    servers.record_contact(world, attempt.server_id)
     fresh, gap = _in_order(request, told.frames)
     if fresh:
         _hand_on(world, request, attempt, fresh)
     if fresh and fresh[-1].terminal:
         world.emit(effects.EndStream(request.request_id))
-        servers.worked(world, attempt)
-        crashes.completed(world, request)
+        servers.record_success(world, attempt)
+        crashes.record_completion(world, request)
         closing.finish(world, request)
         return
     if gap:
@@ -77,9 +77,9 @@
         )
     ):
         return
-    servers.worked(world, attempt)
-    servers.heard(world, attempt.server_id)
-    crashes.completed(world, request)
+    servers.record_success(world, attempt)
+    servers.record_contact(world, attempt.server_id)
+    crashes.record_completion(world, request)
     closing.update_service_time(
         world, request.work.target, world.now_ms - attempt.sent_at_ms
     )
@@ -150,10 +150,12 @@
         cause=told.cause.value,
         detail=told.detail,
     )
-    if _may_have_crashed(told) and crashes.broke(world, request, attempt):
+    if _may_have_crashed(told) and crashes.record_broken_connection(
+        world, request, attempt
+    ):
         doubt.ask(world, world.servers[attempt.server_id])
     if told.cause is not inputs.FailureCause.STREAM_GONE:
-        servers.failed(world, attempt, told)
+        servers.record_failure(world, attempt, told)
     if request.answer_started or request.started_elsewhere:
         if told.cause is inputs.FailureCause.STREAM_GONE:
             followup.break_stream(
@@ -255,7 +257,7 @@
         expected=str(attempt.stamp),
         echoed=str(stamp),
     )
-    servers.state_echoed(world, attempt.server_id, stamp)
+    servers.apply_echoed_state(world, attempt.server_id, stamp)
     if request.answer_started or request.started_elsewhere:
         followup.break_stream(
             world, request, "the engine restarted or changed weights"
--- a/src/godwittack/core/backlog.py
+++ b/src/godwittack/core/backlog.py
@@ -88,7 +88,9 @@
         )
         in_flight = max(in_flight, server.running + server.waiting + unreported)
     slots = server.slots or world.policy.slots
-    completion_interval_ms = world.service_time_ms.get(server.target, 0.0) / slots
+    completion_interval_ms = (
+        world.service_time_ms.get(server.target, 0.0) / slots
+    )
     wait += completion_interval_ms * _completions_needed(in_flight, slots)
     # Every request in a batch makes each of its steps slightly longer.
     return wait + in_flight * BATCH_DELAY_MS
--- a/src/godwittack/core/dispatching.py
+++ b/src/godwittack/core/dispatching.py
@@ -37,7 +37,7 @@
     wait_ms = 0.0
     if must_hold:
         slots_ms = turns.slots_wait_ms(world, request.work.target, before)
-        ahead = queue.ahead(request.workspace)
+        ahead = queue.count_ahead(request.workspace)
         turns_ms = turns.wait_ms(world, request.work.target, rank, before=ahead)
         wait_ms = max(slots_ms, turns_ms)
     if not _meets_deadline(world, request, choice, wait_ms):
@@ -67,13 +67,13 @@
     """Holds a request until a server has rested, or refuses it at once."""
     target = request.work.target
     has_room = _held(world, target) < min(
-        resting.room(world, target), _queue_limit(world, request)
+        resting.max_waiting(world, target), _queue_limit(world, request)
     )
     if not has_room or not resting.may_wait(world, request):
         refusing.refuse_no_server(world, request)
         return
     request.awaits_rest_end = True
-    _hold(world, request, wait_ms=resting.left_ms(world, request) or 0)
+    _hold(world, request, wait_ms=resting.shortest_rest_ms(world, request) or 0)
 
 
 def _hold(
@@ -94,7 +94,7 @@
             target=request.work.target,
             wait_ms=round(wait_ms),
             before=before,
-            **availability.left_out(world, request.work.target),
+            **availability.unavailable_servers(world, request.work.target),
         )
     queue.push(
         request_id=request.request_id,
@@ -129,7 +129,7 @@
     )
     _open(world, request, attempt)
     server.in_flight[attempt_id] = attempt
-    rate_limits.sent(world, server)
+    rate_limits.record_dispatch(world, server)
     if server.ejected_until_ms:
         server.trial_attempt_id = attempt_id
     keys = sending.cached_keys(request, server)
@@ -243,7 +243,7 @@
 
 def _rests_on(world: entities.World, request: entities.RequestRow) -> bool:
     """Returns whether the rests that a request waits for were made too long."""
-    return request.awaits_rest_end and resting.is_hopeless(world, request)
+    return request.awaits_rest_end and resting.is_rest_too_long(world, request)
 
 
 def _held(world: entities.World, target: str) -> int:
@@ -279,7 +279,7 @@
         ):
             refusing.refuse_late(world, request, choice.wait_ms)
             continue
-        queue.take(waiting)
+        queue.dequeue(waiting)
         turns.taken(
             world,
             request.work.target,
@@ -297,7 +297,9 @@
     attempt: entities.AttemptRow,
 ) -> None:
     server = world.servers[attempt.server_id]
-    attempt.incarnation_key = crashes.start_of(world, server, attempt.stamp)
+    attempt.incarnation_key = crashes.incarnation_id(
+        world, server, attempt.stamp
+    )
     request.phase = entities.Phase.RUNNING
     request.attempt_id = attempt.attempt_id
     request.attempts += 1
--- a/src/godwittack/core/doubt.py
+++ b/src/godwittack/core/doubt.py
@@ -56,14 +56,16 @@
         if availability.is_resting(world, server):
             continue
         if server.reported_at_ms > server.ejected_at_ms:
-            servers.probed(
+            servers.apply_probe_result(
                 world,
                 server_inputs.ProbeAnswered(
                     world.now_ms, server.server_id, alive=True
                 ),
             )
             continue
-        server.ejected_until_ms = world.now_ms + servers.pause_ms(world, server)
+        server.ejected_until_ms = world.now_ms + servers.ejection_ms(
+            world, server
+        )
         if not _is_reported_by_another(world, server):
             world.emit(effects.Probe(server.server_id, server.address))
 
@@ -111,14 +113,14 @@
     if server is None:
         return
     if answered.alive:
-        crashes.alive(world, server, answered.incarnation)
+        crashes.record_health_response(world, server, answered.incarnation)
     elif answered.ended:
-        crashes.ended(world, server)
+        crashes.record_process_end(world, server)
     if answered.alive and not server.ejected_until_ms:
         server.last_contact_ms = world.now_ms
         return
     was_trusted = not server.ejected_until_ms
-    servers.probed(world, answered)
+    servers.apply_probe_result(world, answered)
     if answered.alive or world.table.forwarding is None:
         return
     if was_trusted:
@@ -155,7 +157,7 @@
     for attempt in server.in_flight.values():
         request = world.requests.get(attempt.request_id)
         if request is not None:
-            crashes.broke(world, request, attempt)
+            crashes.record_broken_connection(world, request, attempt)
 
 
 def _move_away(world: entities.World, server: entities.ServerRow) -> None:
--- a/src/godwittack/core/entities.py
+++ b/src/godwittack/core/entities.py
@@ -316,8 +316,8 @@
     serving_lease_until_ms: int = 0
     stopping: bool = False
     stopped: bool = False
-    weights_history: dict[str, list[weights.Naming]] = dataclasses.field(
-        default_factory=dict
+    weights_history: dict[str, list[weights.DesiredVersion]] = (
+        dataclasses.field(default_factory=dict)
     )
     max_expected_daemons: int = 1
     expected_daemons: int = 1
--- a/src/godwittack/core/placing.py
+++ b/src/godwittack/core/placing.py
@@ -158,9 +158,9 @@
     # succeeds: if it still fails, its full share of requests would fail.
     if server.ejected_until_ms and server.trial_attempt_id:
         return False
-    if not rate_limits.has_room(world, server):
+    if not rate_limits.has_capacity(world, server):
         return False
-    if weights.too_old(world, server) or weights.unknown(world, server):
+    if weights.are_too_old(world, server) or weights.are_unknown(world, server):
         return False
     # Without a load report the engine's incarnation and weights are unknown,
     # and its answer could not be checked against them.
@@ -193,7 +193,7 @@
                 unreported_tokens += attempt.expected_tokens
     # The other daemons have sent unreported requests too; their number is
     # estimated from the ratio of all demand to that of this daemon.
-    demand_ratio = world.shares.rate_ratio(model_cell(server.target))
+    demand_ratio = world.shares.arrival_ratio(model_cell(server.target))
     in_flight += round(unreported * demand_ratio)
     tokens += unreported_tokens * demand_ratio
     backlog_ms = max(0.0, tokens * us_per_token / 1000 - since_ms)
@@ -242,7 +242,7 @@
 def record_demand(world: entities.World, request: entities.RequestRow) -> None:
     """Counts a new request and its levels; called once per request."""
     target = request.work.target
-    world.shares.arrived(model_cell(target))
+    world.shares.record_arrival(model_cell(target))
     for level in request.work.levels:
         if not world.level_demand.has_key(level.key):
             break
--- a/src/godwittack/core/refusing.py
+++ b/src/godwittack/core/refusing.py
@@ -56,7 +56,7 @@
 ) -> None:
     """Refuses a request that no server can accept in time."""
     target = request.work.target
-    excluded = availability.left_out(world, target)
+    excluded = availability.unavailable_servers(world, target)
     reasons = "".join(f"; {name}: {ids}" for name, ids in excluded.items())
     refuse_unassigned(
         world,
@@ -76,8 +76,8 @@
         world,
         request,
         effects.Reason.QUARANTINED,
-        crashes.why(world, request),
-        crashes.left_ms(world, request),
+        crashes.quarantine_reason(world, request),
+        crashes.quarantine_left_ms(world, request),
     )
 
 
@@ -120,7 +120,7 @@
 ) -> int:
     """Returns the time until a server has capacity again; 0 if not known."""
     limit_ms = rate_limits.retry_after_ms(world, request.work.target)
-    rested_ms = resting.return_ms(world, request)
+    rested_ms = resting.retry_after_ms(world, request)
     if limit_ms and rested_ms:
         return min(limit_ms, rested_ms)
     return limit_ms or rested_ms
--- a/src/godwittack/core/retries.py
+++ b/src/godwittack/core/retries.py
@@ -51,7 +51,7 @@
     shared = _shared_budget(world, target)
     return {
         "tokens": round(shared.tokens, 2),
-        "part": round(shared.part, 2),
+        "part": round(shared.share, 2),
         "daemons": world.max_expected_daemons,
         "live": len(world.live_daemons),
         "known": world.expected_daemons,
@@ -64,9 +64,9 @@
         return Limit.DEADLINE
     if _tries_used(world, request):
         return Limit.ATTEMPTS
-    if crashes.is_suspect(world, request):
+    if crashes.would_be_quarantined(world, request):
         return Limit.CRASHES
-    if resting.is_hopeless(world, request):
+    if resting.is_rest_too_long(world, request):
         return Limit.REST
     return None if _spend(world, request.work.target) else Limit.BUDGET
 
@@ -111,7 +111,7 @@
             ratio=policy.retry_ratio,
             saved_ratio=policy.retry_saved_ratio,
             window_ms=policy.retry_window_ms,
-            part=part,
+            share=part,
             granted_at_ms=world.started_at_ms + policy.retry_window_ms,
         )
     found.resize(part)
--- a/src/godwittack/core/router.py
+++ b/src/godwittack/core/router.py
@@ -108,23 +108,23 @@
             case inputs.OutcomeStored():
                 self._apply_outcome_stored(input_)
             case server_inputs.LoadReported():
-                servers.load_reported(world, input_)
+                servers.apply_load_report(world, input_)
             case server_inputs.LoadEchoed():
-                servers.load_echoed(world, input_)
+                servers.apply_echoed_load(world, input_)
             case server_inputs.RateLimitEchoed():
-                rate_limits.echoed(world, input_)
+                rate_limits.apply_echoed_limit(world, input_)
             case server_inputs.RateLimitTold():
-                rate_limits.told_by_peer(world, input_)
+                rate_limits.apply_peer_update(world, input_)
             case server_inputs.CacheDigest():
-                servers.digest(world, input_)
+                servers.apply_cache_digest(world, input_)
             case server_inputs.ServerListed():
-                servers.listed(world, input_)
+                servers.apply_list_entry(world, input_)
             case server_inputs.ServerDraining():
-                servers.draining_told(world, input_)
+                servers.apply_draining(world, input_)
             case server_inputs.ServerLeaving():
-                availability.leaving_told(world, input_)
+                availability.record_leaving(world, input_)
             case server_inputs.RestAsked():
-                availability.rest_asked(world, input_)
+                availability.record_rest(world, input_)
             case server_inputs.ProbeAnswered():
                 doubt.probed(world, input_)
             case server_inputs.ServerDoubted():
@@ -141,12 +141,12 @@
                 # Peers, lagging replicas and the object store's copy may all
                 # deliver an older table than the active one.
                 if input_.table.version > world.table.version:
-                    weights.named(world, input_)
+                    weights.record_desired_versions(world, input_)
                     world.table = input_.table
             case server_inputs.PeerDispatched():
                 backlog.record_peer_dispatch(world, input_)
             case inputs.CrashesTold():
-                crashes.told(world, input_)
+                crashes.apply_peer_update(world, input_)
             case inputs.PeerDemand():
                 self._apply_peer_demand(input_)
             case inputs.MembersChanged():
@@ -164,7 +164,7 @@
                 world.serving_daemons = (
                     frozenset(input_.carriers) or world.live_daemons
                 )
-                rate_limits.deal_all(world)
+                rate_limits.recompute_shares(world)
             case inputs.RightToServe():
                 is_held = input_.until_ms > world.now_ms
                 if world.has_serving_lease != is_held:
@@ -176,7 +176,7 @@
 
     def _tick(self) -> None:
         world = self.world
-        world.shares.measure(world.now_ms)
+        world.shares.update_demand(world.now_ms)
         outcomes.retry_due_writes(world)
         attempts.reply_unstored(world)
         doubt.check(world)
@@ -185,7 +185,7 @@
         doubt.check_ejected(world)
         availability.end_rests(world)
         dispatching.expire_queued(world)
-        world.quarantine.forget(now_ms=world.now_ms)
+        world.quarantine.expire(now_ms=world.now_ms)
 
     def _apply_outcome_stored(self, input_: inputs.OutcomeStored) -> None:
         is_stored = outcomes.apply_write_result(self.world, input_)
@@ -196,15 +196,15 @@
     def _apply_peer_demand(self, input_: inputs.PeerDemand) -> None:
         shares = self.world.shares
         if not input_.alive:
-            shares.peer_gone(input_.daemon_id)
+            shares.forget_peer(input_.daemon_id)
             return
         # The peer has no more demand on cells that it no longer lists.
-        shares.peer_gone(input_.daemon_id)
+        shares.forget_peer(input_.daemon_id)
         for cell in input_.cells:
-            shares.peer_told(
+            shares.record_peer_demand(
                 daemon=input_.daemon_id,
                 cell=cell.cell,
-                wanted=cell.wanted,
+                demand=cell.wanted,
                 rate_per_s=cell.rate_per_s,
             )
 
--- a/src/godwittack/core/sourcing.py
+++ b/src/godwittack/core/sourcing.py
@@ -220,7 +220,7 @@
         copied_tokens * us_per_token * COPY_MEMORY_COST_RATIO / 1000
     )
     cost = first_token_ms + recompute_extra_ms + memory_cost_ms
-    cost += weights.cost_ms(world, server)
+    cost += weights.outdated_cost_ms(world, server)
     if is_home and reused_tokens < max(shared_tokens, 1):
         cost -= HOME_BONUS_MS
     return Placement(
