--- a/src/godwittack/core/attempts.py
+++ b/src/godwittack/core/attempts.py
@@ -1,4 +1,4 @@
-"""Follows attempts: answers, frames, failures and silence."""
+"""Handles what arrives for an attempt: frames, answers and failures."""
 
 from __future__ import annotations
 
@@ -24,56 +24,58 @@
     from collections.abc import Iterable
 
 
-def opened(world: entities.World, told: inputs.AttemptOpened) -> None:
-    """Checks the state that a stream says it is built on."""
-    found = _current(world, told.attempt_id)
-    if found is None:
+def opened(world: entities.World, message: inputs.AttemptOpened) -> None:
+    """Checks the engine state that the head of a stream reports."""
+    current = _current(world, message.attempt_id)
+    if current is None:
         return
-    request, attempt = found
+    request, attempt = current
     attempt.heard_at_ms = world.now_ms
     servers.heard(world, attempt.server_id)
-    if _echo_holds(world, request, attempt, told.echoed_request, told.stamp):
+    if _check_echo(
+        world, request, attempt, message.echoed_request, message.stamp
+    ):
         attempt.opened = True
         if request.head is None:
-            request.head = told.head
+            request.head = message.head
 
 
-def frames(world: entities.World, told: inputs.FramesArrived) -> None:
-    """Relays frames once each and in order."""
-    found = _current(world, told.attempt_id)
-    if found is None:
+def frames(world: entities.World, message: inputs.FramesArrived) -> None:
+    """Relays each frame of a stream once and in order."""
+    current = _current(world, message.attempt_id)
+    if current is None:
         return
-    request, attempt = found
+    request, attempt = current
     if not attempt.opened:
         return
     attempt.heard_at_ms = world.now_ms
     servers.heard(world, attempt.server_id)
-    fresh, gap = _in_order(request, told.frames)
-    if fresh:
-        _hand_on(world, request, attempt, fresh)
-    if fresh and fresh[-1].terminal:
+    new_frames, is_frame_missing = _take_new_frames(request, message.frames)
+    if new_frames:
+        _relay(world, request, attempt, new_frames)
+    if new_frames and new_frames[-1].terminal:
         world.emit(effects.EndStream(request.request_id))
         servers.worked(world, attempt)
         crashes.completed(world, request)
         closing.finish(world, request)
         return
-    if gap:
-        # A frame is missing in between. Waiting for it on this connection
-        # would wait for ever; the engine still has it.
+    if is_frame_missing:
+        # A frame is missing. It will never come on this connection, but the
+        # engine still has it.
         world.emit(effects.CancelAttempt(attempt.attempt_id, False))
         followup.resume_or_break(world, request, attempt, "a frame is missing")
 
 
-def answer(world: entities.World, told: inputs.AnswerArrived) -> None:
-    """Takes in a whole answer."""
-    found = _current(world, told.attempt_id)
-    if found is None:
+def answer(world: entities.World, message: inputs.AnswerArrived) -> None:
+    """Records a complete answer, then retries, stores or delivers it."""
+    current = _current(world, message.attempt_id)
+    if current is None:
         return
-    request, attempt = found
+    request, attempt = current
     if attempt.stamp is not None and not (
-        told.stamp is not None
-        and _echo_holds(
-            world, request, attempt, told.echoed_request, told.stamp
+        message.stamp is not None
+        and _check_echo(
+            world, request, attempt, message.echoed_request, message.stamp
         )
     ):
         return
@@ -84,12 +86,14 @@
         world, request.work.target, world.now_ms - attempt.sent_at_ms
     )
     closing.close_attempt(world, attempt.attempt_id)
-    request.answer = told.answer
-    if followup.answer_may_improve(request, told.answer):
-        # The server's failure is kept: it is the answer where no other
-        # attempt brings a better one.
+    request.answer = message.answer
+    if followup.answer_may_improve(request, message.answer):
+        # The error response is kept: it goes to the caller if no other
+        # attempt gets a better one.
         request.sent = True
-        followup.retry(world, request, attempt, f"status {told.answer.status}")
+        followup.retry(
+            world, request, attempt, f"status {message.answer.status}"
+        )
         return
     request.answered_at_ms = world.now_ms
     request.late = world.now_ms > request.deadline_at_ms
@@ -97,46 +101,46 @@
         reply(world, request)
         return
     request.phase = entities.Phase.STORING
-    outcomes.store(world, request, work.ClaimState.DONE, told.answer)
+    outcomes.store(world, request, work.ClaimState.DONE, message.answer)
 
 
 def reply(world: entities.World, request: entities.RequestRow) -> None:
-    """Hands a whole answer to the caller and ends the request."""
+    """Sends a complete answer to the caller and ends the request."""
     closing.reply(world, request)
 
 
-def usage(world: entities.World, told: inputs.UsageReported) -> None:
-    """Counts what an engine took from its cache and what it computed."""
-    attempt = world.attempts.get(told.attempt_id)
+def usage(world: entities.World, report: inputs.UsageReported) -> None:
+    """Logs the token counts that an engine reported for an attempt."""
+    attempt = world.attempts.get(report.attempt_id)
     if attempt is None:
         return
     request = world.requests.get(attempt.request_id)
     if request is None:
         return
-    wasted = max(0, request.known_tokens - told.cached_tokens)
+    wasted_tokens = max(0, request.known_tokens - report.cached_tokens)
     world.event(
         "usage",
         request.request_id,
         workspace=request.workspace,
         target=request.work.target,
         server=attempt.server_id,
-        prompt_tokens=told.prompt_tokens,
-        cached_tokens=told.cached_tokens,
-        generated_tokens=told.generated_tokens,
-        wasted_tokens=wasted,
+        prompt_tokens=report.prompt_tokens,
+        cached_tokens=report.cached_tokens,
+        generated_tokens=report.generated_tokens,
+        wasted_tokens=wasted_tokens,
     )
 
 
-def failed(world: entities.World, told: inputs.AttemptFailed) -> None:
+def failed(world: entities.World, failure: inputs.AttemptFailed) -> None:
     """Retries, resumes or ends a request whose attempt failed."""
-    found = _current(world, told.attempt_id)
-    if found is None:
+    current = _current(world, failure.attempt_id)
+    if current is None:
         return
-    request, attempt = found
-    if told.cause is inputs.FailureCause.WITHHELD:
-        followup.place_anew(world, request, told.detail)
+    request, attempt = current
+    if failure.cause is inputs.FailureCause.WITHHELD:
+        followup.place_anew(world, request, failure.detail)
         return
-    if told.phase is inputs.FailurePhase.SENT:
+    if failure.phase is inputs.FailurePhase.SENT:
         request.sent = True
     else:
         request.runs -= 1
@@ -146,53 +150,53 @@
         attempt=attempt.attempt_id,
         server=attempt.server_id,
         content=request.content,
-        step=told.phase.value,
-        cause=told.cause.value,
-        detail=told.detail,
+        step=failure.phase.value,
+        cause=failure.cause.value,
+        detail=failure.detail,
     )
-    if _may_have_crashed(told) and crashes.broke(world, request, attempt):
+    if _may_have_crashed(failure) and crashes.broke(world, request, attempt):
         doubt.ask(world, world.servers[attempt.server_id])
-    if told.cause is not inputs.FailureCause.STREAM_GONE:
-        servers.failed(world, attempt, told)
+    if failure.cause is not inputs.FailureCause.STREAM_GONE:
+        servers.failed(world, attempt, failure)
     if request.begun or request.begun_elsewhere:
-        if told.cause is inputs.FailureCause.STREAM_GONE:
+        if failure.cause is inputs.FailureCause.STREAM_GONE:
             followup.break_stream(
                 world, request, "the engine no longer has the stream"
             )
         else:
-            followup.resume_or_break(world, request, attempt, told.detail)
+            followup.resume_or_break(world, request, attempt, failure.detail)
         return
     closing.close_attempt(world, attempt.attempt_id)
     if request.at_most_once and request.sent:
-        followup.outcome_lost(world, request, told.detail)
+        followup.outcome_lost(world, request, failure.detail)
         return
-    # One that rests is left out by that, and may be asked once it has rested.
-    avoid = not _rests(world, attempt)
-    followup.retry(world, request, attempt, told.detail, avoid=avoid)
+    # A resting server gets no work anyway, and may be used after its rest.
+    avoid = not _is_resting(world, attempt)
+    followup.retry(world, request, attempt, failure.detail, avoid=avoid)
 
 
-def _rests(world: entities.World, attempt: entities.AttemptRow) -> bool:
+def _is_resting(world: entities.World, attempt: entities.AttemptRow) -> bool:
     server = world.servers.get(attempt.server_id)
     return server is not None and availability.is_resting(world, server)
 
 
-def _may_have_crashed(told: inputs.AttemptFailed) -> bool:
-    was_sent = told.phase is inputs.FailurePhase.SENT
-    return was_sent and told.cause is inputs.FailureCause.BROKEN
+def _may_have_crashed(failure: inputs.AttemptFailed) -> bool:
+    may_have_run = failure.phase is inputs.FailurePhase.SENT
+    return may_have_run and failure.cause is inputs.FailureCause.BROKEN
 
 
-def caller_gone(world: entities.World, told: inputs.CallerGone) -> None:
-    """Stops work that nobody waits for, unless it must be recorded."""
-    request = world.requests.get(told.request_id)
+def caller_gone(world: entities.World, message: inputs.CallerGone) -> None:
+    """Stops work whose caller is gone, unless its outcome must be recorded."""
+    request = world.requests.get(message.request_id)
     if request is None:
         return
     request.caller_gone = True
     if request.claim_key is not None:
-        # The call may have run; its outcome is kept for the caller's retry.
+        # The call may have run; its outcome is recorded for a retry.
         return
     if request.at_most_once and request.work.kind is work.WorkKind.PLAIN:
-        # Broken off in the middle, a call that can't be repeated leaves its
-        # caller without a way to bring it to an end.
+        # The call is left to run: cancelled halfway, it could neither be
+        # repeated nor completed by its caller.
         closing.leave(world, request)
         return
     if request.attempt_id in world.attempts:
@@ -204,23 +208,23 @@
 
 
 def reply_unstored(world: entities.World) -> None:
-    """Hands out answers whose record takes too long to write."""
+    """Delivers answers whose outcome takes too long to store."""
     for row in list(world.outcomes.values()):
         request = world.requests.get(row.request_id)
         if request is None or request.phase is not entities.Phase.STORING:
             continue
-        waited_ms = world.now_ms - request.answered_at_ms
-        if waited_ms >= world.policy.store_patience_ms:
+        storing_ms = world.now_ms - request.answered_at_ms
+        if storing_ms >= world.policy.store_patience_ms:
             reply(world, request)
 
 
 def _current(
     world: entities.World, attempt_id: str
 ) -> tuple[entities.RequestRow, entities.AttemptRow] | None:
-    """Returns request and attempt, or None for an attempt given up.
+    """Returns request and attempt, or None for an abandoned attempt.
 
-    An answer that comes late, after its request went elsewhere, must not
-    reach anybody: the caller would get two answers, or another's.
+    An answer that arrives after its request was sent elsewhere must be
+    dropped: the caller would get two answers, or another caller's.
     """
     attempt = world.attempts.get(attempt_id)
     if attempt is None:
@@ -231,18 +235,21 @@
     return request, attempt
 
 
-def _echo_holds(
+def _check_echo(
     world: entities.World,
     request: entities.RequestRow,
     attempt: entities.AttemptRow,
     echoed_request: str,
     stamp: work.Stamp,
 ) -> bool:
-    """Discards an attempt whose answer is built on another state.
+    """Cancels an attempt whose echoed stamp or request id does not match.
 
-    Between choice and first frame the engine may have restarted, loaded
+    Between dispatch and first frame the engine may have restarted, loaded
     other weights, or mixed up two connections. The caller would get an
     answer from older weights or of another workspace.
+
+    Returns:
+        Whether the echo matches.
     """
     if stamp == attempt.stamp and echoed_request == attempt.stream_id:
         return True
@@ -263,7 +270,7 @@
         return False
     closing.close_attempt(world, attempt.attempt_id)
     request.sent = True
-    # The engine itself is well, and its new state is known now.
+    # The engine is healthy, and its new state is now known.
     followup.retry(
         world,
         request,
@@ -274,39 +281,39 @@
     return False
 
 
-def _in_order(
+def _take_new_frames(
     request: entities.RequestRow, arrived: Iterable[work.Frame]
 ) -> tuple[tuple[work.Frame, ...], bool]:
-    """Returns the frames to relay, and whether one is missing."""
-    fresh: list[work.Frame] = []
+    """Returns the new frames to relay, and whether a frame is missing."""
+    new_frames: list[work.Frame] = []
     for frame in arrived:
         if frame.number < request.next_frame:
             continue
         # Events of a routed stream are numbered by the server, which may
-        # leave numbers out.
+        # skip numbers.
         gapless = request.work.route is None
         if gapless and frame.number > request.next_frame:
-            return tuple(fresh), True
-        fresh.append(frame)
+            return tuple(new_frames), True
+        new_frames.append(frame)
         request.next_frame = frame.number + 1
         if frame.terminal:
             break
-    return tuple(fresh), False
+    return tuple(new_frames), False
 
 
-def _hand_on(
+def _relay(
     world: entities.World,
     request: entities.RequestRow,
     attempt: entities.AttemptRow,
-    fresh: tuple[work.Frame, ...],
+    new_frames: tuple[work.Frame, ...],
 ) -> None:
     if not request.begun:
-        _begin(world, request, attempt)
+        _begin_stream(world, request, attempt)
     request.resumes = 0
-    world.emit(effects.Relay(request.request_id, fresh))
+    world.emit(effects.Relay(request.request_id, new_frames))
 
 
-def _begin(
+def _begin_stream(
     world: entities.World,
     request: entities.RequestRow,
     attempt: entities.AttemptRow,
@@ -317,8 +324,8 @@
     if server is not None and request.work.route is not None:
         pace.learn(world, attempt, server)
         rank = routing.priority(world, request)
-        before_ms = server.begun_sent_ms.get(rank, 0)
-        server.begun_sent_ms[rank] = max(before_ms, attempt.sent_at_ms)
+        previous_ms = server.begun_sent_ms.get(rank, 0)
+        server.begun_sent_ms[rank] = max(previous_ms, attempt.sent_at_ms)
     request.late = world.now_ms > request.deadline_at_ms
     world.emit(
         effects.BeginStream(
--- a/src/godwittack/core/claims.py
+++ b/src/godwittack/core/claims.py
@@ -1,4 +1,4 @@
-"""Claims a key before a call that may run at most once is sent."""
+"""Claims the key of an at-most-once call before the call is sent."""
 
 from __future__ import annotations
 
@@ -17,31 +17,31 @@
 
 
 def begin(world: entities.World, request: entities.RequestRow) -> None:
-    """Writes the first claim of a request."""
+    """Writes the claim of a new request."""
     request.phase = entities.Phase.CLAIMING
     request.claim_key = work.ClaimKey(
         request.workspace, request.work.target, request.work.idempotency_key
     )
     request.nonce = world.next_attempt_id()
-    _write(world, request, over_version=0)
+    _write_claim(world, request, over_version=0)
 
 
-def answered(world: entities.World, told: inputs.ClaimAnswered) -> None:
-    """Goes on with a request once the table service has spoken."""
-    request = world.requests.get(told.request_id)
+def answered(world: entities.World, reply: inputs.ClaimAnswered) -> None:
+    """Places or refuses a request by the result of its claim write."""
+    request = world.requests.get(reply.request_id)
     if request is None or request.phase is not entities.Phase.CLAIMING:
         return
-    match told.verdict:
+    match reply.verdict:
         case inputs.ClaimVerdict.HELD:
-            _held(world, request)
+            _place_claimed(world, request)
         case inputs.ClaimVerdict.TAKEN:
-            assert told.claim is not None
-            _taken(world, request, told.claim)
+            assert reply.claim is not None
+            _handle_existing_claim(world, request, reply.claim)
         case inputs.ClaimVerdict.UNANSWERED:
-            _unanswered(world, request)
+            _retry_claim(world, request)
 
 
-def _write(
+def _write_claim(
     world: entities.World, request: entities.RequestRow, *, over_version: int
 ) -> None:
     assert request.claim_key is not None
@@ -60,16 +60,16 @@
     )
 
 
-def _held(world: entities.World, request: entities.RequestRow) -> None:
+def _place_claimed(world: entities.World, request: entities.RequestRow) -> None:
     if request.caller_gone:
-        # Nobody waits and nothing was sent: the key stays free.
+        # The caller is gone and nothing was sent: the key is released.
         outcomes.store(world, request, work.ClaimState.RELEASED)
         closing.leave(world, request)
         return
     dispatching.place(world, request)
 
 
-def _taken(
+def _handle_existing_claim(
     world: entities.World, request: entities.RequestRow, claim: work.Claim
 ) -> None:
     if claim.fingerprint != request.work.fingerprint:
@@ -95,21 +95,21 @@
             )
             closing.finish(world, request, replayed=True)
         case work.ClaimState.RELEASED:
-            _write(world, request, over_version=claim.row_version)
+            _write_claim(world, request, over_version=claim.row_version)
         case work.ClaimState.UNKNOWN:
             _refuse_unknown(world, request)
         case work.ClaimState.CLAIMED:
-            _already_claimed(world, request, claim)
+            _refuse_claimed(world, request, claim)
 
 
-def _already_claimed(
+def _refuse_claimed(
     world: entities.World, request: entities.RequestRow, claim: work.Claim
 ) -> None:
-    """Answers for a call that another request of the key has claimed.
+    """Refuses a call whose key is claimed by another request.
 
-    A claim is never taken over: its holder may be paused between the claim
-    and the dispatch, and would send the call when it wakes. The symptom
-    would be a submission that ran twice.
+    A claim is never taken over: the daemon that wrote it may be paused
+    between claim and dispatch, and would send the call when it resumes. The
+    call would then run twice.
     """
     if claim.daemon not in world.live_daemons:
         _refuse_unknown(world, request)
@@ -141,15 +141,15 @@
     )
 
 
-def _unanswered(world: entities.World, request: entities.RequestRow) -> None:
+def _retry_claim(world: entities.World, request: entities.RequestRow) -> None:
     request.claim_tries += 1
     if request.claim_tries < world.policy.claim_tries:
-        # The same nonce again: if the first write took effect after all, the
-        # row that stands carries it and the claim is held.
-        _write(world, request, over_version=0)
+        # The nonce is the same: if an earlier write did take effect, the
+        # stored row carries this nonce and the claim is ours.
+        _write_claim(world, request, over_version=0)
         return
     # Nothing was sent, so "not run" is true. The row that the unanswered
-    # write may yet create must not block the caller's next try.
+    # write may still create must not block the caller's retry.
     outcomes.store(world, request, work.ClaimState.RELEASED)
     closing.refuse(
         world,
--- a/src/godwittack/core/dispatching.py
+++ b/src/godwittack/core/dispatching.py
@@ -1,4 +1,4 @@
-"""Sends requests to backend servers, or holds them back in fair order."""
+"""Sends requests to backend servers, or queues them in fair order."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def place(world: entities.World, request: entities.RequestRow) -> None:
-    """Dispatches a request, holds it back, or refuses it at once."""
+    """Dispatches a request, queues it, or refuses it at once."""
     if crashes.is_quarantined(world, request):
         refusing.quarantined(world, request)
         return
@@ -32,17 +32,21 @@
         return
     rank = routing.priority(world, request)
     queue = _queue(world, request.work.target, rank)
-    before = _waiting(world, request.work.target, rank)
-    must_hold = choice.wait_ms > world.policy.hold_ms or before > 0
+    queued_ahead = _queued_ahead(world, request.work.target, rank)
+    must_queue = choice.wait_ms > world.policy.hold_ms or queued_ahead > 0
     wait_ms = 0.0
-    if must_hold:
-        slots_ms = turns.slots_wait_ms(world, request.work.target, before)
-        ahead = queue.ahead(request.workspace)
-        turns_ms = turns.wait_ms(world, request.work.target, rank, before=ahead)
-        wait_ms = max(slots_ms, turns_ms)
+    if must_queue:
+        slots_wait_ms = turns.slots_wait_ms(
+            world, request.work.target, queued_ahead
+        )
+        queued_in_rank = queue.ahead(request.workspace)
+        pacing_wait_ms = turns.wait_ms(
+            world, request.work.target, rank, before=queued_in_rank
+        )
+        wait_ms = max(slots_wait_ms, pacing_wait_ms)
     if not _meets_deadline(world, request, choice, wait_ms):
         return
-    if not must_hold:
+    if not must_queue:
         queue.charge(
             workspace=request.workspace,
             weight=_weight(world, request),
@@ -50,39 +54,39 @@
         )
         dispatch(world, request, choice)
         return
-    held = _held(world, request.work.target)
-    if held >= _queue_limit(world, request):
+    queued = _queued_count(world, request.work.target)
+    if queued >= _queue_limit(world, request):
         refusing.not_run(
             world,
             request,
             effects.Reason.QUEUE_FULL,
-            f"{held} requests wait for {request.work.target} already",
+            f"{queued} requests wait for {request.work.target} already",
             refusing.retry_after_ms(choice.wait_ms),
         )
         return
-    _hold(world, request, wait_ms=choice.wait_ms)
+    _enqueue(world, request, wait_ms=choice.wait_ms)
 
 
 def _await_rest(world: entities.World, request: entities.RequestRow) -> None:
-    """Holds a request until a server has rested, or refuses it at once."""
+    """Queues a request until a server has rested, or refuses it at once."""
     target = request.work.target
-    has_room = _held(world, target) < min(
+    has_room = _queued_count(world, target) < min(
         resting.room(world, target), _queue_limit(world, request)
     )
     if not has_room or not resting.may_wait(world, request):
         refusing.no_server(world, request)
         return
     request.awaits_rest = True
-    _hold(world, request, wait_ms=resting.left_ms(world, request) or 0)
+    _enqueue(world, request, wait_ms=resting.left_ms(world, request) or 0)
 
 
-def _hold(
+def _enqueue(
     world: entities.World, request: entities.RequestRow, *, wait_ms: float
 ) -> None:
     """Puts a request into the queue of its rank."""
     rank = routing.priority(world, request)
     queue = _queue(world, request.work.target, rank)
-    before = _waiting(world, request.work.target, rank)
+    queued_ahead = _queued_ahead(world, request.work.target, rank)
     request.phase = entities.Phase.QUEUED
     request.queue_rank = rank
     if not len(queue) and not request.awaits_rest:
@@ -93,7 +97,7 @@
             request.request_id,
             target=request.work.target,
             wait_ms=round(wait_ms),
-            before=before,
+            before=queued_ahead,
             **availability.left_out(world, request.work.target),
         )
     queue.push(
@@ -127,7 +131,7 @@
         heard_at_ms=world.now_ms,
         expected_tokens=round(choice.uncached_tokens),
     )
-    _open(world, request, attempt)
+    _record_attempt(world, request, attempt)
     server.sent[attempt_id] = attempt
     rate_limits.sent(world, server)
     if server.ejected_until_ms:
@@ -149,9 +153,9 @@
             server_id=server.server_id,
             address=server.address,
             stamp=attempt.stamp,
-            # A pooled connection may be dead without either end knowing; a
+            # A pooled connection may be dead without either end noticing; a
             # call that may not be repeated could then be lost with its
-            # outcome unknown. A fresh one fails before anything is sent.
+            # outcome unknown. A new one fails before anything is sent.
             fresh_connection=request.at_most_once
             and request.work.kind is work.WorkKind.PLAIN,
             after=request.next_frame - 1 if request.work.route else 0,
@@ -171,30 +175,30 @@
 def resume(
     world: entities.World,
     request: entities.RequestRow,
-    broken: entities.AttemptRow,
+    lost_attempt: entities.AttemptRow,
 ) -> None:
-    """Opens a new connection to a stream that broke or went silent."""
-    server = world.servers.get(broken.server_id)
+    """Reconnects to a stream whose connection broke or stalled."""
+    server = world.servers.get(lost_attempt.server_id)
     assert server is not None
-    closing.close_attempt(world, broken.attempt_id)
+    closing.close_attempt(world, lost_attempt.attempt_id)
     attempt_id = world.next_attempt_id()
     attempt = entities.AttemptRow(
         attempt_id=attempt_id,
         request_id=request.request_id,
-        server_id=broken.server_id,
-        stamp=broken.stamp,
-        stream_id=broken.stream_id,
+        server_id=lost_attempt.server_id,
+        stamp=lost_attempt.stamp,
+        stream_id=lost_attempt.stream_id,
         sent_at_ms=world.now_ms,
         heard_at_ms=world.now_ms,
     )
     request.resumes += 1
-    _open(world, request, attempt)
+    _record_attempt(world, request, attempt)
     server.sent[attempt_id] = attempt
     world.emit(
         effects.Dispatch(
             request_id=request.request_id,
             attempt_id=attempt_id,
-            server_id=broken.server_id,
+            server_id=lost_attempt.server_id,
             address=server.address,
             stamp=attempt.stamp,
             resume_stream=attempt.stream_id,
@@ -205,10 +209,10 @@
 
 
 def drain(world: entities.World) -> None:
-    """Dispatches held-back requests while servers have room.
+    """Dispatches queued requests while servers have room.
 
     The most urgent rank comes first, as at the engines: a short prompt of an
-    urgent route need not wait behind long ones that are held.
+    urgent route need not wait behind long queued ones.
     """
     for target in sorted(world.freed_targets):
         by_rank = world.queues.get(target, {})
@@ -220,7 +224,7 @@
 
 
 def expire_queued(world: entities.World) -> None:
-    """Refuses held-back requests that can no longer be in time."""
+    """Refuses queued requests that can no longer be served in time."""
     for target, by_rank in world.queues.items():
         world.freed_targets.add(target)
         for rank, queue in by_rank.items():
@@ -229,23 +233,25 @@
                 if crashes.is_quarantined(world, request):
                     refusing.quarantined(world, request)
                     continue
-                if _rests_on(world, request):
+                if _is_rest_too_long(world, request):
                     refusing.no_server(world, request)
                     continue
                 if request.begin_by_ms > world.now_ms:
                     continue
-                before = _waiting(world, target, rank)
-                wait_ms = turns.slots_wait_ms(world, target, before)
+                queued_ahead = _queued_ahead(world, target, rank)
+                wait_ms = turns.slots_wait_ms(world, target, queued_ahead)
                 refusing.late(world, request, wait_ms)
 
 
-def _rests_on(world: entities.World, request: entities.RequestRow) -> bool:
-    """Returns whether the rests that a request waits for were made too long."""
+def _is_rest_too_long(
+    world: entities.World, request: entities.RequestRow
+) -> bool:
+    """Returns whether a rest that a request waits for was extended too far."""
     return request.awaits_rest and resting.is_hopeless(world, request)
 
 
-def _held(world: entities.World, target: str) -> int:
-    """Returns how many requests for a target are held back."""
+def _queued_count(world: entities.World, target: str) -> int:
+    """Returns how many requests for a target are queued."""
     return sum(map(len, world.queues[target].values()))
 
 
@@ -253,8 +259,8 @@
     return world.queues[target].setdefault(rank, fair.FairQueue())
 
 
-def _waiting(world: entities.World, target: str, rank: int) -> int:
-    """Returns how many requests of a rank and more urgent ones are held."""
+def _queued_ahead(world: entities.World, target: str, rank: int) -> int:
+    """Returns how many requests of a rank or a more urgent one are queued."""
     by_rank = world.queues[target]
     return sum(len(queue) for r, queue in by_rank.items() if r <= rank)
 
@@ -286,7 +292,7 @@
         dispatch(world, request, choice)
 
 
-def _open(
+def _record_attempt(
     world: entities.World,
     request: entities.RequestRow,
     attempt: entities.AttemptRow,
@@ -296,7 +302,7 @@
     request.phase = entities.Phase.RUNNING
     request.attempt_id = attempt.attempt_id
     request.attempts += 1
-    # Taken back where the server is known not to have begun.
+    # Undone if the server turns out not to have run the request.
     request.runs += 1
     world.attempts[attempt.attempt_id] = attempt
 
@@ -307,10 +313,13 @@
     choice: placing.Choice,
     queue_wait_ms: float,
 ) -> bool:
-    """Refuses at once what would only come too late.
+    """Refuses a request that is expected to miss its deadline.
+
+    Work that misses its deadline displaces work that would meet it, until in
+    an overload every request is late.
 
-    Work that misses its deadline takes the place of work that would not. The
-    symptom is an overload in which everything is late.
+    Returns:
+        Whether the request is expected to be in time.
     """
     expected_ms = choice.first_token_ms + queue_wait_ms
     left_ms = request.begin_by_ms - world.now_ms
@@ -327,11 +336,11 @@
 
 
 def _queue_limit(world: entities.World, request: entities.RequestRow) -> int:
-    room = world.policy.queue_total - world.queued()
+    free_places = world.policy.queue_total - world.queued()
     model_row = world.table.models.get(request.work.target)
     if model_row is None:
-        return room
-    return min(room, model_row.max_queue)
+        return free_places
+    return min(free_places, model_row.max_queue)
 
 
 def _stamp(
--- a/src/godwittack/core/doubt.py
+++ b/src/godwittack/core/doubt.py
@@ -1,8 +1,9 @@
-"""Notices servers that fell silent, long before a request's time is over.
+"""Probes servers that stopped responding, well before requests time out.
 
-Load pattern: a server goes dark under full load. Its connections stay open and
-say nothing, and it is listed until its entry lapses, some four seconds later.
-Every daemon would learn of it by requests that it loses there.
+Load pattern: a server stops responding under full load. Its connections stay
+open but carry nothing, and it stays listed until its entry expires, some four
+seconds later. Without probes, every daemon would learn of the failure only
+from the requests that it loses there.
 """
 
 from __future__ import annotations
@@ -23,35 +24,36 @@
 if TYPE_CHECKING:
     from godwittack.core import entities
 
-# Silence of a server that has requests of ours, after which it is asked for a
-# sign of life. A long prompt takes some 300 ms in which nothing is sent, and
-# the question costs a busy server nothing.
-SILENT_MS = 300
-# Added for the daemon that asks last, where there are many. The first that
-# gets no answer tells all; sixty that asked at once were half of what engines
-# were asked beside requests, mostly for prompts that took a little longer.
-SPREAD_MS = 600
-# Smoothed answer times for which a plain service may be silent. A probe waits
-# in the same queue as calls do, and makes it longer.
-SERVICE_TIMES = 3.0
-# Pause between two questions.
-ASK_AGAIN_MS = 600
+# Time without progress after which a server with requests from this daemon is
+# probed. A long prompt takes some 300 ms in which nothing is sent, and a probe
+# costs a busy server nothing.
+PROBE_AFTER_MS = 300
+# Added for the last of many daemons to probe a server, since the first that
+# gets no response notifies all others. When sixty daemons probed at once, their
+# probes were half of all calls to engines besides requests, mostly for prompts
+# that took a little longer.
+PROBE_SPREAD_MS = 600
+# Multiple of a plain service's smoothed answer time after which it is probed. A
+# probe waits in the same queue as calls and makes it longer.
+SERVICE_TIME_FACTOR = 3.0
+# Minimum time between two probes of a server.
+PROBE_INTERVAL_MS = 600
 
 
 def check(world: entities.World) -> None:
-    """Asks servers that owe an answer and say nothing."""
+    """Probes servers that have requests in flight but do not respond."""
     if world.table.forwarding is None:
         return
     for server in world.servers.values():
-        if server.sent and _is_silent(world, server):
+        if server.sent and _is_unresponsive(world, server):
             ask(world, server)
 
 
 def check_ejected(world: entities.World) -> None:
-    """Looks for a sign of life of ejected servers when their pause is over."""
+    """Checks whether ejected servers are back once their pause is over."""
     for server in world.servers.values():
-        due = 0 < server.ejected_until_ms <= world.now_ms
-        if not server.failures or not due or server.leaving:
+        is_pause_over = 0 < server.ejected_until_ms <= world.now_ms
+        if not server.failures or not is_pause_over or server.leaving:
             continue
         if availability.is_resting(world, server):
             continue
@@ -71,7 +73,7 @@
 def _is_reported_by_another(
     world: entities.World, server: entities.ServerRow
 ) -> bool:
-    """Returns whether a report will tell that an ejected server is back.
+    """Returns whether another daemon's reports will show that a server is back.
 
     In a large fleet one daemon polls each engine and publishes its load. The
     subscribers of those reports need no probes of their own.
@@ -80,84 +82,92 @@
         return False
     if server.target not in world.table.models or server.reported_at_ms < 0:
         return False
-    unheard_ms = server.ejected_at_ms - server.reported_at_ms
-    return unheard_ms < world.policy.report_stale_ms
+    report_age_ms = server.ejected_at_ms - server.reported_at_ms
+    return report_age_ms < world.policy.report_stale_ms
 
 
 def ask(world: entities.World, server: entities.ServerRow) -> None:
-    """Asks a server for a sign of life, unless it was asked just now."""
-    if world.now_ms - server.asked_at_ms < ASK_AGAIN_MS:
+    """Probes a server, unless it was probed just now."""
+    if world.now_ms - server.asked_at_ms < PROBE_INTERVAL_MS:
         return
     server.asked_at_ms = world.now_ms
     world.emit(effects.Probe(server.server_id, server.address))
 
 
-def told(world: entities.World, doubted: server_inputs.ServerDoubted) -> None:
-    """Takes in that a server did not answer another daemon.
+def told(world: entities.World, report: server_inputs.ServerDoubted) -> None:
+    """Probes a server that did not respond to another daemon.
 
-    Believed at once, one daemon with a broken path would take every server
-    from all others; so each asks for itself.
+    Each daemon probes for itself: were the report trusted, one daemon with a
+    broken network path would make all others eject every server.
     """
-    server = world.servers.get(doubted.server_id)
+    server = world.servers.get(report.server_id)
     if server is not None and server.ejected_until_ms <= world.now_ms:
         ask(world, server)
 
 
-def probed(
-    world: entities.World, answered: server_inputs.ProbeAnswered
-) -> None:
-    """Takes in whether a server gave a sign of life."""
-    server = world.servers.get(answered.server_id)
+def probed(world: entities.World, result: server_inputs.ProbeAnswered) -> None:
+    """Records the result of a probe, and moves requests off a dead server."""
+    server = world.servers.get(result.server_id)
     if server is None:
         return
-    if answered.alive:
-        crashes.alive(world, server, answered.incarnation)
-    elif answered.ended:
+    if result.alive:
+        crashes.alive(world, server, result.incarnation)
+    elif result.ended:
         crashes.ended(world, server)
-    if answered.alive and not server.ejected_until_ms:
+    if result.alive and not server.ejected_until_ms:
         server.heard_at_ms = world.now_ms
         return
-    was_trusted = not server.ejected_until_ms
-    servers.probed(world, answered)
-    if answered.alive or world.table.forwarding is None:
+    was_in_service = not server.ejected_until_ms
+    servers.probed(world, result)
+    if result.alive or world.table.forwarding is None:
         return
-    if was_trusted:
+    if was_in_service:
         world.emit(effects.Doubt(server.server_id, server.target))
-        _note_broken(world, server)
-    _move_away(world, server)
+        _record_possible_crashes(world, server)
+    _move_requests(world, server)
 
 
-def _is_silent(world: entities.World, server: entities.ServerRow) -> bool:
+def _is_unresponsive(world: entities.World, server: entities.ServerRow) -> bool:
     if server.ejected_until_ms > world.now_ms:
         return False
-    oldest_ms = min(attempt.heard_at_ms for attempt in server.sent.values())
-    since_ms = max(oldest_ms, server.heard_at_ms)
-    silent_ms = world.now_ms - since_ms
-    return silent_ms >= SILENT_MS and silent_ms >= _patience_ms(world, server)
+    oldest_progress_ms = min(
+        attempt.heard_at_ms for attempt in server.sent.values()
+    )
+    last_contact_ms = max(oldest_progress_ms, server.heard_at_ms)
+    silent_ms = world.now_ms - last_contact_ms
+    return silent_ms >= PROBE_AFTER_MS and silent_ms >= _silence_limit_ms(
+        world, server
+    )
 
 
-def _patience_ms(world: entities.World, server: entities.ServerRow) -> float:
-    least_ms = float(SILENT_MS)
+def _silence_limit_ms(
+    world: entities.World, server: entities.ServerRow
+) -> float:
+    limit_ms = float(PROBE_AFTER_MS)
     if server.target in world.table.services:
         usual_ms = world.service_ms.get(server.target, 0.0)
-        least_ms = max(least_ms, SERVICE_TIMES * usual_ms)
-    names = tuple(sorted(world.live_daemons))
-    if len(names) <= duty.MESH_LIMIT or world.daemon not in names:
-        return least_ms
-    order = duty.askers(server.server_id, names)
-    return least_ms + SPREAD_MS * order.index(world.daemon) / len(order)
+        limit_ms = max(limit_ms, SERVICE_TIME_FACTOR * usual_ms)
+    daemons = tuple(sorted(world.live_daemons))
+    if len(daemons) <= duty.MESH_LIMIT or world.daemon not in daemons:
+        return limit_ms
+    probe_order = duty.askers(server.server_id, daemons)
+    return limit_ms + PROBE_SPREAD_MS * probe_order.index(world.daemon) / len(
+        probe_order
+    )
 
 
-def _note_broken(world: entities.World, server: entities.ServerRow) -> None:
-    """Notes what a dead server ran, in case its process ended under that."""
+def _record_possible_crashes(
+    world: entities.World, server: entities.ServerRow
+) -> None:
+    """Records a dead server's requests, in case one of them crashed it."""
     for attempt in server.sent.values():
         request = world.requests.get(attempt.request_id)
         if request is not None:
             crashes.broke(world, request, attempt)
 
 
-def _move_away(world: entities.World, server: entities.ServerRow) -> None:
-    """Lets other servers do what a dead one was asked and may be repeated."""
+def _move_requests(world: entities.World, server: entities.ServerRow) -> None:
+    """Moves requests that may be repeated from a dead server to others."""
     for attempt in list(server.sent.values()):
         request = world.requests.get(attempt.request_id)
         if request is None or request.work.route is None:
--- a/src/godwittack/core/followup.py
+++ b/src/godwittack/core/followup.py
@@ -1,4 +1,4 @@
-"""Decides what follows an attempt that brought no whole answer."""
+"""Retries, resumes or ends a request whose attempt did not complete."""
 
 from __future__ import annotations
 
@@ -25,7 +25,15 @@
     *,
     avoid: bool = True,
 ) -> None:
-    """Sends a request elsewhere, or ends it where that is not allowed."""
+    """Places a request again, or refuses it if no retry is allowed.
+
+    Args:
+        world: Tables.
+        request: The request.
+        attempt: Its attempt that failed.
+        detail: Why the attempt failed.
+        avoid: Whether to exclude the server of that attempt.
+    """
     if avoid:
         request.avoid.add(attempt.server_id)
     if retries.allowed(world, request):
@@ -45,7 +53,7 @@
         outcome = effects.Outcome.UNKNOWN
     else:
         outcomes.store(world, request, work.ClaimState.RELEASED)
-        # To callers that come by a route, 503 says that nothing has run.
+        # On routes, 503 means to callers that nothing has run.
         status = 503 if request.work.route else 502
     closing.refuse(
         world,
@@ -61,9 +69,9 @@
 def place_anew(
     world: entities.World, request: entities.RequestRow, detail: str
 ) -> None:
-    """Places a request anew of whose attempt no byte was sent.
+    """Places a request again after an attempt of which no byte was sent.
 
-    Nothing has reached a server, so that it counts against no limit.
+    No server received anything, so the attempt counts against no limit.
     """
     closing.close_attempt(world, request.attempt_id)
     request.attempts -= 1
@@ -80,7 +88,7 @@
 def outcome_lost(
     world: entities.World, request: entities.RequestRow, detail: str
 ) -> None:
-    """Ends a call that may have run, and says so."""
+    """Refuses a call that may have run, with outcome unknown."""
     outcomes.store(world, request, work.ClaimState.UNKNOWN)
     closing.refuse(
         world,
@@ -98,13 +106,13 @@
     attempt: entities.AttemptRow,
     detail: str,
 ) -> None:
-    """Goes on with a begun stream on a fresh connection, or ends it."""
+    """Resumes a begun stream, or ends it with an error."""
     if request.resumes >= world.policy.max_resumes:
         break_stream(world, request, f"could not be resumed: {detail}")
         return
     route = request.work.route
     if route is not None:
-        _go_on_elsewhere(world, request, attempt, detail)
+        _resume_elsewhere(world, request, attempt, detail)
         return
     if attempt.server_id not in world.servers:
         break_stream(world, request, "its backend server is gone")
@@ -119,13 +127,13 @@
     dispatching.resume(world, request, attempt)
 
 
-def _go_on_elsewhere(
+def _resume_elsewhere(
     world: entities.World,
     request: entities.RequestRow,
     attempt: entities.AttemptRow,
     detail: str,
 ) -> None:
-    """Lets another server make the rest of a stream, or ends it broken."""
+    """Continues a stream on another server, or ends it with an error."""
     route = request.work.route
     assert route is not None
     closing.close_attempt(world, attempt.attempt_id)
@@ -147,7 +155,7 @@
 def answer_may_improve(
     request: entities.RequestRow, answer: work.Answer
 ) -> bool:
-    """Returns whether another server could give a better answer."""
+    """Returns whether to retry on another server after an error response."""
     route = request.work.route
     return (
         route is not None
@@ -159,7 +167,7 @@
 def break_stream(
     world: entities.World, request: entities.RequestRow, detail: str
 ) -> None:
-    """Ends a begun stream so that it does not look whole."""
+    """Ends a begun stream with an error, so that it does not look complete."""
     closing.refuse(
         world,
         request,
--- a/src/godwittack/core/resuming.py
+++ b/src/godwittack/core/resuming.py
@@ -1,4 +1,4 @@
-"""Resumes a stream that another daemon, perhaps a dead one, had begun."""
+"""Resumes a stream begun by another daemon, which may be dead."""
 
 from __future__ import annotations
 
@@ -20,49 +20,49 @@
 RESUME_DEADLINE_MS = 10_000
 
 
-def resume(world: entities.World, told: inputs.StreamResumed) -> None:
+def resume(world: entities.World, message: inputs.StreamResumed) -> None:
     """Opens the stream named by a checked resume token.
 
-    The token's signature was checked where it entered; here it is checked
-    that the caller is the workspace that the stream was made for.
+    The token's signature was verified on arrival. This checks that the caller
+    belongs to the workspace that the stream was made for.
     """
     workspace = admission.authenticate(
-        world, told.request_id, told.token_sha256
+        world, message.request_id, message.token_sha256
     )
     if workspace is None:
         return
     request = entities.RequestRow(
-        request_id=told.request_id,
+        request_id=message.request_id,
         work=work.Work(
             kind=work.WorkKind.GENERATION,
-            token_sha256=told.token_sha256,
-            target=told.stamp.target,
+            token_sha256=message.token_sha256,
+            target=message.stamp.target,
             streaming=True,
         ),
         workspace=workspace.name,
         arrived_at_ms=world.now_ms,
         deadline_at_ms=world.now_ms + RESUME_DEADLINE_MS,
-        next_frame=told.after + 1,
+        next_frame=message.after + 1,
     )
     world.requests[request.request_id] = request
     request.cells = tuple(splitting.limits(world, request, workspace))
     for cell in request.cells:
         world.shares.began(cell)
-    server = world.servers.get(told.server_id)
-    if workspace.name != told.stamp.workspace or server is None:
+    server = world.servers.get(message.server_id)
+    if workspace.name != message.stamp.workspace or server is None:
         _refuse(world, request, server is None)
         return
-    placeholder = entities.AttemptRow(
+    original_attempt = entities.AttemptRow(
         attempt_id="",
         request_id=request.request_id,
-        server_id=told.server_id,
-        stamp=told.stamp,
-        stream_id=told.stream_id,
+        server_id=message.server_id,
+        stamp=message.stamp,
+        stream_id=message.stream_id,
         sent_at_ms=world.now_ms,
         heard_at_ms=world.now_ms,
     )
     request.begun_elsewhere = True
-    dispatching.resume(world, request, placeholder)
+    dispatching.resume(world, request, original_attempt)
 
 
 def _refuse(
--- a/src/godwittack/core/retries.py
+++ b/src/godwittack/core/retries.py
@@ -1,4 +1,4 @@
-"""Decides whether a request may be sent once more."""
+"""Decides whether a request may be retried."""
 
 from __future__ import annotations
 
@@ -11,13 +11,14 @@
 if TYPE_CHECKING:
     from godwittack.core import entities
 
-# Dispatches of one routed request that servers declined, beyond those that
-# may have run: a stale list may name a few servers that are full or gone.
+# Limit on dispatches of a routed request that servers declined, besides those
+# that may have run: a stale instance list may contain a few servers that are
+# full or gone.
 MAX_DECLINED = 3
 
 
 class Limit(enum.StrEnum):
-    """What keeps a request from being sent once more."""
+    """Limit that prevents a retry."""
 
     DEADLINE = "deadline"
     ATTEMPTS = "attempts"
@@ -27,8 +28,8 @@
 
 
 def allowed(world: entities.World, request: entities.RequestRow) -> bool:
-    """Returns whether to send again, and takes the retry off its budget."""
-    limit = _limit(world, request)
+    """Returns whether to retry; if so, spends a token of the retry budget."""
+    limit = _exceeded_limit(world, request)
     if limit is None:
         return True
     world.event(
@@ -45,7 +46,7 @@
 
 
 def budget_state(world: entities.World, target: str) -> dict[str, float]:
-    """Returns what a budget's word was made from, and the age of that."""
+    """Returns a target's retry budget, its inputs and their age, for the log."""
     if not world.policy.budget_by_target:
         return {"tokens": round(world.retry_budget.tokens, 2)}
     shared = _shared_budget(world, target)
@@ -59,61 +60,66 @@
     }
 
 
-def _limit(world: entities.World, request: entities.RequestRow) -> Limit | None:
+def _exceeded_limit(
+    world: entities.World, request: entities.RequestRow
+) -> Limit | None:
     if world.now_ms >= request.deadline_at_ms:
         return Limit.DEADLINE
-    if _tries_used(world, request):
+    if _has_no_attempts_left(world, request):
         return Limit.ATTEMPTS
     if crashes.is_suspect(world, request):
         return Limit.CRASHES
     if resting.is_hopeless(world, request):
         return Limit.REST
-    return None if _spend(world, request.work.target) else Limit.BUDGET
+    return None if _spend_token(world, request.work.target) else Limit.BUDGET
 
 
 def earn(world: entities.World, target: str) -> None:
-    """Counts an accepted request, which earns a part of a retry."""
+    """Counts an accepted request, which earns a fraction of a retry."""
     if world.policy.budget_by_target:
         _shared_budget(world, target).earn(now_ms=world.now_ms)
     else:
         world.retry_budget.earn()
 
 
-def _spend(world: entities.World, target: str) -> bool:
+def _spend_token(world: entities.World, target: str) -> bool:
     if world.policy.budget_by_target:
         return _shared_budget(world, target).spend(now_ms=world.now_ms)
     return world.retry_budget.spend()
 
 
-def _tries_used(world: entities.World, request: entities.RequestRow) -> bool:
+def _has_no_attempts_left(
+    world: entities.World, request: entities.RequestRow
+) -> bool:
     route = request.work.route
     if route is None:
         return request.attempts >= world.policy.max_attempts
-    # A server that declined has not run the request, so that it counts
-    # against no limit of the route.
+    # A server that declined did not run the request, so it does not count
+    # against the route's limit.
     declined = request.attempts - request.runs
     return request.runs >= route.max_attempts or declined > MAX_DECLINED
 
 
 def _shared_budget(world: entities.World, target: str) -> budget.SharedBudget:
-    """Returns this daemon's part of the budget for retries at `target`.
+    """Returns this daemon's part of the retry budget of `target`.
 
-    While views differ, parts reckoned for the daemons that answer would add up
-    to more than the whole.
+    It is divided by the highest number of daemons known so far: while their
+    views of the membership differ, parts computed from the live daemons alone
+    could add up to more than the whole budget.
     """
     policy = world.policy
     part = policy.retry_burst / world.most_daemons
-    found = world.target_budgets.get(target)
-    if found is None:
-        found = world.target_budgets[target] = budget.SharedBudget(
+    shared = world.target_budgets.get(target)
+    if shared is None:
+        shared = world.target_budgets[target] = budget.SharedBudget(
             ratio=policy.retry_ratio,
             saved_ratio=policy.retry_saved_ratio,
             window_ms=policy.retry_window_ms,
             part=part,
             granted_at_ms=world.started_at_ms + policy.retry_window_ms,
         )
-    found.resize(part)
-    return found
+    shared.resize(part)
+    return shared
 
 
 __all__ = ["Limit", "allowed", "budget_state", "earn"]
--- a/src/godwittack/core/sending.py
+++ b/src/godwittack/core/sending.py
@@ -1,4 +1,4 @@
-"""What is counted and told when a request is sent on."""
+"""Logs a placement and accounts for its prompt when it is dispatched."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     choice: placing.Choice,
     attempt_id: str,
 ) -> None:
-    """Tells what a choice was made from, and how old that was."""
+    """Logs a placement with its inputs and their age."""
     assert request.work.route is not None
     server = choice.server
     world.event(
@@ -46,7 +46,7 @@
 def cached_keys(
     request: entities.RequestRow, server: entities.ServerRow
 ) -> tuple[int, ...]:
-    """Returns the keys of what a server will have cached."""
+    """Returns the keys of the prompt levels that a server will have cached."""
     if request.work.route is None:
         return tuple(level.key for level in request.work.levels)
     return tuple(
@@ -61,7 +61,7 @@
     choice: placing.Choice,
     keys: tuple[int, ...],
 ) -> None:
-    """Counts a prompt in its server's backlog, here and at other daemons."""
+    """Adds a prompt to its server's backlog, here and at other daemons."""
     priority = routing.priority(world, request)
     tokens = round(choice.uncached_tokens)
     backlog.add(world, choice.server, tokens=tokens, priority=priority)
@@ -79,7 +79,7 @@
 
 
 def ends_at_ms(request: entities.RequestRow) -> int:
-    """Returns when the time for an answer is over; 0 for no limit."""
+    """Returns when a final answer is due; 0 for no limit."""
     if not request.give_up_at_ms:
         return 0
     return min(request.deadline_at_ms, request.give_up_at_ms)
--- a/src/godwittack/core/silence.py
+++ b/src/godwittack/core/silence.py
@@ -1,4 +1,4 @@
-"""Acts on attempts that show no progress for too long."""
+"""Enforces the time limits of attempts and requests."""
 
 from __future__ import annotations
 
@@ -12,56 +12,58 @@
     work,
 )
 
-# When a request that never ran may come back after its time was over.
-GIVEN_UP_RETRY_MS = 500
+# Retry-After of a request that timed out before it was sent.
+TIMED_OUT_RETRY_MS = 500
 
 
 def check(world: entities.World) -> None:
-    """Acts on attempts that showed no progress for too long."""
+    """Retries, resumes or ends attempts that made no progress for too long."""
     for attempt in list(world.attempts.values()):
         request = world.requests.get(attempt.request_id)
         if request is None:
             continue
-        silent_ms = world.now_ms - attempt.heard_at_ms
+        idle_ms = world.now_ms - attempt.heard_at_ms
         if request.begun or request.begun_elsewhere:
-            if silent_ms >= world.policy.frame_gap_ms:
-                _silent_stream(world, request, attempt)
+            if idle_ms >= world.policy.frame_gap_ms:
+                _handle_stalled_stream(world, request, attempt)
         elif request.work.kind is work.WorkKind.GENERATION:
-            if silent_ms >= _first_frame_ms(world, request):
-                _silent_start(world, request, attempt)
-        elif silent_ms >= world.policy.answer_patience_ms:
-            _silent_call(world, request, attempt)
+            if idle_ms >= _first_frame_limit_ms(world, request):
+                _handle_stalled_start(world, request, attempt)
+        elif idle_ms >= world.policy.answer_patience_ms:
+            _handle_stalled_call(world, request, attempt)
 
 
-def _first_frame_ms(world: entities.World, request: entities.RequestRow) -> int:
+def _first_frame_limit_ms(
+    world: entities.World, request: entities.RequestRow
+) -> int:
     if request.work.streaming:
         return world.policy.first_frame_ms
     return world.policy.answer_patience_ms
 
 
-def _silent_stream(
+def _handle_stalled_stream(
     world: entities.World,
     request: entities.RequestRow,
     attempt: entities.AttemptRow,
 ) -> None:
     if request.work.route and not request.work.route.resumable:
-        # Nothing else could make the rest, so that only waiting can help.
+        # No other server could continue the stream, so it only waits.
         return
-    # A connection can go silent for good while new ones to the same server
-    # work. Only a fresh one tells a dead path from a dead engine.
+    # A connection can stall for good while new ones to the same server work.
+    # Only a new one distinguishes a dead network path from a dead engine.
     world.emit(effects.CancelAttempt(attempt.attempt_id, False))
     followup.resume_or_break(world, request, attempt, "silent between frames")
 
 
-def _silent_start(
+def _handle_stalled_start(
     world: entities.World,
     request: entities.RequestRow,
     attempt: entities.AttemptRow,
 ) -> None:
     if request.at_most_once:
-        # It may be running: sent again, it would run twice.
+        # It may be running: on a retry it would run twice.
         return
-    if _is_in_line(world, request, attempt):
+    if _is_queued_at_server(world, request, attempt):
         return
     world.emit(effects.CancelAttempt(attempt.attempt_id, True))
     servers.silent(world, attempt)
@@ -70,18 +72,18 @@
     followup.retry(world, request, attempt, "silent before the first frame")
 
 
-def _is_in_line(
+def _is_queued_at_server(
     world: entities.World,
     request: entities.RequestRow,
     attempt: entities.AttemptRow,
 ) -> bool:
-    """Returns whether a server that lives has yet to come to a request.
+    """Returns whether a request still waits in the queue of a live server.
 
-    Load pattern: two of five servers are dark, the others have more than a
-    second of prompts before them. Taken for hung, those that wait were sent
-    elsewhere, computed a second time, and the last servers paused for it. A
-    server that has begun what was sent to it later, and was no more urgent,
-    has lost a request; one that has not is busy.
+    Load pattern: two of five servers do not respond, and the others have more
+    than a second of prompts queued. If queued requests were considered hung,
+    they would be sent elsewhere and computed a second time, and the remaining
+    servers would be ejected. A server that has begun a request that was sent
+    later and is no more urgent has lost this one; otherwise it is busy.
     """
     server = world.servers.get(attempt.server_id)
     if server is None:
@@ -89,7 +91,7 @@
     if world.now_ms - server.heard_at_ms >= world.policy.first_frame_ms:
         return False
     rank = routing.priority(world, request)
-    overtaken_ms = max(
+    newest_begun_sent_ms = max(
         (
             sent_ms
             for other, sent_ms in server.begun_sent_ms.items()
@@ -97,10 +99,10 @@
         ),
         default=-1,
     )
-    return overtaken_ms <= attempt.sent_at_ms
+    return newest_begun_sent_ms <= attempt.sent_at_ms
 
 
-def _silent_call(
+def _handle_stalled_call(
     world: entities.World,
     request: entities.RequestRow,
     attempt: entities.AttemptRow,
@@ -115,10 +117,10 @@
 
 
 def give_up(world: entities.World) -> None:
-    """Ends requests whose last moment for a final answer has come.
+    """Ends requests whose time limit for a final answer has passed.
 
-    Held open beyond it, a request would keep its caller waiting for what
-    can't come in time, and a place at a server that others could use.
+    Kept open longer, a request would make its caller wait for an answer that
+    is too late, and occupy a server slot that others could use.
     """
     for request in list(world.requests.values()):
         if not 0 < request.give_up_at_ms <= world.now_ms:
@@ -136,7 +138,7 @@
             outcome=outcome,
             reason=effects.Reason.TIMEOUT,
             detail="the route's time for an answer is over",
-            retry_after_ms=0 if request.sent else GIVEN_UP_RETRY_MS,
+            retry_after_ms=0 if request.sent else TIMED_OUT_RETRY_MS,
         )
 
 
--- a/src/godwittack/core/turns.py
+++ b/src/godwittack/core/turns.py
@@ -1,9 +1,10 @@
-"""Learns how fast held-back requests get their turn.
+"""Measures how fast queued requests are dispatched.
 
-Load pattern: more requests than the servers can do, for seconds. Each daemon
-sees its own queue alone, and the servers are shared with the others: by their
-slots its queue would be through in no time, and everything that is held waits
-until its deadline, behind what is late as well.
+Load pattern: for seconds, more requests arrive than the servers can serve.
+Each daemon sees only its own queue, while the servers are shared with other
+daemons. Estimated from the servers' slots alone, the queue would seem short,
+and every queued request would wait until its deadline behind others that are
+late too.
 """
 
 from __future__ import annotations
@@ -19,12 +20,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Turn:
-    """Turns of the requests of one target and rank.
+    """Interval between dispatches from the queue of one target and rank.
 
     Attributes:
-        smoothed_ms: Time from one turn to the next, while requests wait.
-        since_ms: When the last turn was, or the first request began to wait;
-            -1 while none waits.
+        smoothed_ms: Time from one dispatch to the next while requests wait.
+        since_ms: When a request was last dispatched or the first one was
+            queued; -1 while the queue is empty.
     """
 
     smoothed_ms: float = 0.0
@@ -32,7 +33,7 @@
 
 
 def begin(world: entities.World, target: str, rank: int) -> None:
-    """Notes that the first of a rank's requests is held back."""
+    """Records that the first request of a rank was queued."""
     _turn(world, target, rank).since_ms = world.now_ms
 
 
@@ -44,39 +45,39 @@
     left: int,
     tells_pace: bool = True,
 ) -> None:
-    """Notes that a held-back request got its turn.
+    """Records that a queued request was dispatched.
 
     Args:
         world: Tables.
         target: Its target.
-        rank: Rank of the queue that it was held in.
-        left: How many others wait there.
-        tells_pace: Whether it waited for its turn alone, not for a rest.
+        rank: Rank of its queue.
+        left: How many requests remain in that queue.
+        tells_pace: Whether its wait counts: not if it waited for a rest.
     """
     turn = _turn(world, target, rank)
     if turn.since_ms >= 0 and tells_pace:
         gap_ms = world.now_ms - turn.since_ms
-        before_ms = turn.smoothed_ms or float(gap_ms)
-        turn.smoothed_ms = before_ms + SMOOTHING * (gap_ms - before_ms)
+        previous_ms = turn.smoothed_ms or float(gap_ms)
+        turn.smoothed_ms = previous_ms + SMOOTHING * (gap_ms - previous_ms)
     turn.since_ms = world.now_ms if left else -1
 
 
 def wait_ms(
     world: entities.World, target: str, rank: int, *, before: int
 ) -> float:
-    """Returns how long a request waits behind `before` of its rank."""
+    """Returns how long a request waits behind `before` others of its rank."""
     turn = _turn(world, target, rank)
-    longest_ms = turn.smoothed_ms
+    interval_ms = turn.smoothed_ms
     if turn.since_ms >= 0:
-        # No turn for long: the servers do less than they did.
-        longest_ms = max(longest_ms, float(world.now_ms - turn.since_ms))
-    return before * longest_ms
+        # A longer gap than usual means that the servers have slowed down.
+        interval_ms = max(interval_ms, float(world.now_ms - turn.since_ms))
+    return before * interval_ms
 
 
 def slots_wait_ms(world: entities.World, target: str, before: int) -> float:
-    """Returns how long a request waits by the servers' slots alone.
+    """Estimates from the servers' slots alone how long a request waits.
 
-    It is the least: other daemons send to the same servers.
+    This is a lower bound, since other daemons send to the same servers.
     """
     servers = [
         server
@@ -86,11 +87,11 @@
     ]
     if not servers or not before:
         return 0.0
-    # Each held-back request takes a turn: the time a slot is busy over the
-    # slots there are.
+    # Each queued request adds the time that a slot is busy, divided by the
+    # number of slots.
     slots = sum(server.slots or world.policy.slots for server in servers)
-    turn_ms = world.service_ms.get(target, 0.0) / slots
-    return before * turn_ms
+    slot_interval_ms = world.service_ms.get(target, 0.0) / slots
+    return before * slot_interval_ms
 
 
 def _turn(world: entities.World, target: str, rank: int) -> Turn:
