--- a/src/godwittack/core/attempts.py
+++ b/src/godwittack/core/attempts.py
@@ -24,7 +24,7 @@
     from collections.abc import Iterable
 
 
-def opened(world: entities.World, message: inputs.AttemptOpened) -> None:
+def handle_opened(world: entities.World, message: inputs.AttemptOpened) -> None:
     """Checks the engine state that the head of a stream reports."""
     current = _current(world, message.attempt_id)
     if current is None:
@@ -40,7 +40,7 @@
             request.head = message.head
 
 
-def frames(world: entities.World, message: inputs.FramesArrived) -> None:
+def relay_frames(world: entities.World, message: inputs.FramesArrived) -> None:
     """Relays each frame of a stream once and in order."""
     current = _current(world, message.attempt_id)
     if current is None:
@@ -66,7 +66,7 @@
         followup.resume_or_break(world, request, attempt, "a frame is missing")
 
 
-def answer(world: entities.World, message: inputs.AnswerArrived) -> None:
+def handle_answer(world: entities.World, message: inputs.AnswerArrived) -> None:
     """Records a complete answer, then retries, stores or delivers it."""
     current = _current(world, message.attempt_id)
     if current is None:
@@ -87,7 +87,7 @@
     )
     closing.close_attempt(world, attempt.attempt_id)
     request.answer = message.answer
-    if followup.answer_may_improve(request, message.answer):
+    if followup.is_retryable_answer(request, message.answer):
         # The error response is kept: it goes to the caller if no other
         # attempt gets a better one.
         request.sent = True
@@ -109,7 +109,7 @@
     closing.reply(world, request)
 
 
-def usage(world: entities.World, report: inputs.UsageReported) -> None:
+def log_usage(world: entities.World, report: inputs.UsageReported) -> None:
     """Logs the token counts that an engine reported for an attempt."""
     attempt = world.attempts.get(report.attempt_id)
     if attempt is None:
@@ -131,14 +131,16 @@
     )
 
 
-def failed(world: entities.World, failure: inputs.AttemptFailed) -> None:
+def handle_failure(
+    world: entities.World, failure: inputs.AttemptFailed
+) -> None:
     """Retries, resumes or ends a request whose attempt failed."""
     current = _current(world, failure.attempt_id)
     if current is None:
         return
     request, attempt = current
     if failure.cause is inputs.FailureCause.WITHHELD:
-        followup.place_anew(world, request, failure.detail)
+        followup.place_again(world, request, failure.detail)
         return
     if failure.phase is inputs.FailurePhase.SENT:
         request.sent = True
@@ -168,7 +170,7 @@
         return
     closing.close_attempt(world, attempt.attempt_id)
     if request.at_most_once and request.sent:
-        followup.outcome_lost(world, request, failure.detail)
+        followup.refuse_unknown(world, request, failure.detail)
         return
     # A resting server gets no work anyway, and may be used after its rest.
     avoid = not _is_resting(world, attempt)
@@ -185,7 +187,9 @@
     return may_have_run and failure.cause is inputs.FailureCause.BROKEN
 
 
-def caller_gone(world: entities.World, message: inputs.CallerGone) -> None:
+def handle_caller_gone(
+    world: entities.World, message: inputs.CallerGone
+) -> None:
     """Stops work whose caller is gone, unless its outcome must be recorded."""
     request = world.requests.get(message.request_id)
     if request is None:
@@ -349,12 +353,12 @@
 
 
 __all__ = [
-    "answer",
-    "caller_gone",
-    "failed",
-    "frames",
-    "opened",
+    "handle_answer",
+    "handle_caller_gone",
+    "handle_failure",
+    "handle_opened",
+    "log_usage",
+    "relay_frames",
     "reply",
     "reply_unstored",
-    "usage",
 ]
--- a/src/godwittack/core/claims.py
+++ b/src/godwittack/core/claims.py
@@ -26,7 +26,7 @@
     _write_claim(world, request, over_version=0)
 
 
-def answered(world: entities.World, reply: inputs.ClaimAnswered) -> None:
+def apply_verdict(world: entities.World, reply: inputs.ClaimAnswered) -> None:
     """Places or refuses a request by the result of its claim write."""
     request = world.requests.get(reply.request_id)
     if request is None or request.phase is not entities.Phase.CLAIMING:
@@ -162,4 +162,4 @@
     )
 
 
-__all__ = ["answered", "begin"]
+__all__ = ["apply_verdict", "begin"]
--- a/src/godwittack/core/dispatching.py
+++ b/src/godwittack/core/dispatching.py
@@ -143,9 +143,9 @@
                 key, now_ms=world.now_ms, limit=world.policy.max_residency
             )
     elif keys:
-        sending.count_prompt(world, request, choice, keys)
+        sending.record_prompt(world, request, choice, keys)
     if request.work.route is not None:
-        sending.tell_placed(world, request, choice, attempt_id)
+        sending.log_placement(world, request, choice, attempt_id)
     world.emit(
         effects.Dispatch(
             request_id=request.request_id,
@@ -208,7 +208,7 @@
     )
 
 
-def drain(world: entities.World) -> None:
+def dispatch_queued(world: entities.World) -> None:
     """Dispatches queued requests while servers have room.
 
     The most urgent rank comes first, as at the engines: a short prompt of an
@@ -365,4 +365,4 @@
     return float(request.work.prompt_tokens + request.work.max_tokens + 1)
 
 
-__all__ = ["dispatch", "drain", "expire_queued", "place", "resume"]
+__all__ = ["dispatch", "dispatch_queued", "expire_queued", "place", "resume"]
--- a/src/godwittack/core/followup.py
+++ b/src/godwittack/core/followup.py
@@ -36,7 +36,7 @@
     """
     if avoid:
         request.avoid.add(attempt.server_id)
-    if retries.allowed(world, request):
+    if retries.try_acquire(world, request):
         world.event(
             "retried",
             request.request_id,
@@ -66,7 +66,7 @@
     )
 
 
-def place_anew(
+def place_again(
     world: entities.World, request: entities.RequestRow, detail: str
 ) -> None:
     """Places a request again after an attempt of which no byte was sent.
@@ -85,7 +85,7 @@
     dispatching.place(world, request)
 
 
-def outcome_lost(
+def refuse_unknown(
     world: entities.World, request: entities.RequestRow, detail: str
 ) -> None:
     """Refuses a call that may have run, with outcome unknown."""
@@ -138,7 +138,7 @@
     assert route is not None
     closing.close_attempt(world, attempt.attempt_id)
     request.avoid.add(attempt.server_id)
-    if not route.resumable or not retries.allowed(world, request):
+    if not route.resumable or not retries.try_acquire(world, request):
         break_stream(world, request, detail)
         return
     request.resumes += 1
@@ -152,7 +152,7 @@
     dispatching.place(world, request)
 
 
-def answer_may_improve(
+def is_retryable_answer(
     request: entities.RequestRow, answer: work.Answer
 ) -> bool:
     """Returns whether to retry on another server after an error response."""
@@ -179,10 +179,10 @@
 
 
 __all__ = [
-    "answer_may_improve",
     "break_stream",
-    "outcome_lost",
-    "place_anew",
+    "is_retryable_answer",
+    "place_again",
+    "refuse_unknown",
     "resume_or_break",
     "retry",
 ]
--- a/src/godwittack/core/retries.py
+++ b/src/godwittack/core/retries.py
@@ -27,7 +27,7 @@
     REST = "rest"
 
 
-def allowed(world: entities.World, request: entities.RequestRow) -> bool:
+def try_acquire(world: entities.World, request: entities.RequestRow) -> bool:
     """Returns whether to retry; if so, spends a token of the retry budget."""
     limit = _exceeded_limit(world, request)
     if limit is None:
@@ -46,7 +46,7 @@
 
 
 def budget_state(world: entities.World, target: str) -> dict[str, float]:
-    """Returns a target's retry budget, its inputs and their age, for the log."""
+    """Returns a retry budget, its inputs and their age, for the log."""
     if not world.policy.budget_by_target:
         return {"tokens": round(world.retry_budget.tokens, 2)}
     shared = _shared_budget(world, target)
@@ -122,4 +122,4 @@
     return shared
 
 
-__all__ = ["Limit", "allowed", "budget_state", "earn"]
+__all__ = ["Limit", "budget_state", "earn", "try_acquire"]
--- a/src/godwittack/core/router.py
+++ b/src/godwittack/core/router.py
@@ -80,7 +80,7 @@
             world.started_at_ms = world.now_ms
         self._handle(told)
         if world.freed_targets:
-            dispatching.drain(world)
+            dispatching.dispatch_queued(world)
         self._check_stopped()
         return world.out
 
@@ -88,23 +88,23 @@
         world = self.world
         match told:
             case inputs.FramesArrived():
-                attempts.frames(world, told)
+                attempts.relay_frames(world, told)
             case inputs.RequestArrived():
                 admission.arrive(world, told)
             case inputs.AttemptOpened():
-                attempts.opened(world, told)
+                attempts.handle_opened(world, told)
             case inputs.AnswerArrived():
-                attempts.answer(world, told)
+                attempts.handle_answer(world, told)
             case inputs.UsageReported():
-                attempts.usage(world, told)
+                attempts.log_usage(world, told)
             case inputs.AttemptFailed():
-                attempts.failed(world, told)
+                attempts.handle_failure(world, told)
             case inputs.CallerGone():
-                attempts.caller_gone(world, told)
+                attempts.handle_caller_gone(world, told)
             case inputs.StreamResumed():
                 resuming.resume(world, told)
             case inputs.ClaimAnswered():
-                claims.answered(world, told)
+                claims.apply_verdict(world, told)
             case inputs.OutcomeStored():
                 self._outcome_stored(told)
             case server_inputs.LoadReported():
--- a/src/godwittack/core/sending.py
+++ b/src/godwittack/core/sending.py
@@ -11,7 +11,7 @@
     from godwittack.core import entities, placing
 
 
-def tell_placed(
+def log_placement(
     world: entities.World,
     request: entities.RequestRow,
     choice: placing.Choice,
@@ -55,7 +55,7 @@
     )
 
 
-def count_prompt(
+def record_prompt(
     world: entities.World,
     request: entities.RequestRow,
     choice: placing.Choice,
@@ -85,4 +85,4 @@
     return min(request.deadline_at_ms, request.give_up_at_ms)
 
 
-__all__ = ["cached_keys", "count_prompt", "ends_at_ms", "tell_placed"]
+__all__ = ["cached_keys", "ends_at_ms", "log_placement", "record_prompt"]
--- a/src/godwittack/core/silence.py
+++ b/src/godwittack/core/silence.py
@@ -111,7 +111,7 @@
     closing.close_attempt(world, attempt.attempt_id)
     request.sent = True
     if request.claim_key is not None:
-        followup.outcome_lost(world, request, "no answer came")
+        followup.refuse_unknown(world, request, "no answer came")
     else:
         followup.retry(world, request, attempt, "no answer came")
 
