--- a/src/godwittack/core/attempts.py
+++ b/src/godwittack/core/attempts.py
@@ -8,13 +8,13 @@
     availability,
     closing,
     crashes,
-    doubt,
     effects,
     entities,
     followup,
     inputs,
     outcomes,
     pace,
+    probing,
     routing,
     servers,
     work,
@@ -157,7 +157,7 @@
         detail=failure.detail,
     )
     if _may_have_crashed(failure) and crashes.broke(world, request, attempt):
-        doubt.ask(world, world.servers[attempt.server_id])
+        probing.probe(world, world.servers[attempt.server_id])
     if failure.cause is not inputs.FailureCause.STREAM_GONE:
         servers.failed(world, attempt, failure)
     if request.begun or request.begun_elsewhere:
--- a/src/godwittack/core/turns.py
+++ b/src/godwittack/core/dispatch_pacing.py
@@ -19,31 +19,31 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Turn:
+class DispatchInterval:
     """Interval between dispatches from the queue of one target and rank.
 
     Attributes:
         smoothed_ms: Time from one dispatch to the next while requests wait.
-        since_ms: When a request was last dispatched or the first one was
-            queued; -1 while the queue is empty.
+        measured_from_ms: When the current interval began, at the last dispatch
+            or when the first request was queued; -1 while the queue is empty.
     """
 
     smoothed_ms: float = 0.0
-    since_ms: int = -1
+    measured_from_ms: int = -1
 
 
-def begin(world: entities.World, target: str, rank: int) -> None:
+def start(world: entities.World, target: str, rank: int) -> None:
     """Records that the first request of a rank was queued."""
-    _turn(world, target, rank).since_ms = world.now_ms
+    _interval(world, target, rank).measured_from_ms = world.now_ms
 
 
-def taken(
+def record_dispatch(
     world: entities.World,
     target: str,
     rank: int,
     *,
-    left: int,
-    tells_pace: bool = True,
+    remaining: int,
+    updates_interval: bool = True,
 ) -> None:
     """Records that a queued request was dispatched.
 
@@ -51,30 +51,32 @@
         world: Tables.
         target: Its target.
         rank: Rank of its queue.
-        left: How many requests remain in that queue.
-        tells_pace: Whether its wait counts: not if it waited for a rest.
+        remaining: How many requests remain in that queue.
+        updates_interval: Whether its wait counts: not if it waited for a rest.
     """
-    turn = _turn(world, target, rank)
-    if turn.since_ms >= 0 and tells_pace:
-        gap_ms = world.now_ms - turn.since_ms
-        previous_ms = turn.smoothed_ms or float(gap_ms)
-        turn.smoothed_ms = previous_ms + SMOOTHING * (gap_ms - previous_ms)
-    turn.since_ms = world.now_ms if left else -1
+    interval = _interval(world, target, rank)
+    if interval.measured_from_ms >= 0 and updates_interval:
+        gap_ms = world.now_ms - interval.measured_from_ms
+        previous_ms = interval.smoothed_ms or float(gap_ms)
+        interval.smoothed_ms = previous_ms + SMOOTHING * (gap_ms - previous_ms)
+    interval.measured_from_ms = world.now_ms if remaining else -1
 
 
 def wait_ms(
-    world: entities.World, target: str, rank: int, *, before: int
+    world: entities.World, target: str, rank: int, *, ahead: int
 ) -> float:
-    """Returns how long a request waits behind `before` others of its rank."""
-    turn = _turn(world, target, rank)
-    interval_ms = turn.smoothed_ms
-    if turn.since_ms >= 0:
+    """Returns how long a request waits behind `ahead` others of its rank."""
+    interval = _interval(world, target, rank)
+    interval_ms = interval.smoothed_ms
+    if interval.measured_from_ms >= 0:
         # A longer gap than usual means that the servers have slowed down.
-        interval_ms = max(interval_ms, float(world.now_ms - turn.since_ms))
-    return before * interval_ms
+        interval_ms = max(
+            interval_ms, float(world.now_ms - interval.measured_from_ms)
+        )
+    return ahead * interval_ms
 
 
-def slots_wait_ms(world: entities.World, target: str, before: int) -> float:
+def slots_wait_ms(world: entities.World, target: str, ahead: int) -> float:
     """Estimates from the servers' slots alone how long a request waits.
 
     This is a lower bound, since other daemons send to the same servers.
@@ -85,17 +87,25 @@
         if not server.leaving
         and max(server.ejected_until_ms, server.rest_until_ms) <= world.now_ms
     ]
-    if not servers or not before:
+    if not servers or not ahead:
         return 0.0
     # Each queued request adds the time that a slot is busy, divided by the
     # number of slots.
     slots = sum(server.slots or world.policy.slots for server in servers)
     slot_interval_ms = world.service_ms.get(target, 0.0) / slots
-    return before * slot_interval_ms
+    return ahead * slot_interval_ms
 
 
-def _turn(world: entities.World, target: str, rank: int) -> Turn:
-    return world.turns.setdefault((target, rank), Turn())
+def _interval(
+    world: entities.World, target: str, rank: int
+) -> DispatchInterval:
+    return world.turns.setdefault((target, rank), DispatchInterval())
 
 
-__all__ = ["Turn", "begin", "slots_wait_ms", "taken", "wait_ms"]
+__all__ = [
+    "DispatchInterval",
+    "record_dispatch",
+    "slots_wait_ms",
+    "start",
+    "wait_ms",
+]
--- a/src/godwittack/core/dispatching.py
+++ b/src/godwittack/core/dispatching.py
@@ -6,6 +6,7 @@
     availability,
     closing,
     crashes,
+    dispatch_pacing,
     effects,
     entities,
     kvreuse,
@@ -15,7 +16,6 @@
     resting,
     routing,
     sending,
-    turns,
     work,
 )
 from godwittack.limit import fair
@@ -36,12 +36,12 @@
     must_queue = choice.wait_ms > world.policy.hold_ms or queued_ahead > 0
     wait_ms = 0.0
     if must_queue:
-        slots_wait_ms = turns.slots_wait_ms(
+        slots_wait_ms = dispatch_pacing.slots_wait_ms(
             world, request.work.target, queued_ahead
         )
         queued_in_rank = queue.ahead(request.workspace)
-        pacing_wait_ms = turns.wait_ms(
-            world, request.work.target, rank, before=queued_in_rank
+        pacing_wait_ms = dispatch_pacing.wait_ms(
+            world, request.work.target, rank, ahead=queued_in_rank
         )
         wait_ms = max(slots_wait_ms, pacing_wait_ms)
     if not _meets_deadline(world, request, choice, wait_ms):
@@ -90,7 +90,7 @@
     request.phase = entities.Phase.QUEUED
     request.queue_rank = rank
     if not len(queue) and not request.awaits_rest:
-        turns.begin(world, request.work.target, rank)
+        dispatch_pacing.start(world, request.work.target, rank)
     if request.work.route is not None:
         world.event(
             "queued",
@@ -239,7 +239,9 @@
                 if request.begin_by_ms > world.now_ms:
                     continue
                 queued_ahead = _queued_ahead(world, target, rank)
-                wait_ms = turns.slots_wait_ms(world, target, queued_ahead)
+                wait_ms = dispatch_pacing.slots_wait_ms(
+                    world, target, queued_ahead
+                )
                 refusing.late(world, request, wait_ms)
 
 
@@ -281,12 +283,12 @@
             refusing.late(world, request, choice.wait_ms)
             continue
         queue.take(waiting)
-        turns.taken(
+        dispatch_pacing.record_dispatch(
             world,
             request.work.target,
             rank,
-            left=len(queue),
-            tells_pace=not request.awaits_rest,
+            remaining=len(queue),
+            updates_interval=not request.awaits_rest,
         )
         request.awaits_rest = False
         dispatch(world, request, choice)
--- a/src/godwittack/core/entities.py
+++ b/src/godwittack/core/entities.py
@@ -6,7 +6,7 @@
 import dataclasses
 import enum
 
-from godwittack.core import effects, pace, quarantine, turns, weights
+from godwittack.core import dispatch_pacing, effects, pace, quarantine, weights
 from godwittack.core import policy as policies
 from godwittack.core import work as works
 from godwittack.limit import advertised, budget, fair, shares
@@ -302,8 +302,8 @@
     quarantine: quarantine.Quarantine = dataclasses.field(
         default_factory=quarantine.Quarantine
     )
-    turns: dict[tuple[str, int], turns.Turn] = dataclasses.field(
-        default_factory=dict
+    turns: dict[tuple[str, int], dispatch_pacing.DispatchInterval] = (
+        dataclasses.field(default_factory=dict)
     )
     notices: dict[str, NoticeRow] = dataclasses.field(default_factory=dict)
     resting: set[str] = dataclasses.field(default_factory=set)
--- a/src/godwittack/core/doubt.py
+++ b/src/godwittack/core/probing.py
@@ -40,13 +40,13 @@
 PROBE_INTERVAL_MS = 600
 
 
-def check(world: entities.World) -> None:
+def probe_silent(world: entities.World) -> None:
     """Probes servers that have requests in flight but do not respond."""
     if world.table.forwarding is None:
         return
     for server in world.servers.values():
         if server.sent and _is_unresponsive(world, server):
-            ask(world, server)
+            probe(world, server)
 
 
 def check_ejected(world: entities.World) -> None:
@@ -86,7 +86,7 @@
     return report_age_ms < world.policy.report_stale_ms
 
 
-def ask(world: entities.World, server: entities.ServerRow) -> None:
+def probe(world: entities.World, server: entities.ServerRow) -> None:
     """Probes a server, unless it was probed just now."""
     if world.now_ms - server.asked_at_ms < PROBE_INTERVAL_MS:
         return
@@ -94,7 +94,9 @@
     world.emit(effects.Probe(server.server_id, server.address))
 
 
-def told(world: entities.World, report: server_inputs.ServerDoubted) -> None:
+def handle_suspected(
+    world: entities.World, report: server_inputs.ServerDoubted
+) -> None:
     """Probes a server that did not respond to another daemon.
 
     Each daemon probes for itself: were the report trusted, one daemon with a
@@ -102,10 +104,12 @@
     """
     server = world.servers.get(report.server_id)
     if server is not None and server.ejected_until_ms <= world.now_ms:
-        ask(world, server)
+        probe(world, server)
 
 
-def probed(world: entities.World, result: server_inputs.ProbeAnswered) -> None:
+def apply_result(
+    world: entities.World, result: server_inputs.ProbeAnswered
+) -> None:
     """Records the result of a probe, and moves requests off a dead server."""
     server = world.servers.get(result.server_id)
     if server is None:
@@ -150,10 +154,8 @@
     daemons = tuple(sorted(world.live_daemons))
     if len(daemons) <= duty.MESH_LIMIT or world.daemon not in daemons:
         return limit_ms
-    probe_order = duty.askers(server.server_id, daemons)
-    return limit_ms + PROBE_SPREAD_MS * probe_order.index(world.daemon) / len(
-        probe_order
-    )
+    order = duty.askers(server.server_id, daemons)
+    return limit_ms + PROBE_SPREAD_MS * order.index(world.daemon) / len(order)
 
 
 def _record_possible_crashes(
@@ -184,4 +186,10 @@
             followup.retry(world, request, attempt, detail)
 
 
-__all__ = ["ask", "check", "check_ejected", "probed", "told"]
+__all__ = [
+    "apply_result",
+    "check_ejected",
+    "handle_suspected",
+    "probe",
+    "probe_silent",
+]
--- a/src/godwittack/core/router.py
+++ b/src/godwittack/core/router.py
@@ -12,16 +12,16 @@
     claims,
     crashes,
     dispatching,
-    doubt,
     effects,
     entities,
     inputs,
     outcomes,
+    probing,
     rate_limits,
     resuming,
     server_inputs,
     servers,
-    silence,
+    timeouts,
     weights,
 )
 from godwittack.core import policy as policies
@@ -126,9 +126,9 @@
             case server_inputs.RestAsked():
                 availability.rest_asked(world, told)
             case server_inputs.ProbeAnswered():
-                doubt.probed(world, told)
+                probing.apply_result(world, told)
             case server_inputs.ServerDoubted():
-                doubt.told(world, told)
+                probing.handle_suspected(world, told)
             case _:
                 self._handle_control(told)
 
@@ -175,10 +175,10 @@
         world.shares.measure(world.now_ms)
         outcomes.retry_due(world)
         attempts.reply_unstored(world)
-        doubt.check(world)
-        silence.check(world)
-        silence.give_up(world)
-        doubt.check_ejected(world)
+        probing.probe_silent(world)
+        timeouts.handle_stalled(world)
+        timeouts.end_overdue(world)
+        probing.check_ejected(world)
         availability.end_rests(world)
         dispatching.expire_queued(world)
         world.quarantine.forget(now_ms=world.now_ms)
--- a/src/godwittack/core/silence.py
+++ b/src/godwittack/core/timeouts.py
@@ -16,7 +16,7 @@
 TIMED_OUT_RETRY_MS = 500
 
 
-def check(world: entities.World) -> None:
+def handle_stalled(world: entities.World) -> None:
     """Retries, resumes or ends attempts that made no progress for too long."""
     for attempt in list(world.attempts.values()):
         request = world.requests.get(attempt.request_id)
@@ -116,7 +116,7 @@
         followup.retry(world, request, attempt, "no answer came")
 
 
-def give_up(world: entities.World) -> None:
+def end_overdue(world: entities.World) -> None:
     """Ends requests whose time limit for a final answer has passed.
 
     Kept open longer, a request would make its caller wait for an answer that
@@ -142,4 +142,4 @@
         )
 
 
-__all__ = ["check", "give_up"]
+__all__ = ["end_overdue", "handle_stalled"]
