--- a/src/godwittack/core/attempts.py
+++ b/src/godwittack/core/attempts.py
@@ -26,7 +26,7 @@
 
 def handle_opened(world: entities.World, message: inputs.AttemptOpened) -> None:
     """Checks the engine state that the head of a stream reports."""
-    current = _current(world, message.attempt_id)
+    current = _current_attempt(world, message.attempt_id)
     if current is None:
         return
     request, attempt = current
@@ -42,7 +42,7 @@
 
 def relay_frames(world: entities.World, message: inputs.FramesArrived) -> None:
     """Relays each frame of a stream once and in order."""
-    current = _current(world, message.attempt_id)
+    current = _current_attempt(world, message.attempt_id)
     if current is None:
         return
     request, attempt = current
@@ -67,8 +67,8 @@
 
 
 def handle_answer(world: entities.World, message: inputs.AnswerArrived) -> None:
-    """Records a complete answer, then retries, stores or delivers it."""
-    current = _current(world, message.attempt_id)
+    """Checks a complete answer, then retries, stores or delivers it."""
+    current = _current_attempt(world, message.attempt_id)
     if current is None:
         return
     request, attempt = current
@@ -135,7 +135,7 @@
     world: entities.World, failure: inputs.AttemptFailed
 ) -> None:
     """Retries, resumes or ends a request whose attempt failed."""
-    current = _current(world, failure.attempt_id)
+    current = _current_attempt(world, failure.attempt_id)
     if current is None:
         return
     request, attempt = current
@@ -222,7 +222,7 @@
             reply(world, request)
 
 
-def _current(
+def _current_attempt(
     world: entities.World, attempt_id: str
 ) -> tuple[entities.RequestRow, entities.AttemptRow] | None:
     """Returns request and attempt, or None for an abandoned attempt.
@@ -288,7 +288,7 @@
 def _take_new_frames(
     request: entities.RequestRow, arrived: Iterable[work.Frame]
 ) -> tuple[tuple[work.Frame, ...], bool]:
-    """Returns the new frames to relay, and whether a frame is missing."""
+    """Returns the frames not yet relayed, and whether one is missing."""
     new_frames: list[work.Frame] = []
     for frame in arrived:
         if frame.number < request.next_frame:
--- a/src/godwittack/core/claims.py
+++ b/src/godwittack/core/claims.py
@@ -27,7 +27,7 @@
 
 
 def apply_verdict(world: entities.World, reply: inputs.ClaimAnswered) -> None:
-    """Places or refuses a request by the result of its claim write."""
+    """Applies the result of a request's claim write."""
     request = world.requests.get(reply.request_id)
     if request is None or request.phase is not entities.Phase.CLAIMING:
         return
@@ -38,7 +38,7 @@
             assert reply.claim is not None
             _handle_existing_claim(world, request, reply.claim)
         case inputs.ClaimVerdict.UNANSWERED:
-            _retry_claim(world, request)
+            _retry_or_refuse(world, request)
 
 
 def _write_claim(
@@ -141,7 +141,9 @@
     )
 
 
-def _retry_claim(world: entities.World, request: entities.RequestRow) -> None:
+def _retry_or_refuse(
+    world: entities.World, request: entities.RequestRow
+) -> None:
     request.claim_tries += 1
     if request.claim_tries < world.policy.claim_tries:
         # The nonce is the same: if an earlier write did take effect, the
--- a/src/godwittack/core/dispatch_pacing.py
+++ b/src/godwittack/core/dispatch_pacing.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from godwittack.core import entities
 
-SMOOTHING = 0.1
+SMOOTHING_FACTOR = 0.1
 
 
 @dataclasses.dataclass(slots=True)
@@ -58,7 +58,9 @@
     if interval.measured_from_ms >= 0 and updates_interval:
         gap_ms = world.now_ms - interval.measured_from_ms
         previous_ms = interval.smoothed_ms or float(gap_ms)
-        interval.smoothed_ms = previous_ms + SMOOTHING * (gap_ms - previous_ms)
+        interval.smoothed_ms = previous_ms + SMOOTHING_FACTOR * (
+            gap_ms - previous_ms
+        )
     interval.measured_from_ms = world.now_ms if remaining else -1
 
 
--- a/src/godwittack/core/dispatching.py
+++ b/src/godwittack/core/dispatching.py
@@ -217,7 +217,7 @@
     for target in sorted(world.freed_targets):
         by_rank = world.queues.get(target, {})
         for rank in sorted(by_rank):
-            _drain_queue(world, by_rank[rank], rank)
+            _dispatch_from_queue(world, by_rank[rank], rank)
             if len(by_rank[rank]):
                 break
     world.freed_targets.clear()
@@ -267,7 +267,7 @@
     return sum(len(queue) for r, queue in by_rank.items() if r <= rank)
 
 
-def _drain_queue(
+def _dispatch_from_queue(
     world: entities.World, queue: fair.FairQueue, rank: int
 ) -> None:
     while len(queue):
--- a/src/godwittack/core/followup.py
+++ b/src/godwittack/core/followup.py
@@ -14,7 +14,7 @@
 )
 
 FAILED_RETRY_MS = 1_000
-FIRST_SERVER_ERROR = 500
+MIN_SERVER_ERROR_STATUS = 500
 
 
 def retry(
@@ -53,7 +53,7 @@
         outcome = effects.Outcome.UNKNOWN
     else:
         outcomes.store(world, request, work.ClaimState.RELEASED)
-        # On routes, 503 means to callers that nothing has run.
+        # To callers of a route, 503 means that nothing has run.
         status = 503 if request.work.route else 502
     closing.refuse(
         world,
@@ -159,7 +159,7 @@
     route = request.work.route
     return (
         route is not None
-        and answer.status >= FIRST_SERVER_ERROR
+        and answer.status >= MIN_SERVER_ERROR_STATUS
         and not request.at_most_once
     )
 
--- a/src/godwittack/core/probing.py
+++ b/src/godwittack/core/probing.py
@@ -28,10 +28,10 @@
 # probed. A long prompt takes some 300 ms in which nothing is sent, and a probe
 # costs a busy server nothing.
 PROBE_AFTER_MS = 300
-# Added for the last of many daemons to probe a server, since the first that
-# gets no response notifies all others. When sixty daemons probed at once, their
-# probes were half of all calls to engines besides requests, mostly for prompts
-# that took a little longer.
+# Extra delay of the last daemon to probe a server in a large fleet; the others
+# are spread below it, and the first that gets no response notifies them. When
+# sixty daemons probed at once, their probes were half of all calls to engines
+# besides requests, mostly for prompts that took a little longer.
 PROBE_SPREAD_MS = 600
 # Multiple of a plain service's smoothed answer time after which it is probed. A
 # probe waits in the same queue as calls and makes it longer.
@@ -50,10 +50,10 @@
 
 
 def check_ejected(world: entities.World) -> None:
-    """Checks whether ejected servers are back once their pause is over."""
+    """Checks whether ejected servers are back when their ejection ends."""
     for server in world.servers.values():
-        is_pause_over = 0 < server.ejected_until_ms <= world.now_ms
-        if not server.failures or not is_pause_over or server.leaving:
+        is_ejection_over = 0 < server.ejected_until_ms <= world.now_ms
+        if not server.failures or not is_ejection_over or server.leaving:
             continue
         if availability.is_resting(world, server):
             continue
--- a/src/godwittack/core/resuming.py
+++ b/src/godwittack/core/resuming.py
@@ -21,7 +21,7 @@
 
 
 def resume(world: entities.World, message: inputs.StreamResumed) -> None:
-    """Opens the stream named by a checked resume token.
+    """Opens the stream identified by a verified resume token.
 
     The token's signature was verified on arrival. This checks that the caller
     belongs to the workspace that the stream was made for.
--- a/src/godwittack/core/timeouts.py
+++ b/src/godwittack/core/timeouts.py
@@ -82,8 +82,8 @@
     Load pattern: two of five servers do not respond, and the others have more
     than a second of prompts queued. If queued requests were considered hung,
     they would be sent elsewhere and computed a second time, and the remaining
-    servers would be ejected. A server that has begun a request that was sent
-    later and is no more urgent has lost this one; otherwise it is busy.
+    servers would be ejected. A server that has begun a request sent later and
+    no more urgent has lost this one; a server that has not is busy.
     """
     server = world.servers.get(attempt.server_id)
     if server is None:
