--- a/src/godwittack/core/probing.py
+++ b/src/godwittack/core/probing.py
@@ -40,7 +40,7 @@
 PROBE_INTERVAL_MS = 600
 
 
-def probe_silent(world: entities.World) -> None:
+def probe_unresponsive(world: entities.World) -> None:
     """Probes servers that have requests in flight but do not respond."""
     if world.table.forwarding is None:
         return
@@ -191,5 +191,5 @@
     "check_ejected",
     "handle_suspected",
     "probe",
-    "probe_silent",
+    "probe_unresponsive",
 ]
--- a/src/godwittack/core/router.py
+++ b/src/godwittack/core/router.py
@@ -175,7 +175,7 @@
         world.shares.measure(world.now_ms)
         outcomes.retry_due(world)
         attempts.reply_unstored(world)
-        probing.probe_silent(world)
+        probing.probe_unresponsive(world)
         timeouts.handle_stalled(world)
         timeouts.end_overdue(world)
         probing.check_ejected(world)
