--- a/src/godwittack/core/dispatching.py
+++ b/src/godwittack/core/dispatching.py
@@ -1,4 +1,4 @@
-"""Sends requests to backend servers, or holds them back in fair order."""
+"""Sends requests to backend servers, or queues them in fair order."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
     availability,
     closing,
     crashes,
+    dispatch_pacing,
     effects,
     entities,
     kv_cache,
@@ -15,14 +16,13 @@
     resting,
     routing,
     sending,
-    turns,
     work,
 )
 from godwittack.limit import fair
 
 
 def place(world: entities.World, request: entities.RequestRow) -> None:
-    """Dispatches a request, holds it back, or refuses it at once."""
+    """Dispatches a request, queues it, or refuses it at once."""
     if crashes.is_quarantined(world, request):
         refusing.refuse_quarantined(world, request)
         return
@@ -32,17 +32,21 @@
         return
     rank = routing.priority(world, request)
     queue = _queue(world, request.work.target, rank)
-    before = _waiting(world, request.work.target, rank)
-    must_hold = choice.wait_ms > world.policy.hold_ms or before > 0
+    queued_ahead = _queued_ahead(world, request.work.target, rank)
+    must_queue = choice.wait_ms > world.policy.hold_ms or queued_ahead > 0
     wait_ms = 0.0
-    if must_hold:
-        slots_ms = turns.slots_wait_ms(world, request.work.target, before)
-        ahead = queue.count_ahead(request.workspace)
-        turns_ms = turns.wait_ms(world, request.work.target, rank, before=ahead)
-        wait_ms = max(slots_ms, turns_ms)
+    if must_queue:
+        slots_wait_ms = dispatch_pacing.slots_wait_ms(
+            world, request.work.target, queued_ahead
+        )
+        queued_in_rank = queue.count_ahead(request.workspace)
+        pacing_wait_ms = dispatch_pacing.wait_ms(
+            world, request.work.target, rank, ahead=queued_in_rank
+        )
+        wait_ms = max(slots_wait_ms, pacing_wait_ms)
     if not _meets_deadline(world, request, choice, wait_ms):
         return
-    if not must_hold:
+    if not must_queue:
         queue.charge(
             workspace=request.workspace,
             weight=_weight(world, request),
@@ -50,50 +54,52 @@
         )
         dispatch(world, request, choice)
         return
-    held = _held(world, request.work.target)
-    if held >= _queue_limit(world, request):
+    queued = _queued_count(world, request.work.target)
+    if queued >= _queue_limit(world, request):
         refusing.refuse_unassigned(
             world,
             request,
             effects.Reason.QUEUE_FULL,
-            f"{held} requests wait for {request.work.target} already",
+            f"{queued} requests wait for {request.work.target} already",
             refusing.clamp_retry_after_ms(choice.wait_ms),
         )
         return
-    _hold(world, request, wait_ms=choice.wait_ms)
+    _enqueue(world, request, wait_ms=choice.wait_ms)
 
 
 def _await_rest(world: entities.World, request: entities.RequestRow) -> None:
-    """Holds a request until a server has rested, or refuses it at once."""
+    """Queues a request until a server has rested, or refuses it at once."""
     target = request.work.target
-    has_room = _held(world, target) < min(
+    has_room = _queued_count(world, target) < min(
         resting.max_waiting(world, target), _queue_limit(world, request)
     )
     if not has_room or not resting.may_wait(world, request):
         refusing.refuse_no_server(world, request)
         return
     request.awaits_rest_end = True
-    _hold(world, request, wait_ms=resting.shortest_rest_ms(world, request) or 0)
+    _enqueue(
+        world, request, wait_ms=resting.shortest_rest_ms(world, request) or 0
+    )
 
 
-def _hold(
+def _enqueue(
     world: entities.World, request: entities.RequestRow, *, wait_ms: float
 ) -> None:
     """Puts a request into the queue of its rank."""
     rank = routing.priority(world, request)
     queue = _queue(world, request.work.target, rank)
-    before = _waiting(world, request.work.target, rank)
+    queued_ahead = _queued_ahead(world, request.work.target, rank)
     request.phase = entities.Phase.QUEUED
     request.queue_rank = rank
     if not len(queue) and not request.awaits_rest_end:
-        turns.begin(world, request.work.target, rank)
+        dispatch_pacing.start(world, request.work.target, rank)
     if request.work.route is not None:
         world.event(
             "queued",
             request.request_id,
             target=request.work.target,
             wait_ms=round(wait_ms),
-            before=before,
+            before=queued_ahead,
             **availability.unavailable_servers(world, request.work.target),
         )
     queue.push(
@@ -127,7 +133,7 @@
         last_progress_ms=world.now_ms,
         expected_tokens=round(choice.uncached_tokens),
     )
-    _open(world, request, attempt)
+    _record_attempt(world, request, attempt)
     server.in_flight[attempt_id] = attempt
     rate_limits.record_dispatch(world, server)
     if server.ejected_until_ms:
@@ -141,9 +147,9 @@
                 max_keys=world.policy.max_residency,
             )
     elif keys:
-        sending.count_prompt(world, request, choice, keys)
+        sending.record_prompt(world, request, choice, keys)
     if request.work.route is not None:
-        sending.tell_placed(world, request, choice, attempt_id)
+        sending.log_placement(world, request, choice, attempt_id)
     world.emit(
         effects.Dispatch(
             request_id=request.request_id,
@@ -151,9 +157,9 @@
             server_id=server.server_id,
             address=server.address,
             stamp=attempt.stamp,
-            # A pooled connection may be dead without either end knowing; a
+            # A pooled connection may be dead without either end noticing; a
             # call that may not be repeated could then be lost with its
-            # outcome unknown. A fresh one fails before anything is sent.
+            # outcome unknown. A new one fails before anything is sent.
             fresh_connection=request.at_most_once
             and request.work.kind is work.WorkKind.PLAIN,
             after=request.next_frame - 1 if request.work.route else 0,
@@ -173,30 +179,30 @@
 def resume(
     world: entities.World,
     request: entities.RequestRow,
-    broken: entities.AttemptRow,
+    lost_attempt: entities.AttemptRow,
 ) -> None:
-    """Opens a new connection to a stream that broke or went silent."""
-    server = world.servers.get(broken.server_id)
+    """Reconnects to a stream whose connection broke or stalled."""
+    server = world.servers.get(lost_attempt.server_id)
     assert server is not None
-    closing.close_attempt(world, broken.attempt_id)
+    closing.close_attempt(world, lost_attempt.attempt_id)
     attempt_id = world.next_attempt_id()
     attempt = entities.AttemptRow(
         attempt_id=attempt_id,
         request_id=request.request_id,
-        server_id=broken.server_id,
-        stamp=broken.stamp,
-        stream_id=broken.stream_id,
+        server_id=lost_attempt.server_id,
+        stamp=lost_attempt.stamp,
+        stream_id=lost_attempt.stream_id,
         sent_at_ms=world.now_ms,
         last_progress_ms=world.now_ms,
     )
     request.resumes += 1
-    _open(world, request, attempt)
+    _record_attempt(world, request, attempt)
     server.in_flight[attempt_id] = attempt
     world.emit(
         effects.Dispatch(
             request_id=request.request_id,
             attempt_id=attempt_id,
-            server_id=broken.server_id,
+            server_id=lost_attempt.server_id,
             address=server.address,
             stamp=attempt.stamp,
             resume_stream=attempt.stream_id,
@@ -206,23 +212,23 @@
     )
 
 
-def drain(world: entities.World) -> None:
-    """Dispatches held-back requests while servers have room.
+def dispatch_queued(world: entities.World) -> None:
+    """Dispatches queued requests while servers have room.
 
     The most urgent rank comes first, as at the engines: a short prompt of an
-    urgent route need not wait behind long ones that are held.
+    urgent route need not wait behind long queued ones.
     """
     for target in sorted(world.targets_to_dispatch):
         by_rank = world.queues.get(target, {})
         for rank in sorted(by_rank):
-            _drain_queue(world, by_rank[rank], rank)
+            _dispatch_from_queue(world, by_rank[rank], rank)
             if len(by_rank[rank]):
                 break
     world.targets_to_dispatch.clear()
 
 
 def expire_queued(world: entities.World) -> None:
-    """Refuses held-back requests that can no longer be in time."""
+    """Refuses queued requests that can no longer be served in time."""
     for target, by_rank in world.queues.items():
         world.targets_to_dispatch.add(target)
         for rank, queue in by_rank.items():
@@ -231,23 +237,27 @@
                 if crashes.is_quarantined(world, request):
                     refusing.refuse_quarantined(world, request)
                     continue
-                if _rests_on(world, request):
+                if _is_rest_too_long(world, request):
                     refusing.refuse_no_server(world, request)
                     continue
                 if request.answer_start_deadline_ms > world.now_ms:
                     continue
-                before = _waiting(world, target, rank)
-                wait_ms = turns.slots_wait_ms(world, target, before)
+                queued_ahead = _queued_ahead(world, target, rank)
+                wait_ms = dispatch_pacing.slots_wait_ms(
+                    world, target, queued_ahead
+                )
                 refusing.refuse_late(world, request, wait_ms)
 
 
-def _rests_on(world: entities.World, request: entities.RequestRow) -> bool:
-    """Returns whether the rests that a request waits for were made too long."""
+def _is_rest_too_long(
+    world: entities.World, request: entities.RequestRow
+) -> bool:
+    """Returns whether a rest that a request waits for was extended too far."""
     return request.awaits_rest_end and resting.is_rest_too_long(world, request)
 
 
-def _held(world: entities.World, target: str) -> int:
-    """Returns how many requests for a target are held back."""
+def _queued_count(world: entities.World, target: str) -> int:
+    """Returns how many requests for a target are queued."""
     return sum(map(len, world.queues[target].values()))
 
 
@@ -255,13 +265,13 @@
     return world.queues[target].setdefault(rank, fair.FairQueue())
 
 
-def _waiting(world: entities.World, target: str, rank: int) -> int:
-    """Returns how many requests of a rank and more urgent ones are held."""
+def _queued_ahead(world: entities.World, target: str, rank: int) -> int:
+    """Returns how many requests of a rank or a more urgent one are queued."""
     by_rank = world.queues[target]
     return sum(len(queue) for r, queue in by_rank.items() if r <= rank)
 
 
-def _drain_queue(
+def _dispatch_from_queue(
     world: entities.World, queue: fair.FairQueue, rank: int
 ) -> None:
     while len(queue):
@@ -280,18 +290,18 @@
             refusing.refuse_late(world, request, choice.wait_ms)
             continue
         queue.dequeue(waiting)
-        turns.taken(
+        dispatch_pacing.record_dispatch(
             world,
             request.work.target,
             rank,
-            left=len(queue),
-            tells_pace=not request.awaits_rest_end,
+            remaining=len(queue),
+            updates_interval=not request.awaits_rest_end,
         )
         request.awaits_rest_end = False
         dispatch(world, request, choice)
 
 
-def _open(
+def _record_attempt(
     world: entities.World,
     request: entities.RequestRow,
     attempt: entities.AttemptRow,
@@ -303,7 +313,7 @@
     request.phase = entities.Phase.RUNNING
     request.attempt_id = attempt.attempt_id
     request.attempts += 1
-    # Taken back where the server is known not to have begun.
+    # Undone if the server turns out not to have run the request.
     request.possible_runs += 1
     world.attempts[attempt.attempt_id] = attempt
 
@@ -314,10 +324,13 @@
     choice: placing.Choice,
     queue_wait_ms: float,
 ) -> bool:
-    """Refuses at once what would only come too late.
+    """Refuses a request that is expected to miss its deadline.
+
+    Work that misses its deadline displaces work that would meet it, until in
+    an overload every request is late.
 
-    Work that misses its deadline takes the place of work that would not. The
-    symptom is an overload in which everything is late.
+    Returns:
+        Whether the request is expected to be in time.
     """
     expected_ms = choice.first_token_ms + queue_wait_ms
     left_ms = request.answer_start_deadline_ms - world.now_ms
@@ -334,11 +347,11 @@
 
 
 def _queue_limit(world: entities.World, request: entities.RequestRow) -> int:
-    room = world.policy.queue_total - world.queued_count()
+    free_places = world.policy.queue_total - world.queued_count()
     model_row = world.table.models.get(request.work.target)
     if model_row is None:
-        return room
-    return min(room, model_row.max_queue)
+        return free_places
+    return min(free_places, model_row.max_queue)
 
 
 def _stamp(
@@ -363,4 +376,4 @@
     return float(request.work.prompt_tokens + request.work.max_tokens + 1)
 
 
-__all__ = ["dispatch", "drain", "expire_queued", "place", "resume"]
+__all__ = ["dispatch", "dispatch_queued", "expire_queued", "place", "resume"]
--- a/src/godwittack/core/entities.py
+++ b/src/godwittack/core/entities.py
@@ -6,7 +6,13 @@
 import dataclasses
 import enum
 
-from godwittack.core import effects, prefill_cost, quarantine, turns, weights
+from godwittack.core import (
+    dispatch_pacing,
+    effects,
+    prefill_cost,
+    quarantine,
+    weights,
+)
 from godwittack.core import policy as policies
 from godwittack.core import work as works
 from godwittack.limit import advertised, budget, fair, shares
@@ -327,8 +333,8 @@
     quarantine: quarantine.Quarantine = dataclasses.field(
         default_factory=quarantine.Quarantine
     )
-    dispatch_pacing: dict[tuple[str, int], turns.Turn] = dataclasses.field(
-        default_factory=dict
+    dispatch_pacing: dict[tuple[str, int], dispatch_pacing.DispatchInterval] = (
+        dataclasses.field(default_factory=dict)
     )
     availability_notices: dict[str, AvailabilityNotice] = dataclasses.field(
         default_factory=dict
--- /dev/null
+++ b/src/godwittack/core/probing.py
@@ -0,0 +1,201 @@
+"""Probes servers that stopped responding, well before requests time out.
+
+Load pattern: a server stops responding under full load. Its connections stay
+open but carry nothing, and it stays listed until its entry expires, some four
+seconds later. Without probes, every daemon would learn of the failure only
+from the requests that it loses there.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from godwittack.core import (
+    availability,
+    closing,
+    crashes,
+    effects,
+    followup,
+    server_inputs,
+    servers,
+)
+from godwittack.member import assignment
+
+if TYPE_CHECKING:
+    from godwittack.core import entities
+
+# Time without progress after which a server with requests from this daemon is
+# probed. A long prompt takes some 300 ms in which nothing is sent, and a probe
+# costs a busy server nothing.
+PROBE_AFTER_MS = 300
+# Extra delay of the last daemon to probe a server in a large fleet; the others
+# are spread below it, and the first that gets no response notifies them. When
+# sixty daemons probed at once, their probes were half of all calls to engines
+# besides requests, mostly for prompts that took a little longer.
+PROBE_SPREAD_MS = 600
+# Multiple of a plain service's smoothed answer time after which it is probed. A
+# probe waits in the same queue as calls and makes it longer.
+SERVICE_TIME_FACTOR = 3.0
+# Minimum time between two probes of a server.
+PROBE_INTERVAL_MS = 600
+
+
+def probe_unresponsive(world: entities.World) -> None:
+    """Probes servers that have requests in flight but do not respond."""
+    if world.table.forwarding is None:
+        return
+    for server in world.servers.values():
+        if server.in_flight and _is_unresponsive(world, server):
+            probe(world, server)
+
+
+def check_ejected(world: entities.World) -> None:
+    """Checks whether ejected servers are back when their ejection ends."""
+    for server in world.servers.values():
+        is_ejection_over = 0 < server.ejected_until_ms <= world.now_ms
+        if (
+            not server.consecutive_failures
+            or not is_ejection_over
+            or server.leaving
+        ):
+            continue
+        if availability.is_resting(world, server):
+            continue
+        if server.reported_at_ms > server.ejected_at_ms:
+            servers.apply_probe_result(
+                world,
+                server_inputs.ProbeAnswered(
+                    world.now_ms, server.server_id, alive=True
+                ),
+            )
+            continue
+        server.ejected_until_ms = world.now_ms + servers.ejection_ms(
+            world, server
+        )
+        if not _is_reported_by_another(world, server):
+            world.emit(effects.Probe(server.server_id, server.address))
+
+
+def _is_reported_by_another(
+    world: entities.World, server: entities.ServerRow
+) -> bool:
+    """Returns whether another daemon's reports will show that a server is back.
+
+    In a large fleet one daemon polls each engine and publishes its load. The
+    subscribers of those reports need no probes of their own.
+    """
+    if len(world.live_daemons) <= assignment.MESH_LIMIT:
+        return False
+    if server.target not in world.table.models or server.reported_at_ms < 0:
+        return False
+    report_age_ms = server.ejected_at_ms - server.reported_at_ms
+    return report_age_ms < world.policy.report_stale_ms
+
+
+def probe(world: entities.World, server: entities.ServerRow) -> None:
+    """Probes a server, unless it was probed just now."""
+    if world.now_ms - server.last_probe_ms < PROBE_INTERVAL_MS:
+        return
+    server.last_probe_ms = world.now_ms
+    world.emit(effects.Probe(server.server_id, server.address))
+
+
+def handle_suspected(
+    world: entities.World, report: server_inputs.ServerDoubted
+) -> None:
+    """Probes a server that did not respond to another daemon.
+
+    Each daemon probes for itself: were the report trusted, one daemon with a
+    broken network path would make all others eject every server.
+    """
+    server = world.servers.get(report.server_id)
+    if server is not None and server.ejected_until_ms <= world.now_ms:
+        probe(world, server)
+
+
+def apply_result(
+    world: entities.World, result: server_inputs.ProbeAnswered
+) -> None:
+    """Records the result of a probe, and moves requests off a dead server."""
+    server = world.servers.get(result.server_id)
+    if server is None:
+        return
+    if result.alive:
+        crashes.record_health_response(world, server, result.incarnation)
+    elif result.ended:
+        crashes.record_process_end(world, server)
+    if result.alive and not server.ejected_until_ms:
+        server.last_contact_ms = world.now_ms
+        return
+    was_in_service = not server.ejected_until_ms
+    servers.apply_probe_result(world, result)
+    if result.alive or world.table.forwarding is None:
+        return
+    if was_in_service:
+        world.emit(effects.Doubt(server.server_id, server.target))
+        _record_possible_crashes(world, server)
+    _move_requests(world, server)
+
+
+def _is_unresponsive(world: entities.World, server: entities.ServerRow) -> bool:
+    if server.ejected_until_ms > world.now_ms:
+        return False
+    oldest_progress_ms = min(
+        attempt.last_progress_ms for attempt in server.in_flight.values()
+    )
+    last_contact_ms = max(oldest_progress_ms, server.last_contact_ms)
+    silent_ms = world.now_ms - last_contact_ms
+    return silent_ms >= PROBE_AFTER_MS and silent_ms >= _silence_limit_ms(
+        world, server
+    )
+
+
+def _silence_limit_ms(
+    world: entities.World, server: entities.ServerRow
+) -> float:
+    limit_ms = float(PROBE_AFTER_MS)
+    if server.target in world.table.services:
+        usual_ms = world.service_time_ms.get(server.target, 0.0)
+        limit_ms = max(limit_ms, SERVICE_TIME_FACTOR * usual_ms)
+    daemons = tuple(sorted(world.live_daemons))
+    if len(daemons) <= assignment.MESH_LIMIT or world.daemon not in daemons:
+        return limit_ms
+    order = assignment.probe_order(server.server_id, daemons)
+    return limit_ms + PROBE_SPREAD_MS * order.index(world.daemon) / len(order)
+
+
+def _record_possible_crashes(
+    world: entities.World, server: entities.ServerRow
+) -> None:
+    """Records a dead server's requests, in case one of them crashed it."""
+    for attempt in server.in_flight.values():
+        request = world.requests.get(attempt.request_id)
+        if request is not None:
+            crashes.record_broken_connection(world, request, attempt)
+
+
+def _move_requests(world: entities.World, server: entities.ServerRow) -> None:
+    """Moves requests that may be repeated from a dead server to others."""
+    for attempt in list(server.in_flight.values()):
+        request = world.requests.get(attempt.request_id)
+        if request is None or request.work.route is None:
+            continue
+        if request.at_most_once or request.attempt_id != attempt.attempt_id:
+            continue
+        world.emit(effects.CancelAttempt(attempt.attempt_id, False))
+        request.may_have_run = True
+        detail = "its server gave no sign of life"
+        if request.answer_started:
+            followup.resume_or_break(world, request, attempt, detail)
+        else:
+            closing.close_attempt(world, attempt.attempt_id)
+            followup.retry(world, request, attempt, detail)
+
+
+__all__ = [
+    "apply_result",
+    "check_ejected",
+    "handle_suspected",
+    "probe",
+    "probe_unresponsive",
+]
--- a/src/godwittack/core/router.py
+++ b/src/godwittack/core/router.py
@@ -12,16 +12,16 @@
     claims,
     crashes,
     dispatching,
-    doubt,
     effects,
     entities,
     inputs,
     outcomes,
+    probing,
     rate_limits,
     resuming,
     server_inputs,
     servers,
-    silence,
+    timeouts,
     weights,
 )
 from godwittack.core import policy as policies
@@ -80,7 +80,7 @@
             world.started_at_ms = world.now_ms
         self._handle(input_)
         if world.targets_to_dispatch:
-            dispatching.drain(world)
+            dispatching.dispatch_queued(world)
         self._check_stopped()
         return world.pending_effects
 
@@ -88,23 +88,23 @@
         world = self.world
         match input_:
             case inputs.FramesArrived():
-                attempts.frames(world, input_)
+                attempts.relay_frames(world, input_)
             case inputs.RequestArrived():
                 admission.admit(world, input_)
             case inputs.AttemptOpened():
-                attempts.opened(world, input_)
+                attempts.handle_opened(world, input_)
             case inputs.AnswerArrived():
-                attempts.answer(world, input_)
+                attempts.handle_answer(world, input_)
             case inputs.UsageReported():
-                attempts.usage(world, input_)
+                attempts.log_usage(world, input_)
             case inputs.AttemptFailed():
-                attempts.failed(world, input_)
+                attempts.handle_failure(world, input_)
             case inputs.CallerGone():
-                attempts.caller_gone(world, input_)
+                attempts.handle_caller_gone(world, input_)
             case inputs.StreamResumed():
                 resuming.resume(world, input_)
             case inputs.ClaimAnswered():
-                claims.answered(world, input_)
+                claims.apply_verdict(world, input_)
             case inputs.OutcomeStored():
                 self._apply_outcome_stored(input_)
             case server_inputs.LoadReported():
@@ -126,9 +126,9 @@
             case server_inputs.RestAsked():
                 availability.record_rest(world, input_)
             case server_inputs.ProbeAnswered():
-                doubt.probed(world, input_)
+                probing.apply_result(world, input_)
             case server_inputs.ServerDoubted():
-                doubt.told(world, input_)
+                probing.handle_suspected(world, input_)
             case _:
                 self._handle_control(input_)
 
@@ -179,10 +179,10 @@
         world.shares.update_demand(world.now_ms)
         outcomes.retry_due_writes(world)
         attempts.reply_unstored(world)
-        doubt.check(world)
-        silence.check(world)
-        silence.give_up(world)
-        doubt.check_ejected(world)
+        probing.probe_unresponsive(world)
+        timeouts.handle_stalled(world)
+        timeouts.end_overdue(world)
+        probing.check_ejected(world)
         availability.end_rests(world)
         dispatching.expire_queued(world)
         world.quarantine.expire(now_ms=world.now_ms)
