--- a/src/godwittack/daemon/observer.py
+++ b/src/godwittack/daemon/observer.py
@@ -8,7 +8,7 @@
 
 if TYPE_CHECKING:
     from godwittack.core import effects
-    from godwittack.daemon import stories
+    from godwittack.daemon import log_sampling
     from godwittack.metric import meters
     from godwittack.report import ledger
 
@@ -28,7 +28,7 @@
         *,
         counts: ledger.Ledger,
         measures: meters.Meters,
-        told: stories.Stories | None = None,
+        told: log_sampling.Stories | None = None,
     ) -> None:
         """Counts in `counts` and measures in `measures`.
 
--- a/src/godwittack/daemon/edge.py
+++ b/src/godwittack/daemon/platform_daemon.py
@@ -16,21 +16,21 @@
 from godwittack.backend import routed
 from godwittack.core import availability, inputs, rate_limits
 from godwittack.daemon import (
-    announcing,
     base,
     crash_rows,
+    dispatch_announcer,
     entries,
+    feed_table,
     following,
     instances,
-    keeping,
     lag,
     lead,
-    listening,
-    naming,
+    listeners,
+    log_sampling,
     news,
     observer,
+    published_weights,
     runtime,
-    stories,
     watch,
 )
 from godwittack.entry import directory, forward
@@ -110,7 +110,9 @@
             observe=observer.EventObserver(
                 counts=counts,
                 measures=self._meters,
-                told=stories.Stories(write=write_line, now_ms=clock.now_ms),
+                told=log_sampling.Stories(
+                    write=write_line, now_ms=clock.now_ms
+                ),
             ),
             clock=clock,
         )
@@ -122,7 +124,7 @@
         backend.listener.limits.is_known = functools.partial(
             rate_limits.is_limited, core.world
         )
-        self._keeper = keeping.FeedKeeper(
+        self._keeper = feed_table.FeedKeeper(
             runtime=self.runtime,
             peers=self._peers,
             right=confirmed.ConfirmedRight(
@@ -132,7 +134,7 @@
             known=freshness.Freshness(topic=freshness.Topic.TABLE),
         )
         self._keeper.known.on_confirmed = self._keeper.confirmed
-        self._named = naming.NamedVersions()
+        self._named = published_weights.NamedVersions()
         self._servers_known = freshness.Freshness(topic=freshness.Topic.SERVERS)
         self._serving = serving.Serving(
             members=members,
@@ -152,7 +154,7 @@
             client=self._peers,
             audience=self._serving,
         )
-        announcer = announcing.Announcer(
+        announcer = dispatch_announcer.Announcer(
             members=members,
             news=self._news,
             runtime=self.runtime,
@@ -235,7 +237,7 @@
         self._store_readers = duty.Assigned(duty.store_readers)
         self._loops = base.Loops()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._listeners = listening.Listeners(clock, delay)
+        self._listeners = listeners.Listeners(clock, delay)
 
     def _crashes_seen(self, told: effects.TellCrashes) -> None:
         self._news.publish_crashes(told)
--- a/src/godwittack/daemon/process.py
+++ b/src/godwittack/daemon/process.py
@@ -43,11 +43,13 @@
 
 def _run_on_platform(loaded: configs.Loaded) -> None:
     # Each way of running imports what it needs, and starts the sooner.
-    from godwittack.daemon import edge, logs
+    from godwittack.daemon import logs, platform_daemon
 
     writer = logs.install()
     selector = loop_delay.TimedSelector(clock.SystemClock())
-    serving = edge.serve(loaded, write_line=writer.tell, delay=selector)
+    serving = platform_daemon.serve(
+        loaded, write_line=writer.tell, delay=selector
+    )
     try:
         with asyncio.Runner(
             loop_factory=lambda: asyncio.SelectorEventLoop(selector)
--- a/src/godwittack/daemon/watch.py
+++ b/src/godwittack/daemon/watch.py
@@ -14,7 +14,7 @@
 from godwittack.backend import protocol as backend
 from godwittack.core import cached_state, server_inputs
 from godwittack.daemon import digest as digests
-from godwittack.daemon import loads
+from godwittack.daemon import load_filter
 from godwittack.daemon import news as newses
 from godwittack.member import duty
 
@@ -260,7 +260,7 @@
 
     def __init__(self, news: newses.News) -> None:
         self._news = news
-        self._loads = loads.LoadFilter()
+        self._loads = load_filter.LoadFilter()
 
     def publish(self, item: Watched) -> None:
         match item.told:
--- a/tests/cases/entries.py
+++ b/tests/cases/entries.py
@@ -8,7 +8,7 @@
 from cases import routed_core
 from godwittack.core import incarnation, inputs, server_inputs, work
 from godwittack.daemon import entries as reading
-from godwittack.daemon import naming
+from godwittack.daemon import published_weights
 from godwittack.lead import rollout
 from godwittack.platform import instances, rows, servers, table
 from godwittack.store import protocol
@@ -179,7 +179,7 @@
         "services": [{"name": "llm", "engine": {"models": [{"name": "m"}]}}],
     }
     named = {"model": "m", "version": 4}
-    held = naming.NamedVersions()
+    held = published_weights.NamedVersions()
     for value in (json.dumps(named), "", '{"model":"m","version":"9"}', "[]"):
         told = {
             "config": json.dumps(config),
--- a/tests/cases/logs.py
+++ b/tests/cases/logs.py
@@ -13,7 +13,7 @@
 from cases import routed_core
 from godwittack.command import explain
 from godwittack.core import effects, inputs
-from godwittack.daemon import logs, observer, stories
+from godwittack.daemon import log_sampling, logs, observer
 
 
 class Told:
@@ -22,7 +22,7 @@
     def __init__(self, *, lines_per_s: int = 200) -> None:
         self.lines: list[str] = []
         self.core = routed_core.Core()
-        self.stories = stories.Stories(
+        self.stories = log_sampling.Stories(
             write=self.lines.append,
             now_ms=lambda: self.core.now_ms,
             lines_per_s=lines_per_s,
@@ -66,7 +66,7 @@
             by_request.setdefault(fields["request"], []).append(fields["event"])
     for name, events in by_request.items():
         assert events[0] == "placed", (name, events)
-        assert events[-1] in stories.ENDS, (name, events)
+        assert events[-1] in log_sampling.ENDS, (name, events)
     failed = [n for n in by_request if int(n[1:]) % 100 == 0]
     assert len(failed) == 50, len(failed)
 
--- a/tests/cases/weights.py
+++ b/tests/cases/weights.py
@@ -6,7 +6,7 @@
 
 from cases import routed_core
 from godwittack.core import effects, inputs, server_inputs
-from godwittack.daemon import keeping
+from godwittack.daemon import feed_table
 from godwittack.lead import rollout
 from godwittack.member import confirmed, freshness
 
@@ -236,7 +236,7 @@
 
     def __init__(self) -> None:
         self.core = routed_core.Core(servers=1)
-        self.keeper = keeping.FeedKeeper(
+        self.keeper = feed_table.FeedKeeper(
             runtime=_Running(self.core),
             peers=None,
             right=confirmed.ConfirmedRight(bound_ms=routed_core.ALLOWED_MS),
