--- a/src/godwittack/address/__init__.py
+++ b/src/godwittack/address/__init__.py
@@ -5,7 +5,7 @@
 import functools
 import ipaddress
 
-MOST_PORT = 65_535
+MAX_PORT = 65_535
 
 
 @functools.lru_cache(maxsize=1_024)
@@ -19,7 +19,7 @@
     return host.strip("[]"), int(port)
 
 
-def checked(address: str) -> str:
+def validate(address: str) -> str:
     """Returns an address that names an IP and a port.
 
     Raises:
@@ -27,9 +27,9 @@
     """
     host, port = split(address)
     ipaddress.ip_address(host)
-    if not 0 < port <= MOST_PORT:
+    if not 0 < port <= MAX_PORT:
         raise ValueError("no such port")
     return address
 
 
-__all__ = ["checked", "split"]
+__all__ = ["validate", "split"]
--- a/src/godwittack/backend/connection.py
+++ b/src/godwittack/backend/connection.py
@@ -91,7 +91,7 @@
         self._transport = transport
         sock = transport.get_extra_info("socket")
         if sock is not None:
-            liveness.probe(sock)
+            liveness.enable_keepalive(sock)
 
     def data_received(self, data: bytes) -> None:
         """Parses what came."""
--- a/src/godwittack/clock/loop_delay.py
+++ b/src/godwittack/clock/loop_delay.py
@@ -18,26 +18,26 @@
     """How late a loop may be with what it reads or accepts."""
 
     @property
-    def rounds(self) -> int:
+    def iterations(self) -> int:
         """Rounds of the loop so far."""
 
-    def read_ms(self) -> int:
+    def read_delay_ms(self) -> int:
         """Returns how long data read in this round may have waited."""
 
-    def accepted_ms(self) -> int:
+    def accept_delay_ms(self) -> int:
         """Returns how long a connection accepted in the last one may have."""
 
 
 class NoDelay:
     """A loop that is taken to be on time."""
 
-    rounds = 0
+    iterations = 0
 
-    def read_ms(self) -> int:
+    def read_delay_ms(self) -> int:
         """Returns 0."""
         return 0
 
-    def accepted_ms(self) -> int:
+    def accept_delay_ms(self) -> int:
         """Returns 0."""
         return 0
 
@@ -53,41 +53,43 @@
     def __init__(self, clock: Clock) -> None:
         """Measures by `clock`, which should count while suspended."""
         super().__init__()
-        self.rounds = 0
+        self.iterations = 0
         self._clock = clock
-        self._began_ms = clock.now_ms()
-        self._late_ms = 0
-        self._late_before_ms = 0
+        self._iteration_started_ms = clock.now_ms()
+        self._delay_ms = 0
+        self._previous_delay_ms = 0
         self._overslept_ms = 0
 
     def select(
         self, timeout: float | None = None
     ) -> list[tuple[selectors.SelectorKey, int]]:
         """Waits for events; the loop calls it once a round."""
-        slept_from_ms = self._clock.now_ms()
+        select_started_ms = self._clock.now_ms()
         ready = super().select(timeout)
         now_ms = self._clock.now_ms()
         overslept_ms = 0
         if timeout is not None:
-            wake_at_ms = slept_from_ms + round(max(0.0, timeout) * 1000)
+            wake_at_ms = select_started_ms + round(max(0.0, timeout) * 1000)
             overslept_ms = max(0, now_ms - wake_at_ms)
-        self._late_before_ms = self._late_ms
-        busy_ms = slept_from_ms - self._began_ms
+        self._previous_delay_ms = self._delay_ms
+        busy_ms = select_started_ms - self._iteration_started_ms
         # A process may be stopped after the events of a round were collected,
         # or a signal end the wait: what is ready by then comes a round later.
-        self._late_ms = busy_ms + overslept_ms + self._overslept_ms
+        self._delay_ms = busy_ms + overslept_ms + self._overslept_ms
         self._overslept_ms = overslept_ms
-        self._began_ms = now_ms
-        self.rounds += 1
+        self._iteration_started_ms = now_ms
+        self.iterations += 1
         return ready
 
-    def read_ms(self) -> int:
+    def read_delay_ms(self) -> int:
         """Returns how long data read in this round may have waited."""
-        return self._late_ms + self._clock.now_ms() - self._began_ms
+        return (
+            self._delay_ms + self._clock.now_ms() - self._iteration_started_ms
+        )
 
-    def accepted_ms(self) -> int:
+    def accept_delay_ms(self) -> int:
         """Returns how long a connection accepted in the last one may have."""
-        return self._late_before_ms + self.read_ms()
+        return self._previous_delay_ms + self.read_delay_ms()
 
 
 __all__ = ["NoDelay", "ReadDelay", "TimedSelector"]
--- a/src/godwittack/daemon/attempt.py
+++ b/src/godwittack/daemon/attempt.py
@@ -65,7 +65,7 @@
         self._submit(
             inputs.FramesArrived(self._clock.now_ms(), self._attempt_id, frames)
         )
-        await self._caller.room()
+        await self._caller.wait_for_room()
 
     def answer(
         self,
--- a/src/godwittack/daemon/base.py
+++ b/src/godwittack/daemon/base.py
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Base:
+class Components:
     """The core, the view of other daemons, and the ways to them.
 
     Attributes:
@@ -56,7 +56,7 @@
     seeds: tuple[str, ...]
 
     @classmethod
-    def from_config(cls, loaded: configs.Loaded) -> Base:
+    def from_config(cls, loaded: configs.Loaded) -> Components:
         """Builds the parts of a process that has just started."""
         settings = loaded.settings
         clock = SystemClock()
@@ -71,13 +71,13 @@
         core = router.Router.from_config(
             daemon=me.member_id, policy=settings.policy()
         )
-        measures = meters.Meters(core.world)
+        process_meters = meters.Meters(core.world)
         return cls(
             clock=clock,
             rng=rng,
             core=core,
             counts=ledger.Ledger(daemon=me.member_id, clock=clock),
-            meters=measures,
+            meters=process_meters,
             members=view.View(
                 me=me,
                 policy=settings.member_policy(),
@@ -87,28 +87,28 @@
             peers=exchange.PeerClient(
                 secret=loaded.cluster_secret,
                 timeout_ms=settings.peer_timeout_ms,
-                count_bytes=measures.count_peer_bytes,
+                count_bytes=process_meters.count_peer_bytes,
             ),
             probes=datagram.DatagramPeers(
                 secret=loaded.cluster_secret,
                 timeout_ms=settings.peer_timeout_ms,
-                count_bytes=measures.count_peer_bytes,
+                count_bytes=process_meters.count_peer_bytes,
             ),
             peer_secret=loaded.cluster_secret,
             seeds=settings.seeds,
         )
 
-    def gossiper(
+    def build_gossiper(
         self,
         *,
-        running: runtime.Runtime,
+        daemon_runtime: runtime.Runtime,
         keeper: tables.TableKeeper,
         news: newses.News,
     ) -> gossip.Gossiper:
         """Returns what probes the others and spreads membership."""
         return gossip.Gossiper(
             members=self.members,
-            runtime=running,
+            runtime=daemon_runtime,
             keeper=keeper,
             client=self.peers,
             probes=self.probes,
@@ -117,7 +117,9 @@
             seeds=self.seeds,
         )
 
-    def peer_server(self, handler: server.PeerHandler) -> server.PeerServer:
+    def build_peer_server(
+        self, handler: server.PeerHandler
+    ) -> server.PeerServer:
         """Returns the server that other daemons call."""
         return server.PeerServer(
             handler=handler,
@@ -125,25 +127,25 @@
             count_bytes=self.meters.count_peer_bytes,
         )
 
-    async def close(self, listening: server.PeerServer) -> None:
+    async def close(self, peer_server: server.PeerServer) -> None:
         """Ends the ways to other daemons, and the metrics."""
-        await listening.stop()
+        await peer_server.stop()
         await self.peers.close()
         self.probes.close()
         self.meters.close()
 
 
-class Loops:
+class BackgroundTasks:
     """What a daemon does all the time; the failure of one ends the process."""
 
     def __init__(self) -> None:
         """Runs none yet."""
         self._tasks: list[asyncio.Task[None]] = []
 
-    def start(self, work: Coroutine[object, object, None]) -> None:
-        """Runs `work` until it is cancelled."""
-        task = asyncio.create_task(_run(work))
-        task.add_done_callback(_report_end)
+    def start(self, coroutine: Coroutine[object, object, None]) -> None:
+        """Runs `coroutine` until it is cancelled."""
+        task = asyncio.create_task(_run(coroutine))
+        task.add_done_callback(_stop_on_failure)
         self._tasks.append(task)
 
     async def cancel(self) -> None:
@@ -153,20 +155,20 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
 
-def stop_ordered() -> asyncio.Event:
+def install_stop_handler() -> asyncio.Event:
     """Returns an event that is set by the signals that end the process."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     return stop
 
 
-async def _run(work: Coroutine[object, object, None]) -> None:
-    await work
+async def _run(coroutine: Coroutine[object, object, None]) -> None:
+    await coroutine
 
 
-def _report_end(task: asyncio.Task[None]) -> None:
+def _stop_on_failure(task: asyncio.Task[None]) -> None:
     """Ends the process where one of its loops has failed.
 
     A loop that ends silently would leave the daemon half alive.
@@ -179,4 +181,4 @@
         signal.raise_signal(signal.SIGTERM)
 
 
-__all__ = ["Base", "Loops", "stop_ordered"]
+__all__ = ["Components", "BackgroundTasks", "install_stop_handler"]
--- a/src/godwittack/daemon/caller.py
+++ b/src/godwittack/daemon/caller.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from godwittack.backend import protocol
 
-ROOM_FRAMES = 256
+MAX_BUFFERED_FRAMES = 256
 
 
 class Caller:
@@ -25,29 +25,29 @@
         """Keeps the call until the core forgets the request."""
         self.call = call
         self._effects: asyncio.Queue[effects.Effect] = asyncio.Queue()
-        self._frames = 0
-        self._emptied = asyncio.Event()
+        self._buffered_frames = 0
+        self._has_room = asyncio.Event()
 
     def put(self, effect: effects.Effect) -> None:
         """Adds an effect."""
         if isinstance(effect, effects.Relay):
-            self._frames += len(effect.frames)
+            self._buffered_frames += len(effect.frames)
         self._effects.put_nowait(effect)
 
     async def get(self) -> effects.Effect:
         """Waits for the next effect."""
         effect = await self._effects.get()
         if isinstance(effect, effects.Relay):
-            self._frames -= len(effect.frames)
-            if self._frames < ROOM_FRAMES:
-                self._emptied.set()
+            self._buffered_frames -= len(effect.frames)
+            if self._buffered_frames < MAX_BUFFERED_FRAMES:
+                self._has_room.set()
         return effect
 
-    async def room(self) -> None:
+    async def wait_for_room(self) -> None:
         """Waits until the caller has read enough."""
-        while self._frames >= ROOM_FRAMES:
-            self._emptied.clear()
-            await self._emptied.wait()
+        while self._buffered_frames >= MAX_BUFFERED_FRAMES:
+            self._has_room.clear()
+            await self._has_room.wait()
 
 
-__all__ = ["ROOM_FRAMES", "Caller"]
+__all__ = ["MAX_BUFFERED_FRAMES", "Caller"]
--- a/src/godwittack/daemon/change.py
+++ b/src/godwittack/daemon/change.py
@@ -16,16 +16,16 @@
     from godwittack.daemon import gossip, tables
     from godwittack.store import protocol as platform
 
-SPREAD_PAUSE_MS = 150
+SPREAD_INTERVAL_MS = 150
 # Added to the time after which an older table is served nowhere, for clocks
 # that run at different speeds.
-LAPSE_MARGIN_MS = 500
+EXPIRY_MARGIN_MS = 500
 # How long a majority is waited for.
-MAJORITY_MS = 3_000
+MAJORITY_TIMEOUT_MS = 3_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class InForce:
+class ChangeProgress:
     """How far a committed change came.
 
     Attributes:
@@ -46,7 +46,7 @@
     missing: tuple[str, ...]
 
 
-ChangeResult: TypeAlias = InForce | store.Conflict | store.Invalid
+ChangeResult: TypeAlias = ChangeProgress | store.Conflict | store.Invalid
 
 
 class Committer:
@@ -65,7 +65,9 @@
         self._tables = tables
         self._keeper = keeper
         self._gossiper = gossiper
-        self._lapse_ms = policy.lapse_ms(gossip_ms=gossip_ms) + LAPSE_MARGIN_MS
+        self._expiry_ms = (
+            policy.lapse_ms(gossip_ms=gossip_ms) + EXPIRY_MARGIN_MS
+        )
 
     async def commit(
         self, proposal: store.Proposal
@@ -73,13 +75,13 @@
         """Commits a change and waits until it is in force."""
         clock = self._keeper.runtime.clock
         started_ms = clock.now_ms()
-        got = await self._tables.commit(proposal, self._keeper.table)
-        if isinstance(got, Err):
-            return got
-        if not isinstance(got.ok_value, store.Committed):
-            return Ok(got.ok_value)
-        entry = got.ok_value.entry
-        self._keeper.adopt(got.ok_value.table)
+        result = await self._tables.commit(proposal, self._keeper.table)
+        if isinstance(result, Err):
+            return result
+        if not isinstance(result.ok_value, store.Committed):
+            return Ok(result.ok_value)
+        entry = result.ok_value.entry
+        self._keeper.adopt(result.ok_value.table)
         logging.info(
             "event=table_changed version=%d who=%s cells=%d undoes=%d",
             entry.version,
@@ -89,29 +91,29 @@
         )
         return Ok(await self._spread(entry.version, started_ms))
 
-    async def _spread(self, version: int, started_ms: int) -> InForce:
+    async def _spread(self, version: int, started_ms: int) -> ChangeProgress:
         """Spreads a version until it is accepted, or no majority has it."""
         clock = self._keeper.runtime.clock
         committed_ms = clock.now_ms()
-        majority_ms = 0
+        majority_at_ms = 0
         while True:
             await self._gossiper.spread_now()
             now_ms = clock.now_ms()
-            confirmed, missing = self._standing(version)
-            known = self._gossiper.members.known()
-            has_majority = 2 * len(confirmed) > known
-            if has_majority and not majority_ms:
-                majority_ms = now_ms
-            lapsed = has_majority and now_ms - majority_ms >= self._lapse_ms
+            confirmed, missing = self._confirmations(version)
+            expected_daemons = self._gossiper.members.known()
+            has_majority = 2 * len(confirmed) > expected_daemons
+            if has_majority and not majority_at_ms:
+                majority_at_ms = now_ms
+            lapsed = has_majority and now_ms - majority_at_ms >= self._expiry_ms
             hopeless = not has_majority and (
-                now_ms - committed_ms >= MAJORITY_MS
+                now_ms - committed_ms >= MAJORITY_TIMEOUT_MS
             )
             # A daemon that was lost to us and forgotten may be well, and hold
             # a lease on the version before: only a full count is at once.
-            if len(confirmed) >= known or lapsed or hopeless:
+            if len(confirmed) >= expected_daemons or lapsed or hopeless:
                 break
-            await asyncio.sleep(SPREAD_PAUSE_MS / 1000)
-        return InForce(
+            await asyncio.sleep(SPREAD_INTERVAL_MS / 1000)
+        return ChangeProgress(
             version=version,
             accepted=has_majority,
             after_ms=clock.now_ms() - started_ms,
@@ -120,16 +122,18 @@
             missing=() if has_majority else tuple(missing),
         )
 
-    def _standing(self, version: int) -> tuple[list[str], list[str]]:
+    def _confirmations(self, version: int) -> tuple[list[str], list[str]]:
         members = self._gossiper.members
         confirmed = [members.me.member_id]
         missing: list[str] = []
         for row in members.rows.values():
             if row.left and row.member.state is view.MemberState.DEAD:
                 continue
-            has_it = row.table_version >= version
-            (confirmed if has_it else missing).append(row.member.member_id)
+            is_confirmed = row.table_version >= version
+            (confirmed if is_confirmed else missing).append(
+                row.member.member_id
+            )
         return sorted(confirmed), sorted(missing)
 
 
-__all__ = ["ChangeResult", "Committer", "InForce"]
+__all__ = ["ChangeResult", "Committer", "ChangeProgress"]
--- a/src/godwittack/daemon/crash_rows.py
+++ b/src/godwittack/daemon/crash_rows.py
@@ -26,8 +26,8 @@
 TABLE = "quarantines"
 # Rows are never removed: a content replaces the one before it in its slot.
 SLOTS = 256
-TRIES = 5
-PAUSE_S = 0.5
+MAX_TRIES = 5
+RETRY_PAUSE_S = 0.5
 
 
 class Store(protocol.ConditionalRows, protocol.RowFeed, Protocol):
@@ -56,37 +56,37 @@
         """Reads and writes in `service`."""
         self._service = service
         self._runtime = runtime
-        self._is_read = False
-        self._written: dict[str, int] = {}
+        self._has_read = False
+        self._written_counts: dict[str, int] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def seen(self, told: effects.TellCrashes) -> None:
+    def record(self, update: effects.TellCrashes) -> None:
         """Takes in what this daemon tells the others of crashes."""
-        if told.crashes and not self._is_read:
-            self._is_read = True
+        if update.crashes and not self._has_read:
+            self._has_read = True
             self._spawn(self._read())
-        for content in sorted({crash.content for crash in told.crashes}):
-            self._keep(content)
-        for done in told.completions:
-            self._written.pop(done.content, None)
+        for content in sorted({crash.content for crash in update.crashes}):
+            self._write_crashes(content)
+        for completion in update.completions:
+            self._written_counts.pop(completion.content, None)
             # Every daemon is told of those alone that were kept. The row may
             # be another daemon's.
-            if not told.target:
-                self._spawn(self._write(_RowJson(content=done.content)))
+            if not update.target:
+                self._spawn(self._write(_RowJson(content=completion.content)))
 
     def close(self) -> None:
         """Ends calls that are under way."""
         for task in self._tasks:
             task.cancel()
 
-    def _keep(self, content: str) -> None:
-        known = self._runtime.core.world.quarantine
-        crashes = known.crashes(content)
-        if not known.is_kept(content):
+    def _write_crashes(self, content: str) -> None:
+        quarantined = self._runtime.core.world.quarantine
+        crashes = quarantined.crashes(content)
+        if not quarantined.is_kept(content):
             return
-        if self._written.get(content, 0) >= len(crashes):
+        if self._written_counts.get(content, 0) >= len(crashes):
             return
-        self._written[content] = len(crashes)
+        self._written_counts[content] = len(crashes)
         clock = self._runtime.clock
         ahead_ms = clock.wall_ms() - clock.now_ms()
         row = _RowJson(
@@ -107,37 +107,37 @@
         write = protocol.RowWrite(
             protocol.RowId(TABLE, f"{slot:03d}"), row.model_dump_json()
         )
-        for _ in range(TRIES):
-            got = await self._service.transact((), (write,))
-            if not isinstance(got, Err):
+        for _ in range(MAX_TRIES):
+            result = await self._service.transact((), (write,))
+            if not isinstance(result, Err):
                 return
             logging.info(
                 "event=quarantine_unwritten content=%s detail=%r",
                 row.content,
-                str(got.err_value),
+                str(result.err_value),
             )
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(RETRY_PAUSE_S)
 
     async def _read(self) -> None:
-        for _ in range(TRIES):
-            got = await self._service.page(TABLE, from_key="")
-            if not isinstance(got, Err):
-                self._take(got.ok_value.rows)
+        for _ in range(MAX_TRIES):
+            result = await self._service.page(TABLE, from_key="")
+            if not isinstance(result, Err):
+                self._apply_rows(result.ok_value.rows)
                 return
             logging.info(
-                "event=quarantines_unread detail=%r", str(got.err_value)
+                "event=quarantines_unread detail=%r", str(result.err_value)
             )
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(RETRY_PAUSE_S)
         # Tried again at the next crash.
-        self._is_read = False
+        self._has_read = False
 
-    def _take(self, rows: tuple[protocol.ChangedRow, ...]) -> None:
+    def _apply_rows(self, rows: tuple[protocol.ChangedRow, ...]) -> None:
         clock = self._runtime.clock
         ahead_ms = clock.wall_ms() - clock.now_ms()
-        found: list[quarantine.Crash] = []
+        crashes: list[quarantine.Crash] = []
         for row in rows:
             try:
-                kept = _RowJson.model_validate_json(row.value)
+                stored = _RowJson.model_validate_json(row.value)
             except pydantic.ValidationError as error:
                 logging.warning(
                     "event=quarantine_unreadable row=%s detail=%r",
@@ -145,28 +145,30 @@
                     str(error.errors()[0]["msg"]),
                 )
                 continue
-            found.extend(
+            crashes.extend(
                 quarantine.Crash(
-                    content=kept.content,
+                    content=stored.content,
                     start=crash.start,
                     reporter=crash.reporter,
                     at_ms=min(clock.now_ms(), crash.at_wall_ms - ahead_ms),
                 )
-                for crash in kept.crashes
-                if _is_remembered(kept, crash, now_wall_ms=clock.wall_ms())
+                for crash in stored.crashes
+                if _is_still_relevant(
+                    stored, crash, now_wall_ms=clock.wall_ms()
+                )
             )
-        if found:
+        if crashes:
             self._runtime.submit(
-                inputs.CrashesTold(clock.now_ms(), tuple(found))
+                inputs.CrashesTold(clock.now_ms(), tuple(crashes))
             )
 
-    def _spawn(self, work: Coroutine[object, object, None]) -> None:
-        task = asyncio.create_task(work)
+    def _spawn(self, coroutine: Coroutine[object, object, None]) -> None:
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
 
-def _is_remembered(
+def _is_still_relevant(
     kept: _RowJson, crash: _CrashJson, *, now_wall_ms: int
 ) -> bool:
     """Returns whether a daemon that had lived on would know of a crash.
--- a/src/godwittack/daemon/dispatch_announcer.py
+++ b/src/godwittack/daemon/dispatch_announcer.py
@@ -16,7 +16,7 @@
     from godwittack.member import view
 
 
-class Spreader(Protocol):
+class DatagramSender(Protocol):
     """Sends one message to many daemons, with no word of its arrival."""
 
     def spread(self, peers: Iterable[str], news: peer_pb2.News) -> None:
@@ -37,49 +37,49 @@
         members: view.View,
         news: newses.News,
         runtime: runtimes.Runtime,
-        spreader: Spreader,
+        datagrams: DatagramSender,
     ) -> None:
         """Announces to those that `news` names as a model's audience."""
         self._members = members
         self._news = news
         self._runtime = runtime
-        self._spreader = spreader
+        self._datagrams = datagrams
 
-    def announce(self, sent: effects.Announce) -> None:
+    def announce(self, announcement: effects.Announce) -> None:
         """Tells the daemons that serve a model of a prompt sent."""
         own = self._members.me.member_id
-        told = peer_pb2.News(
+        message = peer_pb2.News(
             dispatched=[
                 peer_pb2.Dispatched(
-                    server_id=sent.server_id,
-                    tokens=sent.tokens,
-                    priority=sent.priority,
-                    levels=sent.levels,
+                    server_id=announcement.server_id,
+                    tokens=announcement.tokens,
+                    priority=announcement.priority,
+                    levels=announcement.levels,
                 )
             ]
         )
-        self._spreader.spread(
+        self._datagrams.spread(
             (
                 member.peer_address
-                for member in self._news.audience(sent.target)
+                for member in self._news.audience(announcement.target)
                 if member.member_id != own
             ),
-            told,
+            message,
         )
 
-    def heard(self, told: peer_pb2.News) -> None:
+    def apply(self, message: peer_pb2.News) -> None:
         """Takes in what another daemon announced."""
         now_ms = self._runtime.clock.now_ms()
-        for sent in told.dispatched:
+        for announcement in message.dispatched:
             self._runtime.submit(
                 server_inputs.PeerDispatched(
                     at_ms=now_ms,
-                    server_id=sent.server_id,
-                    tokens=sent.tokens,
-                    priority=sent.priority,
-                    levels=tuple(sent.levels),
+                    server_id=announcement.server_id,
+                    tokens=announcement.tokens,
+                    priority=announcement.priority,
+                    levels=tuple(announcement.levels),
                 )
             )
 
 
-__all__ = ["Announcer", "Spreader"]
+__all__ = ["Announcer", "DatagramSender"]
--- a/src/godwittack/daemon/feed_table.py
+++ b/src/godwittack/daemon/feed_table.py
@@ -23,21 +23,21 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class FeedKeeper(tables.TableKeeper):
+class FeedTableKeeper(tables.TableKeeper):
     """Keeps the newest table, as told by the operators' rows."""
 
     members: view.View
-    known: freshness.Freshness
+    table_freshness: freshness.Freshness
 
     def adopt(self, table: model.Table) -> bool:
         """Puts a table in force if it is newer; it never goes back."""
         if not tables.TableKeeper.adopt(self, table):
             return False
-        self.known.changed(table.version)
-        self._list_stores(table)
+        self.table_freshness.changed(table.version)
+        self._update_kv_stores(table)
         return True
 
-    def rows_changed(
+    def apply_rows(
         self,
         decode: Callable[
             [Mapping[str, protocol.ChangedRow]],
@@ -54,20 +54,20 @@
         if table.ok_value is not None:
             self.adopt(table.ok_value)
 
-    def _list_stores(self, table: model.Table) -> None:
+    def _update_kv_stores(self, table: model.Table) -> None:
         """Tells the core of stores of cached state, which no list names."""
         if table.forwarding is None:
             return
         now_ms = self.runtime.clock.now_ms()
-        named = {store.name: store for store in table.forwarding.kv_stores}
-        known = self.runtime.core.world.servers_by_target[STORE_TARGET]
-        for name in known.keys() - named.keys():
+        kv_stores = {store.name: store for store in table.forwarding.kv_stores}
+        listed_servers = self.runtime.core.world.servers_by_target[STORE_TARGET]
+        for name in listed_servers.keys() - kv_stores.keys():
             self.runtime.submit(
                 server_inputs.ServerListed(
                     at_ms=now_ms, server_id=name, gone=True
                 )
             )
-        for name, store in named.items():
+        for name, store in kv_stores.items():
             self.runtime.submit(
                 server_inputs.ServerListed(
                     at_ms=now_ms,
@@ -79,18 +79,18 @@
                 )
             )
 
-    def confirmed(self, made_at_ms: int) -> None:
+    def record_confirmation(self, confirmed_at_ms: int) -> None:
         """Takes in that the table was the newest at a time."""
-        self.right.service_read(now_ms=made_at_ms)
-        self.tell_right()
+        self.serving_lease.service_read(now_ms=confirmed_at_ms)
+        self.update_serving_lease()
 
-    def tell_right(self) -> None:
+    def update_serving_lease(self) -> None:
         """Tells the core until when keys may be served."""
         now_ms = self.runtime.clock.now_ms()
-        until_ms = self.right.until_ms(
+        until_ms = self.serving_lease.until_ms(
             self.members, own_version=self.table.version, now_ms=now_ms
         )
         self.runtime.submit(inputs.RightToServe(now_ms, until_ms))
 
 
-__all__ = ["FeedKeeper"]
+__all__ = ["FeedTableKeeper"]
--- a/src/godwittack/daemon/gossip.py
+++ b/src/godwittack/daemon/gossip.py
@@ -105,7 +105,7 @@
         now_ms = self._runtime.clock.now_ms()
         self.members.expire(
             now_ms=now_ms,
-            may_forget=self._keeper.right.service_fresh(now_ms=now_ms),
+            may_forget=self._keeper.serving_lease.service_fresh(now_ms=now_ms),
         )
         for member in self.members.probe_targets():
             self._start_probe(member.peer_address, member.member_id)
@@ -366,7 +366,7 @@
 
     def _compare_versions(self, told: peer_pb2.Envelope, now_ms: int) -> None:
         own = self._keeper.table.version
-        self._keeper.right.compared(
+        self._keeper.serving_lease.compared(
             own=own, told=told.table_version, now_ms=now_ms
         )
         if told.table_version > own and told.sender.peer_address:
@@ -379,7 +379,7 @@
     def _adopted(self) -> None:
         now_ms = self._runtime.clock.now_ms()
         own = self._keeper.table.version
-        self._keeper.right.compared(own=own, told=own, now_ms=now_ms)
+        self._keeper.serving_lease.compared(own=own, told=own, now_ms=now_ms)
         self._tell_core(now_ms)
 
     def _tell_core(self, now_ms: int) -> None:
@@ -401,7 +401,7 @@
             self._told_known = known
             self._told_live = live
             self._told_carriers = carriers
-        until_ms = self._keeper.right.until_ms(
+        until_ms = self._keeper.serving_lease.until_ms(
             self.members,
             own_version=self._keeper.table.version,
             now_ms=now_ms,
--- a/src/godwittack/daemon/lag.py
+++ b/src/godwittack/daemon/lag.py
@@ -13,15 +13,15 @@
     from godwittack.clock import Clock
     from godwittack.member import view
 
-STEP_MS = 100
+CHECK_INTERVAL_MS = 100
 
 
 async def watch_forever(*, members: view.View, clock: Clock) -> None:
     """Tells the other daemons when this one is overloaded, and when not."""
     detector = overload.OverloadDetector()
     while True:
-        due_ms = clock.now_ms() + STEP_MS
-        await asyncio.sleep(STEP_MS / 1000)
+        due_ms = clock.now_ms() + CHECK_INTERVAL_MS
+        await asyncio.sleep(CHECK_INTERVAL_MS / 1000)
         now_ms = clock.now_ms()
         if detector.observe(now_ms - due_ms, now_ms=now_ms):
             members.set_overloaded(detector.is_overloaded)
@@ -32,4 +32,4 @@
             )
 
 
-__all__ = ["STEP_MS", "watch_forever"]
+__all__ = ["CHECK_INTERVAL_MS", "watch_forever"]
--- a/src/godwittack/daemon/listeners.py
+++ b/src/godwittack/daemon/listeners.py
@@ -18,7 +18,7 @@
 HTTP_BACKLOG = 1_024
 # Of one line of a request's head, as the HTTP library reads it; the table's
 # own limit on all headers is checked after that, with an answer that says so.
-MAX_LINE_BYTES = 1 << 16
+MAX_HEADER_LINE_BYTES = 1 << 16
 
 
 class Listeners:
@@ -31,7 +31,7 @@
         self._clock = clock
         self._delay = delay
         self._servers: list[patience.PatientServer] = []
-        self._sites: list[web.TCPSite] = []
+        self._tcp_sites: list[web.TCPSite] = []
 
     async def listen(
         self,
@@ -46,7 +46,7 @@
         server = patience.PatientServer(
             handler,
             clock=self._clock,
-            max_line_bytes=MAX_LINE_BYTES,
+            max_line_bytes=MAX_HEADER_LINE_BYTES,
             delay=self._delay,
         )
         runner = web.ServerRunner(server)
@@ -55,16 +55,16 @@
         site = web.TCPSite(runner, host, port, backlog=HTTP_BACKLOG)
         await site.start()
         self._servers.append(server)
-        self._sites.append(site)
+        self._tcp_sites.append(site)
 
-    def end_slow(self, limits: forwarding.CallerLimits) -> None:
+    def close_slow_connections(self, limits: forwarding.CallerLimits) -> None:
         """Closes connections whose callers are slower than the limits."""
         for server in self._servers:
             server.end_slow(limits)
 
     async def stop(self) -> None:
         """Accepts no more connections."""
-        for site in self._sites:
+        for site in self._tcp_sites:
             await site.stop()
 
 
--- a/src/godwittack/daemon/load_filter.py
+++ b/src/godwittack/daemon/load_filter.py
@@ -8,9 +8,9 @@
     from godwittack.core import server_inputs
 
 # An unchanged load is told again after this, to a peer that missed it.
-REPEAT_MS = 2_000
+REPEAT_INTERVAL_MS = 2_000
 # Part of a figure by which it may move untold.
-NOISE = 0.1
+RELATIVE_TOLERANCE = 0.1
 
 
 class LoadFilter:
@@ -18,14 +18,14 @@
 
     def __init__(self) -> None:
         """Has told nothing."""
-        self._told: dict[str, server_inputs.LoadReported] = {}
+        self._last_published: dict[str, server_inputs.LoadReported] = {}
 
-    def is_news(self, load: server_inputs.LoadReported) -> bool:
+    def record_if_changed(self, load: server_inputs.LoadReported) -> bool:
         """Returns whether to tell a report, and remembers it if so."""
-        last = self._told.get(load.server_id)
+        last = self._last_published.get(load.server_id)
         if last is not None and _is_same(last, load):
             return False
-        self._told[load.server_id] = load
+        self._last_published[load.server_id] = load
         return True
 
 
@@ -33,20 +33,22 @@
     last: server_inputs.LoadReported, load: server_inputs.LoadReported
 ) -> bool:
     return (
-        load.at_ms - last.at_ms < REPEAT_MS
-        and _identity(last) == _identity(load)
-        and _close(last.running, load.running)
-        and _close(last.waiting, load.waiting)
-        and _close(last.waiting_tokens, load.waiting_tokens)
+        load.at_ms - last.at_ms < REPEAT_INTERVAL_MS
+        and _exact_fields(last) == _exact_fields(load)
+        and _is_close(last.running, load.running)
+        and _is_close(last.waiting, load.waiting)
+        and _is_close(last.waiting_tokens, load.waiting_tokens)
     )
 
 
-def _identity(load: server_inputs.LoadReported) -> tuple[str, str, int, bool]:
+def _exact_fields(
+    load: server_inputs.LoadReported,
+) -> tuple[str, str, int, bool]:
     return (load.incarnation, load.weights_version, load.slots, load.leaving)
 
 
-def _close(last: int, now: int) -> bool:
-    return abs(now - last) <= NOISE * max(now, last)
+def _is_close(last: int, current: int) -> bool:
+    return abs(current - last) <= RELATIVE_TOLERANCE * max(current, last)
 
 
 __all__ = ["LoadFilter"]
--- a/src/godwittack/daemon/log_sampling.py
+++ b/src/godwittack/daemon/log_sampling.py
@@ -13,24 +13,26 @@
 
 # Lines a second above which requests that end well are left out. Two hundred
 # cost 1% of a core at 50 us each.
-LINES_PER_S = 200
+MAX_LINES_PER_S = 200
 BURST_LINES = 400
 # Requests whose lines wait for their end, and lines of one of them.
-MOST_HELD = 2_000
-MOST_LINES = 24
+MAX_TRACKED_REQUESTS = 2_000
+MAX_LINES_PER_REQUEST = 24
 # Events after which nothing more is told of a request, and those of them that
 # are never left out for a success.
-ENDS = frozenset({"finished", "refused", "stream_broken", "caller_gone"})
-FAILURES = frozenset({"refused", "stream_broken"})
+FINAL_EVENTS = frozenset(
+    {"finished", "refused", "stream_broken", "caller_gone"}
+)
+FAILURE_EVENTS = frozenset({"refused", "stream_broken"})
 
 
 @dataclasses.dataclass(slots=True)
-class _Held:
+class _RequestLines:
     lines: list[str] = dataclasses.field(default_factory=list)
-    direct: bool = False
+    is_unbuffered: bool = False
 
 
-class Stories:
+class RequestLogSampler:
     """Writes all lines of a request or none.
 
     While there is room each line is written at once, so that the story of a
@@ -44,62 +46,67 @@
         *,
         write: Callable[[str], None],
         now_ms: Callable[[], int],
-        lines_per_s: int = LINES_PER_S,
+        lines_per_s: int = MAX_LINES_PER_S,
     ) -> None:
         """Writes lines by `write`."""
-        self.left_out = 0
+        self.omitted_requests = 0
         self._write = write
         self._now_ms = now_ms
         self._lines_per_s = lines_per_s
-        self._room = float(BURST_LINES)
-        self._filled_at_ms = now_ms()
-        self._held: collections.OrderedDict[str, _Held] = (
+        self._available_lines = float(BURST_LINES)
+        self._refilled_at_ms = now_ms()
+        self._requests: collections.OrderedDict[str, _RequestLines] = (
             collections.OrderedDict()
         )
 
-    def tell(self, event: effects.Event, line: str) -> None:
+    def record(self, event: effects.Event, line: str) -> None:
         """Takes in a line of an event."""
-        self._fill()
+        self._refill()
         if not event.request_id:
-            self._room -= 1
+            self._available_lines -= 1
             self._write(line)
             return
-        story = self._held.get(event.request_id)
-        if story is None:
-            story = self._begin(event.request_id)
-        if story.direct:
-            self._room -= 1
+        request_lines = self._requests.get(event.request_id)
+        if request_lines is None:
+            request_lines = self._start_request(event.request_id)
+        if request_lines.is_unbuffered:
+            self._available_lines -= 1
             self._write(line)
-        elif len(story.lines) < MOST_LINES:
-            story.lines.append(line)
-        if event.name in ENDS:
-            self._end(event)
-
-    def _begin(self, request_id: str) -> _Held:
-        story = _Held(direct=self._room >= 1)
-        self._held[request_id] = story
-        if len(self._held) > MOST_HELD:
-            self._held.popitem(last=False)
-        return story
-
-    def _end(self, event: effects.Event) -> None:
-        story = self._held.pop(event.request_id)
-        if story.direct:
+        elif len(request_lines.lines) < MAX_LINES_PER_REQUEST:
+            request_lines.lines.append(line)
+        if event.name in FINAL_EVENTS:
+            self._finish_request(event)
+
+    def _start_request(self, request_id: str) -> _RequestLines:
+        request_lines = _RequestLines(is_unbuffered=self._available_lines >= 1)
+        self._requests[request_id] = request_lines
+        if len(self._requests) > MAX_TRACKED_REQUESTS:
+            self._requests.popitem(last=False)
+        return request_lines
+
+    def _finish_request(self, event: effects.Event) -> None:
+        request_lines = self._requests.pop(event.request_id)
+        if request_lines.is_unbuffered:
             return
         # A herd of refusals must not flood the log either: beyond the burst
         # they are left out as well, and counted.
-        if event.name in FAILURES and self._room > -BURST_LINES:
-            self._room -= len(story.lines)
-            for line in story.lines:
+        if (
+            event.name in FAILURE_EVENTS
+            and self._available_lines > -BURST_LINES
+        ):
+            self._available_lines -= len(request_lines.lines)
+            for line in request_lines.lines:
                 self._write(line)
         else:
-            self.left_out += 1
+            self.omitted_requests += 1
 
-    def _fill(self) -> None:
+    def _refill(self) -> None:
         now_ms = self._now_ms()
-        gained = (now_ms - self._filled_at_ms) * self._lines_per_s / 1000
-        self._filled_at_ms = now_ms
-        self._room = min(BURST_LINES, self._room + gained)
+        refilled = (now_ms - self._refilled_at_ms) * self._lines_per_s / 1000
+        self._refilled_at_ms = now_ms
+        self._available_lines = min(
+            BURST_LINES, self._available_lines + refilled
+        )
 
 
-__all__ = ["Stories"]
+__all__ = ["RequestLogSampler"]
--- a/src/godwittack/daemon/logs.py
+++ b/src/godwittack/daemon/logs.py
@@ -10,9 +10,9 @@
 from typing import IO
 
 # Lines that wait for a slow reader; about half a megabyte.
-MOST_WAITING = 4_000
+MAX_QUEUED_LINES = 4_000
 # How often the number of lines left out is told.
-TELL_DROPPED_S = 5.0
+DROP_REPORT_INTERVAL_S = 5.0
 
 
 class LineWriter:
@@ -22,15 +22,17 @@
     next line. Lines beyond what may wait are counted and left out instead.
     """
 
-    def __init__(self, out: IO[str], *, most: int = MOST_WAITING) -> None:
-        """Writes to `out`; at most `most` lines wait."""
+    def __init__(
+        self, out: IO[str], *, max_lines: int = MAX_QUEUED_LINES
+    ) -> None:
+        """Writes to `out`; at most `max_lines` lines wait."""
         self.dropped = 0
         self._out = out
-        self._most = most
+        self._max_lines = max_lines
         self._lines: collections.deque[str] = collections.deque()
         self._wake = threading.Event()
-        self._told_at_s = 0.0
-        self._told = 0
+        self._drops_reported_at_s = 0.0
+        self._reported_drops = 0
         self._closing = False
         self._thread = threading.Thread(
             target=self._run, name="log-writer", daemon=True
@@ -39,16 +41,16 @@
 
     def write(self, line: str) -> None:
         """Adds a line, or counts it as left out."""
-        if len(self._lines) >= self._most:
+        if len(self._lines) >= self._max_lines:
             self.dropped += 1
             return
         self._lines.append(line)
         if not self._wake.is_set():
             self._wake.set()
 
-    def tell(self, text: str) -> None:
+    def write_info(self, text: str) -> None:
         """Adds a line with the present time before it."""
-        self.write(f"{stamp(time.time())} level=INFO {text}")
+        self.write(f"{format_time(time.time())} level=INFO {text}")
 
     def close(self, *, wait_s: float = 0.5) -> None:
         """Writes what waits, for as long as the reader allows."""
@@ -61,30 +63,30 @@
             self._wake.wait()
             self._wake.clear()
             while self._lines:
-                some: list[str] = []
-                while self._lines and len(some) < 200:
-                    some.append(self._lines.popleft())
-                self._tell_dropped(some)
+                batch: list[str] = []
+                while self._lines and len(batch) < 200:
+                    batch.append(self._lines.popleft())
+                self._append_drop_report(batch)
                 try:
-                    self._out.write("\n".join(some) + "\n")
+                    self._out.write("\n".join(batch) + "\n")
                     self._out.flush()
                 except (OSError, ValueError):
                     # The reader is gone: there is nobody left to tell.
-                    self.dropped += len(some)
+                    self.dropped += len(batch)
             if self._closing:
                 return
 
-    def _tell_dropped(self, some: list[str]) -> None:
+    def _append_drop_report(self, batch: list[str]) -> None:
         now_s = time.monotonic()
-        if self.dropped == self._told or (
-            now_s - self._told_at_s < TELL_DROPPED_S
+        if self.dropped == self._reported_drops or (
+            now_s - self._drops_reported_at_s < DROP_REPORT_INTERVAL_S
         ):
             return
-        some.append(
-            f"{stamp(time.time())} level=WARNING event=log_lines_left_out"
-            f" count={self.dropped - self._told}"
+        batch.append(
+            f"{format_time(time.time())} level=WARNING event=log_lines_left_out"
+            f" count={self.dropped - self._reported_drops}"
         )
-        self._told, self._told_at_s = self.dropped, now_s
+        self._reported_drops, self._drops_reported_at_s = self.dropped, now_s
 
 
 class LineHandler(logging.Handler):
@@ -102,7 +104,7 @@
             trace = self.formatException(record)
             text = f"{text} trace={trace!r}"
         self._writer.write(
-            f"{stamp(record.created)} level={record.levelname} {text}"
+            f"{format_time(record.created)} level={record.levelname} {text}"
         )
 
     @staticmethod
@@ -112,10 +114,10 @@
         return logging.Formatter().formatException(record.exc_info)
 
 
-def stamp(seconds: float) -> str:
+def format_time(seconds: float) -> str:
     """Returns the time field of a line."""
-    whole = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(seconds))
-    return f"time={whole}.{int(seconds % 1 * 1000):03d}"
+    time_to_seconds = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(seconds))
+    return f"time={time_to_seconds}.{int(seconds % 1 * 1000):03d}"
 
 
 def install() -> LineWriter:
@@ -130,4 +132,4 @@
     return writer
 
 
-__all__ = ["LineHandler", "LineWriter", "install", "stamp"]
+__all__ = ["LineHandler", "LineWriter", "install", "format_time"]
--- a/src/godwittack/daemon/news.py
+++ b/src/godwittack/daemon/news.py
@@ -101,7 +101,7 @@
         self._add_demands()
         now_ms = self._runtime.clock.now_ms()
         for name, outbox in list(self._outboxes.items()):
-            outbox.wake()
+            outbox.send_pending()
             if outbox.is_idle(now_ms):
                 self._outboxes.pop(name).close()
 
@@ -124,7 +124,7 @@
         for outbox in self._outboxes_of(self.audience(target)):
             outbox.pending.loads[load.server_id] = load
             if now:
-                outbox.wake()
+                outbox.send_pending()
 
     def publish_digest(
         self, digest: server_inputs.CacheDigest, target: str
@@ -141,7 +141,7 @@
         self._known_leaving[server_id] = incarnation
         for outbox in self._outboxes_of(self._members.live()):
             outbox.pending.leaving[server_id] = incarnation
-            outbox.wake()
+            outbox.send_pending()
 
     def forget_leaving(self, server_id: str) -> None:
         """Allows a server's leaving to be told anew."""
@@ -151,7 +151,7 @@
         """Has the daemons that serve a target ask a server for themselves."""
         for outbox in self._outboxes_of(self.audience(doubted.target)):
             outbox.pending.doubted.add(doubted.server_id)
-            outbox.wake()
+            outbox.send_pending()
 
     def publish_crashes(self, seen: effects.TellCrashes) -> None:
         """Tells of crashes those that hear of the servers, or every daemon."""
@@ -159,13 +159,13 @@
         if not seen.target:
             members = self._members.live()
         for outbox in self._outboxes_of(members):
-            outbox.tell_crashes(seen.crashes, seen.completions)
+            outbox.send_crashes(seen.crashes, seen.completions)
 
     def publish_rate_limit(self, named: effects.TellRateLimit) -> None:
         """Tells the daemons that send to a server of the rate it takes."""
         for outbox in self._outboxes_of(self.audience(named.target)):
             outbox.pending.rate_limits[named.server_id] = named
-            outbox.wake()
+            outbox.send_pending()
 
     def crashes_compared(self, sender_id: str, digest: int) -> None:
         """Tells a peer of crashes where it does not know the same.
@@ -177,13 +177,13 @@
             return
         peers = [m for m in self._members.live() if m.member_id == sender_id]
         for outbox in self._outboxes_of(peers):
-            outbox.tell_crashes_again(known)
+            outbox.resend_all_crashes(known)
 
     def publish_draining(self, server_id: str, target: str) -> None:
         """Tells the daemons that serve a model; lapses unless told again."""
         for outbox in self._outboxes_of(self.audience(target)):
             outbox.pending.draining.add(server_id)
-            outbox.wake()
+            outbox.send_pending()
 
     def publish_listed(
         self,
@@ -201,7 +201,7 @@
         """
         for outbox in self._outboxes_of(self._members.live()):
             outbox.pending.add_listed(changes, before=before, version=version)
-            outbox.wake()
+            outbox.send_pending()
 
     def take(
         self, sender_id: str, told: peer_pb2.News, reader: wire.NewsReader
@@ -304,7 +304,7 @@
         concerned = [m for m in self._members.live() if m.member_id in told]
         self._outboxes_of(concerned)
         for name, outbox in self._outboxes.items():
-            outbox.tell_demands(tuple(told.get(name, ())))
+            outbox.queue_demands(tuple(told.get(name, ())))
 
     def _demands(self) -> tuple[inputs.CellDemand, ...]:
         """Returns this daemon's demand, rounded so that noise is not told."""
--- a/src/godwittack/daemon/observer.py
+++ b/src/godwittack/daemon/observer.py
@@ -16,7 +16,7 @@
 class Observer(Protocol):
     """Hears every event of the core."""
 
-    def event(self, event: effects.Event) -> None:
+    def record(self, event: effects.Event) -> None:
         """Takes in one event."""
 
 
@@ -27,40 +27,40 @@
         self,
         *,
         counts: ledger.Ledger,
-        measures: meters.Meters,
-        told: log_sampling.Stories | None = None,
+        event_meters: meters.Meters,
+        log_sampler: log_sampling.RequestLogSampler | None = None,
     ) -> None:
-        """Counts in `counts` and measures in `measures`.
+        """Counts in `counts` and measures in `event_meters`.
 
         Args:
             counts: What reports are made of.
-            measures: What metrics are made of.
-            told: Keeps the volume of lines bounded; None for all lines.
+            event_meters: What metrics are made of.
+            log_sampler: Keeps the volume of lines bounded; None for all lines.
         """
         self._counts = counts
-        self._measures = measures
-        self._told = told
+        self._meters = event_meters
+        self._log_sampler = log_sampler
 
-    def event(self, event: effects.Event) -> None:
+    def record(self, event: effects.Event) -> None:
         """Takes in one event."""
         self._counts.event(event)
-        self._measures.event(event)
-        if self._told is None:
-            logging.info("%s", line(event))
+        self._meters.record_event(event)
+        if self._log_sampler is None:
+            logging.info("%s", format_line(event))
         else:
-            self._told.tell(event, line(event))
+            self._log_sampler.record(event, format_line(event))
 
 
-def line(event: effects.Event) -> str:
+def format_line(event: effects.Event) -> str:
     """Returns an event as one line of key=value pairs."""
     parts = [f"event={event.name}"]
     if event.request_id:
-        parts.append(f"request={_quoted(event.request_id)}")
-    parts.extend(f"{f.key}={_quoted(f.value)}" for f in event.fields)
+        parts.append(f"request={_quote(event.request_id)}")
+    parts.extend(f"{f.key}={_quote(f.value)}" for f in event.fields)
     return " ".join(parts)
 
 
-def _quoted(value: str | int | float) -> str:
+def _quote(value: str | int | float) -> str:
     text = str(value)
     # A line break in a value that came from outside would forge a line.
     text = text.replace("\\", "\\\\").replace("\n", "\\n")
@@ -68,4 +68,4 @@
     return f'"{text}"' if not text or " " in text or "=" in text else text
 
 
-__all__ = ["EventObserver", "Observer", "line"]
+__all__ = ["EventObserver", "Observer", "format_line"]
--- a/src/godwittack/daemon/outbox.py
+++ b/src/godwittack/daemon/outbox.py
@@ -17,12 +17,12 @@
     from godwittack.core import inputs, quarantine
     from godwittack.peer import exchange
 
-RETRY_MS = 500
+RETRY_PAUSE_MS = 500
 # Pause between two accounts of all crashes to one peer. Meanwhile its own news
 # of the same crashes is on its way.
-TELL_AGAIN_MS = 500
+RESEND_INTERVAL_MS = 500
 # A stream to a peer that has been told nothing for so long is closed.
-IDLE_MS = 10_000
+IDLE_TIMEOUT_MS = 10_000
 
 
 class NewsStream(Protocol):
@@ -59,25 +59,25 @@
     ) -> None:
         """Tells the peer at `address`, once there is something to tell."""
         self.pending = pending.PendingNews()
-        self.demands_told: tuple[inputs.CellDemand, ...] = ()
-        self.used_at_ms = clock.now_ms()
+        self.last_demands: tuple[inputs.CellDemand, ...] = ()
+        self.last_used_ms = clock.now_ms()
         self._own_id = own_id
         self._address = address
         self._client = client
         self._clock = clock
         self._stream: NewsStream | None = None
         self._writer = wire.NewsWriter()
-        self._told_again_ms = -TELL_AGAIN_MS
-        self._due = asyncio.Event()
+        self._last_resend_ms = -RESEND_INTERVAL_MS
+        self._send_requested = asyncio.Event()
         self._task = asyncio.get_running_loop().create_task(self._run())
 
-    def tell_demands(self, demands: tuple[inputs.CellDemand, ...]) -> None:
+    def queue_demands(self, demands: tuple[inputs.CellDemand, ...]) -> None:
         """Queues the demand where it is not the one told last."""
-        if demands != self.demands_told:
-            self.demands_told = demands
+        if demands != self.last_demands:
+            self.last_demands = demands
             self.pending.demands = demands
 
-    def tell_crashes(
+    def send_crashes(
         self,
         crashes: tuple[quarantine.Crash, ...],
         completions: tuple[quarantine.Completion, ...],
@@ -85,28 +85,28 @@
         """Sends crashes and runs without one now."""
         self.pending.crashes.update(crashes)
         self.pending.completions.update(completions)
-        self.wake()
+        self.send_pending()
 
-    def tell_crashes_again(self, known: quarantine.Quarantine) -> None:
+    def resend_all_crashes(self, known: quarantine.Quarantine) -> None:
         """Sends all that is known of crashes, unless it was a moment ago."""
         now_ms = self._clock.now_ms()
-        if now_ms - self._told_again_ms >= TELL_AGAIN_MS:
-            self._told_again_ms = now_ms
-            self.tell_crashes(known.known(), known.completions())
+        if now_ms - self._last_resend_ms >= RESEND_INTERVAL_MS:
+            self._last_resend_ms = now_ms
+            self.send_crashes(known.known(), known.completions())
 
-    def wake(self) -> None:
+    def send_pending(self) -> None:
         """Has what waits sent now."""
         if not self.pending.is_empty():
-            self._due.set()
+            self._send_requested.set()
 
     def is_idle(self, now_ms: int) -> bool:
         """Returns whether the stream may be closed.
 
         Not while something waits: woken a moment ago, it would be lost.
         """
-        unused_ms = now_ms - self.used_at_ms
-        waits = self.demands_told or not self.pending.is_empty()
-        return unused_ms > IDLE_MS and not waits
+        unused_ms = now_ms - self.last_used_ms
+        has_work = self.last_demands or not self.pending.is_empty()
+        return unused_ms > IDLE_TIMEOUT_MS and not has_work
 
     def close(self) -> None:
         """Ends the stream; what waits is lost."""
@@ -114,47 +114,47 @@
         if self._stream is not None:
             self._stream.close()
 
-    def _broken(self) -> None:
+    def _handle_broken_stream(self) -> None:
         """Tells the demand again, which may have been lost with the stream.
 
         Loads repeat and the list has versions; demand is told on changes
         only, so that the peer would split limits by an old one until then.
         """
         self._stream = None
-        if self.demands_told and self.pending.demands is None:
-            self.pending.demands = self.demands_told
-            self._due.set()
+        if self.last_demands and self.pending.demands is None:
+            self.pending.demands = self.last_demands
+            self._send_requested.set()
 
     async def _run(self) -> None:
         while True:
-            await self._due.wait()
-            self._due.clear()
+            await self._send_requested.wait()
+            self._send_requested.clear()
             news, self.pending = self.pending, pending.PendingNews()
             if await self._send(news):
                 continue
             self.pending = news.followed_by(self.pending)
-            await asyncio.sleep(RETRY_MS / 1000)
-            self._due.set()
+            await asyncio.sleep(RETRY_PAUSE_MS / 1000)
+            self._send_requested.set()
 
     async def _send(self, news: pending.PendingNews) -> bool:
-        self.used_at_ms = self._clock.now_ms()
-        opens = self._stream is None
+        self.last_used_ms = self._clock.now_ms()
+        is_new_stream = self._stream is None
         if self._stream is None:
             self._stream = self._client.open_news(
-                self._address, on_broken=self._broken
+                self._address, on_broken=self._handle_broken_stream
             )
             self._writer = wire.NewsWriter()
             # What was told on a stream that broke may not have arrived.
-            news.demands = self.demands_told
+            news.demands = self.last_demands
         message = self._writer.write(news, now_ms=self._clock.now_ms())
-        if opens:
+        if is_new_stream:
             message.sender_id = self._own_id
-        got = await self._stream.send(message)
-        if isinstance(got, Err):
+        result = await self._stream.send(message)
+        if isinstance(result, Err):
             logging.info(
                 "event=news_lost peer=%s detail=%s",
                 self._address,
-                got.err_value.detail,
+                result.err_value.detail,
             )
             self._stream = None
             return False
--- a/src/godwittack/daemon/platform_daemon.py
+++ b/src/godwittack/daemon/platform_daemon.py
@@ -51,20 +51,20 @@
 
 # Taken off the bound on keys: the store's feed may be silent for a second
 # while changes are made, and a request takes a while to its server.
-KEY_MARGIN_MS = 1_500
+KEY_BOUND_MARGIN_MS = 1_500
 # Taken off the time until SIGKILL, for the last answers and the end itself.
 STOP_MARGIN_MS = 1_200
 # Between two looks for connections that nobody uses any more.
-TIDY_MS = 500
+CLEANUP_INTERVAL_MS = 500
 # Engines let running requests end before they load, so that the order need
 # only wait until no daemon sends new ones: a notice takes some 10 ms.
-ORDER_AFTER_MS = 100
+ORDER_DELAY_MS = 100
 # For an order without an answer: a load takes up to 3.2 s where long requests
 # end first. One that was taken may last longer.
-LOAD_LIMIT_MS = 4_000
+LOAD_TIMEOUT_MS = 4_000
 
 
-class EdgeDaemon:
+class PlatformDaemon:
     """One daemon process on the platform."""
 
     def __init__(
@@ -83,12 +83,16 @@
             delay: How late the loop may read.
         """
         self._settings = settings = loaded.settings
-        self._base = parts = base.Base.from_config(loaded)
-        core, clock, counts = parts.core, parts.clock, parts.counts
-        self._meters = parts.meters
-        self._peers, self._probes = parts.peers, parts.probes
-        self._clock, self._rng = parts.clock, parts.rng
-        self._members = members = parts.members
+        self._components = components = base.Components.from_config(loaded)
+        core, clock, counts = (
+            components.core,
+            components.clock,
+            components.counts,
+        )
+        self._meters = components.meters
+        self._peers, self._probes = components.peers, components.probes
+        self._clock, self._rng = components.clock, components.rng
+        self._members = members = components.members
         self._store = rows.Rows(
             session=session,
             address=settings.platform_url.removeprefix("http://"),
@@ -99,7 +103,7 @@
         )
         backend = routed.RoutedBackend(
             pool=self._pool,
-            wire=servers.ServerFormat(self._model_of),
+            wire=servers.ServerFormat(self._model_for),
             clock=clock,
             control_timeout_ms=settings.control_timeout_ms,
         )
@@ -107,10 +111,10 @@
             core=core,
             backend_client=backend,
             claims=None,
-            observe=observer.EventObserver(
+            event_observer=observer.EventObserver(
                 counts=counts,
-                measures=self._meters,
-                told=log_sampling.Stories(
+                event_meters=self._meters,
+                log_sampler=log_sampling.RequestLogSampler(
                     write=write_line, now_ms=clock.now_ms
                 ),
             ),
@@ -124,18 +128,22 @@
         backend.listener.limits.is_known = functools.partial(
             rate_limits.is_limited, core.world
         )
-        self._keeper = feed_table.FeedKeeper(
+        self._keeper = feed_table.FeedTableKeeper(
             runtime=self.runtime,
             peers=self._peers,
-            right=confirmed.ConfirmedRight(
-                bound_ms=settings.key_bound_ms - KEY_MARGIN_MS
+            serving_lease=confirmed.ConfirmedRight(
+                bound_ms=settings.key_bound_ms - KEY_BOUND_MARGIN_MS
             ),
             members=members,
-            known=freshness.Freshness(topic=freshness.Topic.TABLE),
+            table_freshness=freshness.Freshness(topic=freshness.Topic.TABLE),
+        )
+        self._keeper.table_freshness.on_confirmed = (
+            self._keeper.record_confirmation
+        )
+        self._published_versions = published_weights.PublishedVersions()
+        self._servers_freshness = freshness.Freshness(
+            topic=freshness.Topic.SERVERS
         )
-        self._keeper.known.on_confirmed = self._keeper.confirmed
-        self._named = published_weights.NamedVersions()
-        self._servers_known = freshness.Freshness(topic=freshness.Topic.SERVERS)
         self._serving = serving.Serving(
             members=members,
             policy=serving.ServingPolicy(
@@ -158,43 +166,43 @@
             members=members,
             news=self._news,
             runtime=self.runtime,
-            spreader=self._probes,
+            datagrams=self._probes,
         )
         self.runtime.on_announce = announcer.announce
-        self._probes.on_news = announcer.heard
-        self.runtime.on_doubt = self._news.publish_doubt
+        self._probes.on_news = announcer.apply
+        self.runtime.on_suspicion = self._news.publish_doubt
         self._crash_rows = crash_rows.CrashRows(
             service=self._store, runtime=self.runtime
         )
-        self.runtime.on_crashes = self._crashes_seen
+        self.runtime.on_crashes = self._publish_crashes
         self.runtime.on_rate_limit = self._news.publish_rate_limit
-        self._gossiper = parts.gossiper(
-            running=self.runtime, keeper=self._keeper, news=self._news
+        self._gossiper = components.build_gossiper(
+            daemon_runtime=self.runtime, keeper=self._keeper, news=self._news
         )
-        self._gossiper.carriers = self._carriers
+        self._gossiper.carriers = self._serving_daemons
         self._gossiper.freshness = {
             known.topic: known
-            for known in (self._keeper.known, self._servers_known)
+            for known in (self._keeper.table_freshness, self._servers_freshness)
         }
         self._streams = watch.Streams()
-        self._list = instances.InstanceFollower(
+        self._instance_list = instances.InstanceFollower(
             core=self.runtime,
             decode=self._decode_instances,
             news=self._news,
-            known=self._servers_known,
+            known=self._servers_freshness,
             is_reader=self._is_reader,
         )
         self._operator_rows = self._follower(
             names.OPERATOR_TABLE,
-            on_rows=self._operator_rows_changed,
-            known=self._keeper.known,
+            on_rows=self._apply_operator_rows,
+            known=self._keeper.table_freshness,
         )
         self._server_rows = self._follower(
             names.SERVERS_TABLE,
-            on_rows=self._list.rows_changed,
-            known=self._servers_known,
+            on_rows=self._instance_list.rows_changed,
+            known=self._servers_freshness,
         )
-        self._list.follower = self._server_rows
+        self._instance_list.follower = self._server_rows
         self._watcher = watch.ServerWatcher(
             core=self.runtime,
             client=backend,
@@ -204,7 +212,7 @@
             load_poll_ms=settings.load_poll_ms,
             follows=watch.Follows.ENGINE_LOADS | watch.Follows.CACHES,
         )
-        use_limit_ms = settings.policy().old_weights_limit_ms
+        max_weights_age_ms = settings.policy().old_weights_limit_ms
         self._leader = lead.Leader(
             core=self.runtime,
             client=backend,
@@ -213,17 +221,17 @@
             news=self._news,
             policy=leases.LeasePolicy(lease_ms=settings.lease_ms),
             rollout_policy=rollout.RolloutPolicy(
-                order_after_ms=ORDER_AFTER_MS,
-                load_limit_ms=LOAD_LIMIT_MS,
+                order_after_ms=ORDER_DELAY_MS,
+                load_limit_ms=LOAD_TIMEOUT_MS,
                 # Until then it would not be used with its old weights either.
-                taken_limit_ms=max(LOAD_LIMIT_MS, use_limit_ms),
-                use_limit_ms=use_limit_ms,
+                taken_limit_ms=max(LOAD_TIMEOUT_MS, max_weights_age_ms),
+                use_limit_ms=max_weights_age_ms,
             ),
             measures=self._meters,
             audience=self._serving,
         )
-        self._peer_server = parts.peer_server(self._gossiper)
-        self._face = forward.ForwardFace(
+        self._peer_server = components.build_peer_server(self._gossiper)
+        self._caller_face = forward.ForwardFace(
             runtime=self.runtime,
             settings=settings,
             wire=callers.CallerFormat(),
@@ -235,15 +243,15 @@
             serving=self._serving,
         )
         self._store_readers = duty.Assigned(duty.store_readers)
-        self._loops = base.Loops()
+        self._background_tasks = base.BackgroundTasks()
         self._tasks: set[asyncio.Task[None]] = set()
         self._listeners = listeners.Listeners(clock, delay)
 
-    def _crashes_seen(self, told: effects.TellCrashes) -> None:
-        self._news.publish_crashes(told)
-        self._crash_rows.seen(told)
+    def _publish_crashes(self, update: effects.TellCrashes) -> None:
+        self._news.publish_crashes(update)
+        self._crash_rows.record(update)
 
-    def _carriers(self) -> tuple[str, ...]:
+    def _serving_daemons(self) -> tuple[str, ...]:
         """Returns the daemons that callers are sent to."""
         return tuple(m.member_id for m in self._serving.chosen().serving)
 
@@ -253,16 +261,18 @@
         Raises:
             OSError: An address is in use.
         """
-        stop = base.stop_ordered()
+        stop = base.install_stop_handler()
         # Settings that change while the process runs concern addresses,
         # which only a restart could take up.
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGHUP, _note_reload)
+        loop.add_signal_handler(signal.SIGHUP, _log_reload)
         settings = self._settings
         await self._peer_server.start(settings.peer_address)
         await self._probes.start(settings.peer_address, handler=self._gossiper)
         self._streams.connect(core=self.runtime, news=self._news)
-        await self._listeners.listen(settings.http_address, self._face.handle)
+        await self._listeners.listen(
+            settings.http_address, self._caller_face.handle
+        )
         await self._listeners.listen(
             settings.ready_address, self._directory.ready
         )
@@ -286,20 +296,26 @@
 
     def _start_loops(self) -> None:
         settings = self._settings
-        self._loops.start(self.runtime.tick_forever(tick_ms=settings.tick_ms))
-        self._loops.start(
+        self._background_tasks.start(
+            self.runtime.tick_forever(tick_ms=settings.tick_ms)
+        )
+        self._background_tasks.start(
             self._gossiper.gossip_forever(gossip_ms=settings.gossip_ms)
         )
-        self._loops.start(self._news.tell_forever(news_ms=settings.news_ms))
-        self._loops.start(self._operator_rows.follow_forever())
-        self._loops.start(self._server_rows.follow_forever())
-        self._loops.start(self._list.drop_forever(every_ms=settings.gossip_ms))
-        self._loops.start(self._watcher.assign_forever())
-        self._loops.start(
+        self._background_tasks.start(
+            self._news.tell_forever(news_ms=settings.news_ms)
+        )
+        self._background_tasks.start(self._operator_rows.follow_forever())
+        self._background_tasks.start(self._server_rows.follow_forever())
+        self._background_tasks.start(
+            self._instance_list.drop_forever(every_ms=settings.gossip_ms)
+        )
+        self._background_tasks.start(self._watcher.assign_forever())
+        self._background_tasks.start(
             self._leader.lead_forever(step_ms=settings.lead_step_ms)
         )
-        self._loops.start(self._tidy_forever())
-        self._loops.start(
+        self._background_tasks.start(self._clean_up_forever())
+        self._background_tasks.start(
             lag.watch_forever(members=self._members, clock=self._clock)
         )
 
@@ -314,39 +330,41 @@
         settings = self._settings
         started_ms = self._clock.now_ms()
         grace_ms = round(settings.stop_grace_s * 1000)
-        ends_ms = started_ms + grace_ms - STOP_MARGIN_MS
+        kill_deadline_ms = started_ms + grace_ms - STOP_MARGIN_MS
         logging.info("event=stopping in_flight=%d", self._in_flight())
-        self._face.stopping = self._directory.stopping = True
+        self._caller_face.stopping = self._directory.stopping = True
         await self._gossiper.stop()
-        kept_ms = started_ms + directory.KEEP_FACTOR * directory.ADDRESS_KEEP_MS
-        while self._clock.now_ms() < min(kept_ms, ends_ms):
+        address_expires_ms = (
+            started_ms + directory.KEEP_FACTOR * directory.ADDRESS_KEEP_MS
+        )
+        while self._clock.now_ms() < min(address_expires_ms, kill_deadline_ms):
             await asyncio.sleep(0.05)
         await self._listeners.stop()
         self.runtime.submit(inputs.StopOrdered(self._clock.now_ms()))
-        left_s = max(0.1, (ends_ms - self._clock.now_ms()) / 1000)
+        remaining_s = max(0.1, (kill_deadline_ms - self._clock.now_ms()) / 1000)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(left_s):
+            async with asyncio.timeout(remaining_s):
                 await self.runtime.stopped.wait()
         await asyncio.sleep(0.05)
         await self._close()
         logging.info("event=stopped in_flight=%d", self._in_flight())
 
     async def _close(self) -> None:
-        await self._loops.cancel()
+        await self._background_tasks.cancel()
         self._watcher.close()
         self._news.close()
         self._crash_rows.close()
         await self.runtime.close()
         self._pool.close()
-        await self._base.close(self._peer_server)
+        await self._components.close(self._peer_server)
 
-    async def _tidy_forever(self) -> None:
+    async def _clean_up_forever(self) -> None:
         while True:
-            await asyncio.sleep(TIDY_MS / 1000)
+            await asyncio.sleep(CLEANUP_INTERVAL_MS / 1000)
             self._pool.tidy()
             table = self.runtime.core.world.table
             if table.forwarding is not None:
-                self._listeners.end_slow(table.forwarding.limits)
+                self._listeners.close_slow_connections(table.forwarding.limits)
 
     def _follower(
         self,
@@ -371,34 +389,36 @@
         readers = self._store_readers.among(self._members.serving())
         return self._members.me.member_id in readers
 
-    def _operator_rows_changed(
-        self, found: Mapping[str, stores.ChangedRow]
+    def _apply_operator_rows(
+        self, changed_rows: Mapping[str, stores.ChangedRow]
     ) -> None:
-        before = self._keeper.table.version
+        version_before = self._keeper.table.version
         version = self._operator_rows.version
-        self._named.take(found, table.weights_from_row)
-        self._keeper.rows_changed(
+        self._published_versions.apply_rows(
+            changed_rows, table.weights_from_row
+        )
+        self._keeper.apply_rows(
             lambda rows: table.table_from_rows(
-                rows, version=version, weights=self._named.by_model
+                rows, version=version, weights=self._published_versions.by_model
             ),
-            found,
+            changed_rows,
         )
-        if before and self._keeper.table.version > before:
+        if version_before and self._keeper.table.version > version_before:
             # Probed in turn, some daemons would hear of it a second later.
             task = asyncio.create_task(self._gossiper.spread_now())
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
     def _decode_instances(
-        self, found: Mapping[str, stores.ChangedRow]
+        self, changed_rows: Mapping[str, stores.ChangedRow]
     ) -> entries.Entries:
         return entries.read(
-            found,
+            changed_rows,
             list_rows.instance_from_row,
             failure_domains=self._settings.failure_domains,
         )
 
-    def _model_of(self, target: str) -> str:
+    def _model_for(self, target: str) -> str:
         forwarding = self.runtime.core.world.table.forwarding
         if forwarding is None or target not in forwarding.engines:
             return target
@@ -418,11 +438,11 @@
     async with aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(keepalive_timeout=30)
     ) as session:
-        await EdgeDaemon(loaded, session, write_line, delay).run()
+        await PlatformDaemon(loaded, session, write_line, delay).run()
 
 
-def _note_reload() -> None:
+def _log_reload() -> None:
     logging.info("event=reload detail=nothing_to_take_up")
 
 
-__all__ = ["EdgeDaemon", "serve"]
+__all__ = ["PlatformDaemon", "serve"]
--- a/src/godwittack/daemon/process.py
+++ b/src/godwittack/daemon/process.py
@@ -27,17 +27,17 @@
     Raises:
         OSError: An address is in use.
     """
-    got = troubles.load_checked(path)
-    if isinstance(got, Err):
-        return got
-    loaded = got.ok_value
+    validated = troubles.load_checked(path)
+    if isinstance(validated, Err):
+        return validated
+    loaded = validated.ok_value
     # Without this absl complains of flags, which this program does not use.
     flags.FLAGS.mark_as_parsed()
     logging.set_verbosity(logging.INFO)
     if loaded.settings.interface is configs.Interface.PLATFORM:
         _run_on_platform(loaded)
     else:
-        _run(path, loaded)
+        _run_own_interface(path, loaded)
     return Ok(None)
 
 
@@ -47,25 +47,25 @@
 
     writer = logs.install()
     selector = loop_delay.TimedSelector(clock.SystemClock())
-    serving = platform_daemon.serve(
-        loaded, write_line=writer.tell, delay=selector
+    daemon_run = platform_daemon.serve(
+        loaded, write_line=writer.write_info, delay=selector
     )
     try:
         with asyncio.Runner(
             loop_factory=lambda: asyncio.SelectorEventLoop(selector)
         ) as runner:
-            runner.run(serving)
+            runner.run(daemon_run)
     finally:
         writer.close()
 
 
-def _run(path: str, loaded: configs.Loaded) -> None:
+def _run_own_interface(path: str, loaded: configs.Loaded) -> None:
     from godwittack.daemon import serve
 
-    trouble = troubles.platform_trouble(path, loaded)
-    if trouble:
+    problem = troubles.platform_trouble(path, loaded)
+    if problem:
         # The platform has outages, and a daemon must start during one.
-        print(f"{trouble}; starting without it", file=sys.stderr)
+        print(f"{problem}; starting without it", file=sys.stderr)
     logging.use_absl_handler()
     logging.get_absl_handler().setFormatter(
         std_logging.Formatter(
--- a/src/godwittack/daemon/published_weights.py
+++ b/src/godwittack/daemon/published_weights.py
@@ -16,7 +16,7 @@
     from godwittack.table import model
 
 
-class NamedVersions:
+class PublishedVersions:
     """The newest version that was named for each model.
 
     A row that can't be read takes nothing back: the model would go to its
@@ -26,9 +26,9 @@
     def __init__(self) -> None:
         """Knows no names."""
         self.by_model: dict[str, str] = {}
-        self._refused: dict[str, int] = {}
+        self._unreadable_versions: dict[str, int] = {}
 
-    def take(
+    def apply_rows(
         self,
         rows: Mapping[str, protocol.ChangedRow],
         decode: Callable[
@@ -37,27 +37,27 @@
     ) -> None:
         """Takes in rows; older versions than known are left out."""
         for key, row in rows.items():
-            got = decode(row)
-            if isinstance(got, Err):
-                self._refuse(key, row.version, got.err_value)
+            decoded = decode(row)
+            if isinstance(decoded, Err):
+                self._log_unreadable(key, row.version, decoded.err_value)
                 continue
-            self._refused.pop(key, None)
-            named = got.ok_value
-            if named is None:
+            self._unreadable_versions.pop(key, None)
+            published = decoded.ok_value
+            if published is None:
                 continue
-            known = self.by_model.get(named.model, "0")
-            if weights.is_newer(named.version, known):
-                self.by_model[named.model] = named.version
+            known_version = self.by_model.get(published.model, "0")
+            if weights.is_newer(published.version, known_version):
+                self.by_model[published.model] = published.version
 
-    def _refuse(self, key: str, version: int, why: str) -> None:
-        if self._refused.get(key) != version:
+    def _log_unreadable(self, key: str, version: int, reason: str) -> None:
+        if self._unreadable_versions.get(key) != version:
             logging.error(
                 "event=weights_unreadable row=%r version=%d detail=%r",
                 key,
                 version,
-                why,
+                reason,
             )
-        self._refused[key] = version
+        self._unreadable_versions[key] = version
 
 
-__all__ = ["NamedVersions"]
+__all__ = ["PublishedVersions"]
--- a/src/godwittack/daemon/runtime.py
+++ b/src/godwittack/daemon/runtime.py
@@ -30,7 +30,7 @@
         core: router.Router,
         backend_client: backend.BackendClient,
         claims: store.ClaimStore | None,
-        observe: observer.Observer,
+        event_observer: observer.Observer,
         clock: Clock,
     ) -> None:
         """Connects the core with its shells.
@@ -39,7 +39,7 @@
             core: The core.
             backend_client: Speaks to servers.
             claims: Keeps claims; None where callers bring no keys for them.
-            observe: Hears every event.
+            event_observer: Hears every event.
             clock: Source of time.
         """
         self.core = core
@@ -47,17 +47,19 @@
         self.stopped = asyncio.Event()
         self.recorder: record.Recorder | None = None
         self.on_announce: Callable[[effects.Announce], None] = lambda sent: None
-        self.on_doubt: Callable[[effects.Doubt], None] = lambda doubted: None
+        self.on_suspicion: Callable[[effects.Doubt], None] = lambda doubted: (
+            None
+        )
         self.on_crashes: Callable[[effects.TellCrashes], None]
         self.on_crashes = lambda seen: None
         self.on_rate_limit: Callable[[effects.TellRateLimit], None]
         self.on_rate_limit = lambda named: None
         self._backend = backend_client
         self._claims = claims
-        self._observe = observe
+        self._observer = event_observer
         self._callers: dict[str, caller.Caller] = {}
         self._attempts: dict[str, asyncio.Task[None]] = {}
-        self._addresses: dict[str, str] = {}
+        self._attempt_addresses: dict[str, str] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._request_counter = 0
 
@@ -74,21 +76,21 @@
 
     def open_caller(self, request_id: str, call: backend.Call) -> caller.Caller:
         """Registers a caller before its request goes to the core."""
-        opened = caller.Caller(call)
-        self._callers[request_id] = opened
-        return opened
+        new_caller = caller.Caller(call)
+        self._callers[request_id] = new_caller
+        return new_caller
 
     def close_caller(self, request_id: str) -> None:
         """Forgets a caller whose request the core never took in."""
         if request_id not in self.core.world.requests:
             self._callers.pop(request_id, None)
 
-    def submit(self, told: inputs.Input) -> None:
+    def submit(self, input_: inputs.Input) -> None:
         """Hands one input to the core and carries out its effects."""
-        made = self.core.step(told)
+        new_effects = self.core.step(input_)
         if self.recorder is not None:
-            self.recorder.stepped(told, made)
-        for effect in made:
+            self.recorder.stepped(input_, new_effects)
+        for effect in new_effects:
             self._carry_out(effect)
 
     async def tick_forever(self, *, tick_ms: int) -> None:
@@ -114,11 +116,11 @@
                 | effects.EndStream()
                 | effects.BreakStream()
             ):
-                waiting = self._callers.get(effect.request_id)
-                if waiting is not None:
-                    waiting.put(effect)
+                effect_caller = self._callers.get(effect.request_id)
+                if effect_caller is not None:
+                    effect_caller.put(effect)
             case effects.Event():
-                self._observe.event(effect)
+                self._observer.record(effect)
             case effects.Forget():
                 self._callers.pop(effect.request_id, None)
             case effects.Dispatch():
@@ -126,7 +128,7 @@
             case effects.Announce():
                 self.on_announce(effect)
             case effects.Doubt():
-                self.on_doubt(effect)
+                self.on_suspicion(effect)
             case effects.TellCrashes():
                 self.on_crashes(effect)
             case effects.TellRateLimit():
@@ -143,27 +145,27 @@
                 self.stopped.set()
 
     def _dispatch(self, effect: effects.Dispatch) -> None:
-        waiting = self._callers[effect.request_id]
+        effect_caller = self._callers[effect.request_id]
         sink = attempt.CoreSink(
             attempt_id=effect.attempt_id,
-            caller=waiting,
+            caller=effect_caller,
             submit=self.submit,
             clock=self.clock,
         )
         if not effect.ends_at_ms:
             # Of requests by routes the core tells more where it decides.
-            self._tell_dispatched(effect)
+            self._log_dispatched(effect)
         task = asyncio.create_task(
-            self._backend.send(effect, waiting.call, sink)
+            self._backend.send(effect, effect_caller.call, sink)
         )
         self._attempts[effect.attempt_id] = task
-        self._addresses[effect.attempt_id] = effect.address
+        self._attempt_addresses[effect.attempt_id] = effect.address
         task.add_done_callback(
-            lambda done: self._attempt_done(effect.attempt_id, done)
+            lambda done: self._finish_attempt(effect.attempt_id, done)
         )
 
-    def _tell_dispatched(self, effect: effects.Dispatch) -> None:
-        self._observe.event(
+    def _log_dispatched(self, effect: effects.Dispatch) -> None:
+        self._observer.record(
             effects.Event(
                 "dispatched",
                 effect.request_id,
@@ -175,12 +177,14 @@
             )
         )
 
-    def _attempt_done(self, attempt_id: str, done: asyncio.Task[None]) -> None:
+    def _finish_attempt(
+        self, attempt_id: str, task: asyncio.Task[None]
+    ) -> None:
         self._attempts.pop(attempt_id, None)
-        self._addresses.pop(attempt_id, None)
-        if done.cancelled():
+        self._attempt_addresses.pop(attempt_id, None)
+        if task.cancelled():
             return
-        error = done.exception()
+        error = task.exception()
         if error is not None:
             # A fault of our own must end the request, not leave its caller
             # waiting; whether the call ran is not known.
@@ -195,7 +199,7 @@
             )
 
     def _cancel(self, effect: effects.CancelAttempt) -> None:
-        address = self._addresses.get(effect.attempt_id)
+        address = self._attempt_addresses.get(effect.attempt_id)
         task = self._attempts.get(effect.attempt_id)
         if task is not None:
             # The attempt may be the one whose input is being handled; it
@@ -224,7 +228,7 @@
         )
 
     async def _probe(self, effect: effects.Probe) -> None:
-        got = await self._backend.load(
+        result = await self._backend.load(
             effect.address, server_id=effect.server_id
         )
         self.submit(
@@ -232,22 +236,22 @@
                 self.clock.now_ms(),
                 effect.server_id,
                 # Any answer is a sign of life, also a refusal.
-                isinstance(got, Ok) or got.err_value.status > 0,
-                incarnation=got.ok_value.incarnation
-                if isinstance(got, Ok)
+                isinstance(result, Ok) or result.err_value.status > 0,
+                incarnation=result.ok_value.incarnation
+                if isinstance(result, Ok)
                 else "",
-                ended=isinstance(got, Err) and got.err_value.ended,
+                ended=isinstance(result, Err) and result.err_value.ended,
             )
         )
 
-    def _spawn(self, work: Coroutine[object, object, None]) -> None:
-        task = asyncio.create_task(_ignore_result(work))
+    def _spawn(self, coroutine: Coroutine[object, object, None]) -> None:
+        task = asyncio.create_task(_ignore_result(coroutine))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
 
-async def _ignore_result(work: Coroutine[object, object, None]) -> None:
-    await work
+async def _ignore_result(coroutine: Coroutine[object, object, None]) -> None:
+    await coroutine
 
 
 __all__ = ["Runtime"]
--- a/src/godwittack/daemon/serve.py
+++ b/src/godwittack/daemon/serve.py
@@ -44,15 +44,19 @@
 class Daemon:
     """One daemon process: the core and all its shells."""
 
-    def __init__(self, loaded: configs.Loaded, sessions: Sessions) -> None:
+    def __init__(self, loaded: configs.Loaded, sessions: HttpSessions) -> None:
         """Wires the parts; nothing runs yet."""
         self._settings = settings = loaded.settings
         self._sessions = sessions
-        self._base = parts = base.Base.from_config(loaded)
-        core, clock, counts = parts.core, parts.clock, parts.counts
-        self._meters = parts.meters
-        self._peers, self._probes = parts.peers, parts.probes
-        rng, members = parts.rng, parts.members
+        self._components = components = base.Components.from_config(loaded)
+        core, clock, counts = (
+            components.core,
+            components.clock,
+            components.counts,
+        )
+        self._meters = components.meters
+        self._peers, self._probes = components.peers, components.probes
+        rng, members = components.rng, components.members
         platform = platform_http.HttpPlatform(
             session=sessions.platform,
             base_url=settings.platform_url,
@@ -71,8 +75,8 @@
             core=core,
             backend_client=backend,
             claims=claim_store.ClaimStore(platform),
-            observe=observer.EventObserver(
-                counts=counts, measures=self._meters
+            event_observer=observer.EventObserver(
+                counts=counts, event_meters=self._meters
             ),
             clock=clock,
         )
@@ -83,22 +87,22 @@
             )
             self.runtime.recorder = record.Recorder(core, sink)
         store = table_store.TableStore(platform, platform)
-        self._keeper = tables.PolledKeeper(
+        self._keeper = tables.PolledTableKeeper(
             tables=store,
             runtime=self.runtime,
             peers=self._peers,
-            right=right.ServeRight(settings.member_policy()),
+            serving_lease=right.ServeRight(settings.member_policy()),
             rng=rng,
         )
         self._news = news.News(
             members=members, runtime=self.runtime, client=self._peers
         )
         self.runtime.on_crashes = self._news.publish_crashes
-        self.gossiper = parts.gossiper(
-            running=self.runtime, keeper=self._keeper, news=self._news
+        self.gossiper = components.build_gossiper(
+            daemon_runtime=self.runtime, keeper=self._keeper, news=self._news
         )
         self._streams = watch.Streams()
-        self._lists = listing.ListWatcher(
+        self._list_watcher = listing.ListWatcher(
             instances=platform,
             core=self.runtime,
             members=members,
@@ -106,9 +110,9 @@
             streams=self._streams,
             on_entries=self.gossiper.entries_listed,
         )
-        self.gossiper.list_hash = self._lists.list_hash
-        self.gossiper.on_list_hash = self._lists.hash_told
-        self._servers = watch.ServerWatcher(
+        self.gossiper.list_hash = self._list_watcher.list_hash
+        self.gossiper.on_list_hash = self._list_watcher.hash_told
+        self._server_watcher = watch.ServerWatcher(
             core=self.runtime,
             client=backend,
             members=members,
@@ -125,9 +129,9 @@
             policy=leases.LeasePolicy(lease_ms=settings.lease_ms),
             measures=self._meters,
         )
-        self._peer_server = parts.peer_server(self.gossiper)
+        self._peer_server = components.build_peer_server(self.gossiper)
         self._app = self._build_app(loaded, store, platform, counts)
-        self._loops = base.Loops()
+        self._background_tasks = base.BackgroundTasks()
 
     async def run(self) -> None:
         """Serves until a stop is ordered and everything is finished.
@@ -135,7 +139,7 @@
         Raises:
             OSError: An address is in use.
         """
-        stop = base.stop_ordered()
+        stop = base.install_stop_handler()
         await self._peer_server.start(self._settings.peer_address)
         await self._probes.start(
             self._settings.peer_address, handler=self.gossiper
@@ -161,26 +165,30 @@
             row.member.peer_address
             for row in self.gossiper.members.rows.values()
         ]
-        await self._keeper.load_first(addresses)
-        await self._lists.poll_once()
-        await self._servers.ask_unknown()
-        self._servers.assign()
+        await self._keeper.load_initial(addresses)
+        await self._list_watcher.poll_once()
+        await self._server_watcher.ask_unknown()
+        self._server_watcher.assign()
 
     def _start_loops(self) -> None:
         settings = self._settings
-        self._loops.start(self.runtime.tick_forever(tick_ms=settings.tick_ms))
-        self._loops.start(
+        self._background_tasks.start(
+            self.runtime.tick_forever(tick_ms=settings.tick_ms)
+        )
+        self._background_tasks.start(
             self.gossiper.gossip_forever(gossip_ms=settings.gossip_ms)
         )
-        self._loops.start(self._news.tell_forever(news_ms=settings.news_ms))
-        self._loops.start(
+        self._background_tasks.start(
+            self._news.tell_forever(news_ms=settings.news_ms)
+        )
+        self._background_tasks.start(
             self._keeper.poll_forever(poll_ms=settings.table_poll_ms)
         )
-        self._loops.start(
-            self._lists.poll_forever(poll_ms=settings.list_poll_ms)
+        self._background_tasks.start(
+            self._list_watcher.poll_forever(poll_ms=settings.list_poll_ms)
         )
-        self._loops.start(self._servers.assign_forever())
-        self._loops.start(
+        self._background_tasks.start(self._server_watcher.assign_forever())
+        self._background_tasks.start(
             self._leader.lead_forever(step_ms=settings.lead_step_ms)
         )
 
@@ -214,11 +222,11 @@
             async with asyncio.timeout(settings.stop_patience_ms / 1000):
                 await self.runtime.stopped.wait()
         await runner.cleanup()
-        await self._loops.cancel()
-        self._servers.close()
+        await self._background_tasks.cancel()
+        self._server_watcher.close()
         self._news.close()
         await self.runtime.close()
-        await self._base.close(self._peer_server)
+        await self._components.close(self._peer_server)
         logging.info("event=stopped")
 
     def _build_app(
@@ -229,18 +237,18 @@
         counts: ledger.Ledger,
     ) -> web.Application:
         settings = loaded.settings
-        face = calls.CallFace(
+        call_face = calls.CallFace(
             runtime=self.runtime,
             settings=settings,
             signer=token.TokenSigner(loaded.cluster_secret),
         )
-        state = status.StatusFace(
+        status_face = status.StatusFace(
             runtime=self.runtime,
             settings=settings,
             members=self.gossiper.members,
             meters=self._meters,
         )
-        operators = operate.OperatorFace(
+        operator_face = operate.OperatorFace(
             runtime=self.runtime,
             settings=settings,
             gossiper=self.gossiper,
@@ -259,23 +267,25 @@
         app = web.Application(client_max_size=settings.max_body_bytes)
         app.router.add_routes(
             [
-                web.post("/v1/chat/completions", face.generate),
-                web.post("/v1/completions", face.generate),
-                web.get("/v1/resume", face.resume),
-                web.get("/v1/where", state.where),
-                web.get("/v1/models", state.models),
-                web.route("*", "/svc/{service}", face.call_service),
-                web.route("*", "/svc/{service}/{path:.*}", face.call_service),
-                web.get("/healthz", state.health),
-                web.get("/readyz", state.ready),
-                web.get("/metrics", state.metrics),
-                *operators.routes(),
+                web.post("/v1/chat/completions", call_face.generate),
+                web.post("/v1/completions", call_face.generate),
+                web.get("/v1/resume", call_face.resume),
+                web.get("/v1/where", status_face.where),
+                web.get("/v1/models", status_face.models),
+                web.route("*", "/svc/{service}", call_face.call_service),
+                web.route(
+                    "*", "/svc/{service}/{path:.*}", call_face.call_service
+                ),
+                web.get("/healthz", status_face.health),
+                web.get("/readyz", status_face.ready),
+                web.get("/metrics", status_face.metrics),
+                *operator_face.routes(),
             ]
         )
         return app
 
 
-class Sessions:
+class HttpSessions:
     """HTTP client sessions, by how their connections are kept."""
 
     def __init__(self) -> None:
@@ -303,7 +313,7 @@
 
 async def serve(loaded: configs.Loaded) -> None:
     """Runs a daemon until it is stopped."""
-    sessions = Sessions()
+    sessions = HttpSessions()
     try:
         await Daemon(loaded, sessions).run()
     finally:
--- a/src/godwittack/daemon/tables.py
+++ b/src/godwittack/daemon/tables.py
@@ -33,9 +33,9 @@
 
     runtime: runtimes.Runtime
     peers: exchange.PeerClient
-    right: right.Right
+    serving_lease: right.Right
     on_adopted: Callable[[], None] = lambda: None
-    _fetching: bool = False
+    _is_fetching: bool = False
 
     @property
     def table(self) -> model.Table:
@@ -50,7 +50,7 @@
                 table,
                 # Read before this table counts as confirmed: a word on it
                 # says nothing of when it was made.
-                newest_before_ms=self.right.newest_at_ms(),
+                newest_before_ms=self.serving_lease.newest_at_ms(),
             )
         )
         if self.table is not table:
@@ -61,18 +61,18 @@
 
     async def fetch_from_peer(self, address: str) -> None:
         """Takes a peer's table where it is newer."""
-        if self._fetching:
+        if self._is_fetching:
             return
-        self._fetching = True
+        self._is_fetching = True
         try:
-            got = await self.peers.fetch_table(
+            reply = await self.peers.fetch_table(
                 address, known_version=self.table.version
             )
         finally:
-            self._fetching = False
-        if isinstance(got, Err):
+            self._is_fetching = False
+        if isinstance(reply, Err):
             return
-        parsed = tables_wire.read(got.ok_value)
+        parsed = tables_wire.read(reply.ok_value)
         if isinstance(parsed, Ok):
             self.adopt(parsed.ok_value)
         elif parsed is not None:
@@ -84,13 +84,13 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class PolledKeeper(TableKeeper):
+class PolledTableKeeper(TableKeeper):
     """Reads versions from the table service, and the table where newer."""
 
     tables: store.TableStore
     rng: random.Random
 
-    async def load_first(self, peer_addresses: list[str]) -> None:
+    async def load_initial(self, peer_addresses: list[str]) -> None:
         """Finds a table to start with: the service, peers, then the copy."""
         await self.poll_once()
         for address in peer_addresses:
@@ -110,18 +110,18 @@
     async def poll_once(self) -> None:
         """Reads the newest version and fetches the table if it is newer."""
         started_ms = self.runtime.clock.now_ms()
-        got = await self.tables.version()
-        if isinstance(got, Err):
+        newest = await self.tables.version()
+        if isinstance(newest, Err):
             return
-        if got.ok_value > self.table.version:
+        if newest.ok_value > self.table.version:
             table = await self.tables.table()
             if isinstance(table, Err):
                 return
             self.adopt(table.ok_value)
-        if got.ok_value <= self.table.version:
+        if newest.ok_value <= self.table.version:
             # Counted from before the reading: a reply that took long says
             # nothing of the time after it was made.
-            self.right.service_read(now_ms=started_ms)
+            self.serving_lease.service_read(now_ms=started_ms)
 
 
-__all__ = ["PolledKeeper", "TableKeeper"]
+__all__ = ["PolledTableKeeper", "TableKeeper"]
--- a/src/godwittack/daemon/watch.py
+++ b/src/godwittack/daemon/watch.py
@@ -265,7 +265,7 @@
     def publish(self, item: Watched) -> None:
         match item.told:
             case server_inputs.LoadReported():
-                if self._loads.is_news(item.told):
+                if self._loads.record_if_changed(item.told):
                     self._news.publish_load(item.told, item.target)
             case server_inputs.CacheDigest():
                 self._news.publish_digest(item.told, item.target)
--- a/src/godwittack/entry/operate.py
+++ b/src/godwittack/entry/operate.py
@@ -196,7 +196,7 @@
                     },
                     status=409,
                 )
-            case changes.InForce() as done:
+            case changes.ChangeProgress() as done:
                 return web.json_response(
                     {
                         "result": "accepted" if done.accepted else "committed",
--- a/src/godwittack/entry/patience.py
+++ b/src/godwittack/entry/patience.py
@@ -127,8 +127,8 @@
         )
         self._clock = clock
         self._delay = delay
-        self._accepted_in_round = delay.rounds
-        self._sent_by_ms = clock.now_ms() - delay.accepted_ms()
+        self._accepted_in_round = delay.iterations
+        self._sent_by_ms = clock.now_ms() - delay.accept_delay_ms()
         self._first_byte_ms = -1
         self._idle_since_ms = clock.now_ms()
         self._in_handler = False
@@ -137,8 +137,11 @@
         """Notes when a request's first bytes came."""
         if self._first_byte_ms < 0:
             self._first_byte_ms = self._clock.now_ms()
-            if self._delay.rounds > self._accepted_in_round + ROUNDS_TO_READ:
-                waited_ms = self._delay.read_ms()
+            if (
+                self._delay.iterations
+                > self._accepted_in_round + ROUNDS_TO_READ
+            ):
+                waited_ms = self._delay.read_delay_ms()
                 self._sent_by_ms = self._first_byte_ms - waited_ms
         super().data_received(data)
 
--- a/src/godwittack/liveness/__init__.py
+++ b/src/godwittack/liveness/__init__.py
@@ -6,20 +6,20 @@
 
 # Keep-alive probes: a path that lost track of a connection that nobody uses
 # shows within five seconds instead of never.
-IDLE_S = 2
-INTERVAL_S = 1
-COUNT = 3
+KEEPALIVE_IDLE_S = 2
+KEEPALIVE_INTERVAL_S = 1
+KEEPALIVE_PROBES = 3
 # The same for what was sent and is not acknowledged, which probes don't cover.
-UNACKNOWLEDGED_MS = 2_000
+MAX_UNACKNOWLEDGED_MS = 2_000
 
 
-def probe(sock: socket.socket) -> None:
+def enable_keepalive(sock: socket.socket) -> None:
     """Has the system probe an idle connection."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     for option, value in (
-        (socket.TCP_KEEPIDLE, IDLE_S),
-        (socket.TCP_KEEPINTVL, INTERVAL_S),
-        (socket.TCP_KEEPCNT, COUNT),
+        (socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S),
+        (socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
+        (socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
     ):
         sock.setsockopt(socket.IPPROTO_TCP, option, value)
 
@@ -27,8 +27,8 @@
 def limit_unacknowledged(sock: socket.socket) -> None:
     """Has the system end a connection whose peer acknowledges nothing."""
     sock.setsockopt(
-        socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS
+        socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, MAX_UNACKNOWLEDGED_MS
     )
 
 
-__all__ = ["limit_unacknowledged", "probe"]
+__all__ = ["limit_unacknowledged", "enable_keepalive"]
--- a/src/godwittack/metric/meters.py
+++ b/src/godwittack/metric/meters.py
@@ -47,7 +47,7 @@
         self._peer_bytes = 0
         meter.create_observable_counter(
             "godwittack_peer_bytes",
-            callbacks=[_callback(lambda: self._peer_bytes)],
+            callbacks=[_gauge_callback(lambda: self._peer_bytes)],
             unit="By",
         )
         self._meter = meter
@@ -56,9 +56,11 @@
 
     def add_gauge(self, name: str, read: Callable[[], float]) -> None:
         """Exposes what `read` returns at the time of each reading."""
-        self._meter.create_observable_gauge(name, callbacks=[_callback(read)])
+        self._meter.create_observable_gauge(
+            name, callbacks=[_gauge_callback(read)]
+        )
 
-    def event(self, event: effects.Event) -> None:
+    def record_event(self, event: effects.Event) -> None:
         """Measures one event of the core."""
         fields = {field.key: field.value for field in event.fields}
         labels = {"workspace": str(fields.get("workspace", ""))}
@@ -116,13 +118,17 @@
         ),
         "godwittack_quarantined": lambda: len(world.quarantine),
         "godwittack_retry_tokens": lambda: min(
-            (shared.tokens for shared in world.target_budgets.values()),
+            (budget.tokens for budget in world.target_budgets.values()),
             default=-1.0,
         ),
         "godwittack_retry_daemons": lambda: world.most_daemons,
         "godwittack_table_version": lambda: world.table.version,
         "godwittack_prefill_us_per_token": lambda: max(
-            (known.us_per_token for known in world.paces.values()), default=0.0
+            (
+                prefill_cost.us_per_token
+                for prefill_cost in world.paces.values()
+            ),
+            default=0.0,
         ),
         "godwittack_live_daemons": lambda: len(world.live_daemons),
         "godwittack_unstored_outcomes": lambda: len(world.outcomes),
@@ -139,11 +145,11 @@
 
 
 def _cpu_seconds() -> float:
-    used = resource.getrusage(resource.RUSAGE_SELF)
-    return used.ru_utime + used.ru_stime
+    usage = resource.getrusage(resource.RUSAGE_SELF)
+    return usage.ru_utime + usage.ru_stime
 
 
-def _callback(
+def _gauge_callback(
     read: Callable[[], float],
 ) -> Callable[[api.CallbackOptions], Iterable[api.Observation]]:
     def observe(_: api.CallbackOptions) -> Iterable[api.Observation]:
--- a/src/godwittack/peer/exchange.py
+++ b/src/godwittack/peer/exchange.py
@@ -248,7 +248,7 @@
     family, kind, number, _, _ = info
     sock = socket.socket(family, kind, number)
     sock.setblocking(False)
-    liveness.probe(sock)
+    liveness.enable_keepalive(sock)
     liveness.limit_unacknowledged(sock)
     return sock
 
--- a/src/godwittack/platform/instances.py
+++ b/src/godwittack/platform/instances.py
@@ -17,7 +17,7 @@
 
 class _Server(wire.StrictWire):
     service: str = pydantic.Field(min_length=1)
-    address: Annotated[str, pydantic.AfterValidator(addresses.checked)]
+    address: Annotated[str, pydantic.AfterValidator(addresses.validate)]
     zone: str = pydantic.Field(min_length=1)
     # Of the server's software, not of its weights.
     version: str
--- a/tests/cases/crash_rows.py
+++ b/tests/cases/crash_rows.py
@@ -72,7 +72,7 @@
         )
         for crash in seen:
             self.known.add(crash)
-        self.rows.seen(effects.TellCrashes(target="", crashes=seen))
+        self.rows.record(effects.TellCrashes(target="", crashes=seen))
 
     @property
     def known(self) -> quarantine.Quarantine:
@@ -104,12 +104,12 @@
     first = Daemon(store)
     store.fails = 2
     first.crash("s1", "s2", "s3")
-    await asyncio.sleep(3 * crash_rows.PAUSE_S)
+    await asyncio.sleep(3 * crash_rows.RETRY_PAUSE_S)
     assert len(store.rows) == 1
     second = Daemon(store)
-    store.fails = crash_rows.TRIES
+    store.fails = crash_rows.MAX_TRIES
     second.crash("s9", content="desk/g")
-    await asyncio.sleep((crash_rows.TRIES + 1) * crash_rows.PAUSE_S)
+    await asyncio.sleep((crash_rows.MAX_TRIES + 1) * crash_rows.RETRY_PAUSE_S)
     assert not second.known.until_ms("desk/f")
     second.crash("s8", content="desk/g")
     await _settle()
@@ -123,7 +123,7 @@
     first.crash("s1", "s2", "s3")
     await _settle()
     done = quarantine.Completion(content="desk/f", at_ms=2_000)
-    first.rows.seen(effects.TellCrashes(target="", completions=(done,)))
+    first.rows.record(effects.TellCrashes(target="", completions=(done,)))
     await _settle()
     second = Daemon(store)
     second.crash("s9", content="desk/g")
@@ -138,7 +138,7 @@
     await _settle()
     lifting = Daemon(store)
     done = quarantine.Completion(content="desk/f", at_ms=2_000)
-    lifting.rows.seen(effects.TellCrashes(target="", completions=(done,)))
+    lifting.rows.record(effects.TellCrashes(target="", completions=(done,)))
     await _settle()
     later = Daemon(store)
     later.crash("s9", content="desk/g")
@@ -172,7 +172,7 @@
     crashes.completed(other.core.world, request)
     for told in other.core.world.out:
         if isinstance(told, effects.TellCrashes):
-            other.rows.seen(told)
+            other.rows.record(told)
     await _settle()
     later = Daemon(store)
     later.crash("s3")
@@ -198,7 +198,7 @@
     daemon = Daemon(store)
     done = quarantine.Completion(content="desk/f", at_ms=2_000)
     # Never in quarantine, it is told to the daemons of its servers alone.
-    daemon.rows.seen(effects.TellCrashes(target="m", completions=(done,)))
+    daemon.rows.record(effects.TellCrashes(target="m", completions=(done,)))
     for _ in range(3):
         daemon.crash("s1")
     await _settle()
--- a/tests/cases/entries.py
+++ b/tests/cases/entries.py
@@ -179,7 +179,7 @@
         "services": [{"name": "llm", "engine": {"models": [{"name": "m"}]}}],
     }
     named = {"model": "m", "version": 4}
-    held = published_weights.NamedVersions()
+    held = published_weights.PublishedVersions()
     for value in (json.dumps(named), "", '{"model":"m","version":"9"}', "[]"):
         told = {
             "config": json.dumps(config),
@@ -190,7 +190,7 @@
             key: protocol.ChangedRow(key=key, value=text, version=2)
             for key, text in told.items()
         }
-        held.take(found, table.weights_from_row)
+        held.apply_rows(found, table.weights_from_row)
         got = table.table_from_rows(found, version=2, weights=held.by_model)
         assert got.ok_value.models["llm"].weights_version == "4", value
 
--- a/tests/cases/logs.py
+++ b/tests/cases/logs.py
@@ -22,7 +22,7 @@
     def __init__(self, *, lines_per_s: int = 200) -> None:
         self.lines: list[str] = []
         self.core = routed_core.Core()
-        self.stories = log_sampling.Stories(
+        self.stories = log_sampling.RequestLogSampler(
             write=self.lines.append,
             now_ms=lambda: self.core.now_ms,
             lines_per_s=lines_per_s,
@@ -31,7 +31,7 @@
     def take(self) -> None:
         """Tells the events that the core made last."""
         for event in self.core.find(effects.Event):
-            self.stories.tell(event, observer.line(event))
+            self.stories.record(event, observer.format_line(event))
 
     def play(self, name: str, *, fails: bool) -> None:
         """Plays one request to its end."""
@@ -58,7 +58,7 @@
         told.play(f"r{number}", fails=number % 100 == 0)
         told.core.now_ms += number % 5 == 0
     assert len(told.lines) < 2_000, len(told.lines)
-    assert told.stories.left_out > 3_000
+    assert told.stories.omitted_requests > 3_000
     by_request: dict[str, list[str]] = {}
     for line in told.lines:
         fields = dict(explain.PAIR.findall(line))
@@ -66,7 +66,7 @@
             by_request.setdefault(fields["request"], []).append(fields["event"])
     for name, events in by_request.items():
         assert events[0] == "placed", (name, events)
-        assert events[-1] in log_sampling.ENDS, (name, events)
+        assert events[-1] in log_sampling.FINAL_EVENTS, (name, events)
     failed = [n for n in by_request if int(n[1:]) % 100 == 0]
     assert len(failed) == 50, len(failed)
 
@@ -80,7 +80,7 @@
     """
     reader, writer = os.pipe()
     with os.fdopen(writer, "w") as out:
-        lines = logs.LineWriter(out, most=1_000)
+        lines = logs.LineWriter(out, max_lines=1_000)
         started = time.monotonic()
         for number in range(10_000):
             lines.write(f"line {number} " + "x" * 100)
@@ -145,4 +145,4 @@
     Cause: values written as they came.
     """
     event = effects.Event("refused", "a\nevent=forged", ())
-    assert "\n" not in observer.line(event)
+    assert "\n" not in observer.format_line(event)
--- a/tests/cases/weights.py
+++ b/tests/cases/weights.py
@@ -236,21 +236,25 @@
 
     def __init__(self) -> None:
         self.core = routed_core.Core(servers=1)
-        self.keeper = feed_table.FeedKeeper(
+        self.keeper = feed_table.FeedTableKeeper(
             runtime=_Running(self.core),
             peers=None,
-            right=confirmed.ConfirmedRight(bound_ms=routed_core.ALLOWED_MS),
+            serving_lease=confirmed.ConfirmedRight(
+                bound_ms=routed_core.ALLOWED_MS
+            ),
             members=None,
-            known=freshness.Freshness(topic=freshness.Topic.TABLE),
+            table_freshness=freshness.Freshness(topic=freshness.Topic.TABLE),
+        )
+        self.keeper.table_freshness.on_confirmed = (
+            self.keeper.record_confirmation
         )
-        self.keeper.known.on_confirmed = self.keeper.confirmed
-        self.keeper.known.changed(1)
+        self.keeper.table_freshness.changed(1)
 
     def read(self, table: model.Table | None = None) -> None:
         """Lets an answer of the store come, with a newer table or without."""
         if table is not None:
             assert self.keeper.adopt(table)
-        self.keeper.known.confirmed(self.core.now_ms)
+        self.keeper.table_freshness.confirmed(self.core.now_ms)
 
     def read_for(self, ms: int) -> None:
         """Lets time pass, with an answer of the store each second."""
--- a/tests/features/steps/caller_steps.py
+++ b/tests/features/steps/caller_steps.py
@@ -354,7 +354,7 @@
     event = effects.Event(
         "x", "", (effects.Field("detail", "a\nevent=forged b=1"),)
     )
-    text = observer.line(event)
+    text = observer.format_line(event)
     assert "\n" not in text and text.endswith('"'), text
 
 
--- a/tests/sim/fleet.py
+++ b/tests/sim/fleet.py
@@ -56,7 +56,7 @@
             core=core,
             backend_client=None,
             claims=claim_store.ClaimStore(self.table),
-            observe=worlds.EventList(),
+            event_observer=worlds.EventList(),
             clock=self.clock,
         )
         rng = random.Random(f"{fleet.seed}/{name}")
@@ -74,11 +74,11 @@
         tables_store = store.TableStore(self.table, fleet.objects)
         peers = ways.FleetPeers(fleet, self)
         self.right = right.ServeRight(policy)
-        self.keeper = tables.PolledKeeper(
+        self.keeper = tables.PolledTableKeeper(
             tables=tables_store,
             runtime=self.runtime,
             peers=peers,
-            right=self.right,
+            serving_lease=self.right,
             rng=rng,
         )
         self.news = news.News(
@@ -148,7 +148,7 @@
         await self.gossiper.join()
         self.gossiper.announce()
         rows = self.gossiper.members.rows.values()
-        await self.keeper.load_first([r.member.peer_address for r in rows])
+        await self.keeper.load_initial([r.member.peer_address for r in rows])
         self.tasks.append(
             self.fleet.spawn(self.lists.poll_forever(poll_ms=POLL_MS))
         )
@@ -290,7 +290,9 @@
             commit_id=f"{daemon.name}/{value}",
         )
         got = await self._ask(daemon, proposal)
-        if isinstance(got, Ok) and isinstance(got.ok_value, change.InForce):
+        if isinstance(got, Ok) and isinstance(
+            got.ok_value, change.ChangeProgress
+        ):
             done = got.ok_value
             if done.accepted:
                 self.accepted.append(
--- a/tests/sim/world.py
+++ b/tests/sim/world.py
@@ -23,7 +23,7 @@
     def __init__(self) -> None:
         self.events: list[effects.Event] = []
 
-    def event(self, event: effects.Event) -> None:
+    def record(self, event: effects.Event) -> None:
         """Keeps one event."""
         self.events.append(event)
 
@@ -68,7 +68,7 @@
             claims=claim_store.ClaimStore(
                 fakes.PausableTable(world.table, self.gate, world)
             ),
-            observe=self.observed,
+            event_observer=self.observed,
             clock=world.clock,
         )
         self.submit(inputs.RightToServe(world.clock.now_ms(), FOREVER_MS))
