--- a/src/godwittack/address/__init__.py
+++ b/src/godwittack/address/__init__.py
@@ -1,4 +1,4 @@
-"""Addresses as the settings and tables write them: IP:PORT, [IPv6]:PORT."""
+"""Addresses in settings and tables: IP:PORT or [IPv6]:PORT."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def validate(address: str) -> str:
-    """Returns an address that names an IP and a port.
+    """Returns the address if it consists of an IP and a valid port.
 
     Raises:
         ValueError: It does not.
--- a/src/godwittack/clock/__init__.py
+++ b/src/godwittack/clock/__init__.py
@@ -1,4 +1,4 @@
-"""The clock of the whole program: milliseconds that never go back."""
+"""Clocks in milliseconds; the monotonic time never goes back."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Clock(Protocol):
-    """Source of time for shells; the core only sees times in its inputs."""
+    """Source of time outside the core, which gets times with its inputs."""
 
     def now_ms(self) -> int:
         """Returns monotonic milliseconds; the origin is arbitrary."""
@@ -15,8 +15,8 @@
     def wall_ms(self) -> int:
         """Returns milliseconds since the Unix epoch, for people to read.
 
-        Wall clocks of two instances may differ by a minute, so that no
-        decision depends on this value.
+        Wall clocks of two instances may differ by a minute, so no decision may
+        depend on this value.
         """
 
 
@@ -24,11 +24,11 @@
     """Reads the clocks of the operating system."""
 
     def now_ms(self) -> int:
-        """Returns milliseconds that also count while suspended.
+        """Returns milliseconds that also advance while suspended.
 
-        The plain monotonic clock stands still while an instance is suspended.
-        A lease or a right read by it would seem to hold long after others
-        have taken it for lapsed.
+        The plain monotonic clock stops while an instance is suspended. By that
+        clock, a lease would seem valid long after other daemons consider it
+        expired.
         """
         return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000_000
 
@@ -38,7 +38,7 @@
 
 
 class ManualClock:
-    """A clock that a test or an experiment moves by hand."""
+    """A clock that tests and experiments advance explicitly."""
 
     def __init__(self, start_ms: int = 0) -> None:
         """Starts the clock at `start_ms`."""
@@ -53,7 +53,7 @@
         return self._now_ms
 
     def advance(self, *, by_ms: int) -> int:
-        """Moves the clock forward and returns the new time."""
+        """Advances the clock and returns the new time."""
         self._now_ms += by_ms
         return self._now_ms
 
--- a/src/godwittack/clock/loop_delay.py
+++ b/src/godwittack/clock/loop_delay.py
@@ -1,8 +1,8 @@
-"""Tells since when data may have waited that an event loop reads now.
+"""Measures how long data may have waited before an event loop reads it.
 
-Load pattern: more daemons than cores, or a machine that stands still for a
-while. A request lies in its socket until the loop comes to read it, and what
-its caller has left of its time is less than it was when it was sent.
+Load pattern: more daemons than cores, or a machine that freezes for a while. A
+request waits in its socket until the loop reads it, and by then its caller has
+less time left than when it was sent.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 
 
 class ReadDelay(Protocol):
-    """How late a loop may be with what it reads or accepts."""
+    """How long data or connections may wait for an event loop."""
 
     @property
     def iterations(self) -> int:
-        """Rounds of the loop so far."""
+        """Iterations of the loop so far."""
 
     def read_delay_ms(self) -> int:
-        """Returns how long data read in this round may have waited."""
+        """Returns how long data read in this iteration may have waited."""
 
     def accept_delay_ms(self) -> int:
-        """Returns how long a connection accepted in the last one may have."""
+        """Returns how long the last accepted connections may have waited."""
 
 
 class NoDelay:
-    """A loop that is taken to be on time."""
+    """Delay of a loop that is assumed to read and accept at once."""
 
     iterations = 0
 
@@ -43,15 +43,15 @@
 
 
 class TimedSelector(selectors.DefaultSelector):
-    """A selector that measures the rounds of its loop.
+    """A selector that measures the iterations of its event loop.
 
-    What is ready when a round begins came after the round before had begun.
-    Of that time, the part for which the loop slept as it wanted does not
-    count: data would have woken it.
+    Data that is ready at the start of an iteration arrived after the start of
+    the previous one. The time that the loop slept as requested does not count,
+    because arriving data would have woken it.
     """
 
     def __init__(self, clock: Clock) -> None:
-        """Measures by `clock`, which should count while suspended."""
+        """Measures by `clock`, which should advance while suspended."""
         super().__init__()
         self.iterations = 0
         self._clock = clock
@@ -63,7 +63,7 @@
     def select(
         self, timeout: float | None = None
     ) -> list[tuple[selectors.SelectorKey, int]]:
-        """Waits for events; the loop calls it once a round."""
+        """Waits for events; the loop calls it once per iteration."""
         select_started_ms = self._clock.now_ms()
         ready = super().select(timeout)
         now_ms = self._clock.now_ms()
@@ -73,8 +73,9 @@
             overslept_ms = max(0, now_ms - wake_at_ms)
         self._previous_delay_ms = self._delay_ms
         busy_ms = select_started_ms - self._iteration_started_ms
-        # A process may be stopped after the events of a round were collected,
-        # or a signal end the wait: what is ready by then comes a round later.
+        # The process may be stopped after the events of an iteration were
+        # collected, or a signal may end the wait: data that is ready by then
+        # is read one iteration later.
         self._delay_ms = busy_ms + overslept_ms + self._overslept_ms
         self._overslept_ms = overslept_ms
         self._iteration_started_ms = now_ms
@@ -82,13 +83,13 @@
         return ready
 
     def read_delay_ms(self) -> int:
-        """Returns how long data read in this round may have waited."""
+        """Returns how long data read in this iteration may have waited."""
         return (
             self._delay_ms + self._clock.now_ms() - self._iteration_started_ms
         )
 
     def accept_delay_ms(self) -> int:
-        """Returns how long a connection accepted in the last one may have."""
+        """Returns how long the last accepted connections may have waited."""
         return self._previous_delay_ms + self.read_delay_ms()
 
 
--- a/src/godwittack/daemon/__init__.py
+++ b/src/godwittack/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon: shells around the core, each with its own loop."""
+"""The daemon process: network, storage and timers around the core."""
--- a/src/godwittack/daemon/attempt.py
+++ b/src/godwittack/daemon/attempt.py
@@ -1,4 +1,4 @@
-"""Turns what happens on one attempt into inputs of the core."""
+"""Converts the events of one attempt into inputs of the core."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
         stamp: work.Stamp,
         head: work.Head | None = None,
     ) -> None:
-        """The head of a stream came."""
+        """Reports that the head of a stream has arrived."""
         self._submit(
             inputs.AttemptOpened(
                 self._clock.now_ms(),
@@ -49,7 +49,7 @@
         )
 
     def usage(self, *, prompt: int, cached: int, generated: int) -> None:
-        """The engine told what it took from its cache."""
+        """Reports the token usage that the engine returned."""
         self._submit(
             inputs.UsageReported(
                 self._clock.now_ms(),
@@ -61,7 +61,7 @@
         )
 
     async def frames(self, frames: tuple[work.Frame, ...]) -> None:
-        """Frames came."""
+        """Submits frames, then waits until the caller has read enough."""
         self._submit(
             inputs.FramesArrived(self._clock.now_ms(), self._attempt_id, frames)
         )
@@ -73,7 +73,7 @@
         answer: work.Answer,
         stamp: work.Stamp | None,
     ) -> None:
-        """A whole answer came."""
+        """Reports a complete answer."""
         self._submit(
             inputs.AnswerArrived(
                 self._clock.now_ms(),
@@ -90,7 +90,7 @@
         cause: inputs.FailureCause,
         detail: str,
     ) -> None:
-        """The attempt ended without an answer."""
+        """Reports that the attempt ended without an answer."""
         self._submit(
             inputs.AttemptFailed(
                 self._clock.now_ms(), self._attempt_id, phase, cause, detail
--- a/src/godwittack/daemon/base.py
+++ b/src/godwittack/daemon/base.py
@@ -1,4 +1,4 @@
-"""What every daemon is made of, whatever its surroundings speak."""
+"""Components that daemons of either interface share."""
 
 from __future__ import annotations
 
@@ -29,18 +29,18 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Components:
-    """The core, the view of other daemons, and the ways to them.
+    """The core, the membership view and the clients for other daemons.
 
     Attributes:
-        clock: Source of time for all parts.
-        rng: Spreads what daemons would else do at one moment.
-        core: Decides.
-        counts: What reports are made of.
-        meters: What metrics are made of.
+        clock: Source of time for all components.
+        rng: Adds jitter, so that daemons do not act all at the same time.
+        core: Takes all routing decisions.
+        counts: Counts for reports.
+        meters: Instruments for metrics.
         members: The view of all daemons.
-        peers: Calls and streams to other daemons.
-        probes: Probes of them, as datagrams.
-        peer_secret: Proves messages between daemons.
+        peers: Client for calls and streams to other daemons.
+        probes: Sends probes to other daemons, as datagrams.
+        peer_secret: Authenticates messages between daemons.
         seeds: Peer addresses from the settings.
     """
 
@@ -57,7 +57,7 @@
 
     @classmethod
     def from_config(cls, loaded: configs.Loaded) -> Components:
-        """Builds the parts of a process that has just started."""
+        """Builds the components of a process that has just started."""
         settings = loaded.settings
         clock = SystemClock()
         rng = random.Random(secrets.randbits(64))
@@ -105,7 +105,7 @@
         keeper: tables.TableKeeper,
         news: newses.News,
     ) -> gossip.Gossiper:
-        """Returns what probes the others and spreads membership."""
+        """Returns a gossiper, which probes peers and spreads membership."""
         return gossip.Gossiper(
             members=self.members,
             runtime=daemon_runtime,
@@ -128,7 +128,7 @@
         )
 
     async def close(self, peer_server: server.PeerServer) -> None:
-        """Ends the ways to other daemons, and the metrics."""
+        """Closes the server and clients for other daemons, and the metrics."""
         await peer_server.stop()
         await self.peers.close()
         self.probes.close()
@@ -136,10 +136,10 @@
 
 
 class BackgroundTasks:
-    """What a daemon does all the time; the failure of one ends the process."""
+    """Tasks that run until the daemon stops; a failed one ends the process."""
 
     def __init__(self) -> None:
-        """Runs none yet."""
+        """Starts with no tasks."""
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self, coroutine: Coroutine[object, object, None]) -> None:
@@ -149,14 +149,14 @@
         self._tasks.append(task)
 
     async def cancel(self) -> None:
-        """Ends all and waits for that."""
+        """Cancels all tasks and waits until they have ended."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
 
 def install_stop_handler() -> asyncio.Event:
-    """Returns an event that is set by the signals that end the process."""
+    """Returns an event that SIGTERM and SIGINT set."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
@@ -169,9 +169,9 @@
 
 
 def _stop_on_failure(task: asyncio.Task[None]) -> None:
-    """Ends the process where one of its loops has failed.
+    """Ends the process if a background task has failed.
 
-    A loop that ends silently would leave the daemon half alive.
+    A task that ended silently would leave the daemon partly working.
     """
     if task.cancelled():
         return
@@ -181,4 +181,4 @@
         signal.raise_signal(signal.SIGTERM)
 
 
-__all__ = ["Components", "BackgroundTasks", "install_stop_handler"]
+__all__ = ["BackgroundTasks", "Components", "install_stop_handler"]
--- a/src/godwittack/daemon/caller.py
+++ b/src/godwittack/daemon/caller.py
@@ -1,4 +1,4 @@
-"""What the core decided for one caller, on its way to the connection."""
+"""Queue of the core's effects for one caller's connection."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 class Caller:
     """Queue of effects between the core and one caller's connection.
 
-    A caller that reads slowly fills it; `room` then holds up the reading of
-    that one stream at the engine, so that memory stays bounded and no other
-    caller waits.
+    A caller that reads slowly fills the queue. `wait_for_room` then pauses
+    reading of that caller's stream from the engine, so that memory stays
+    bounded and no other caller waits.
     """
 
     def __init__(self, call: protocol.Call) -> None:
@@ -44,7 +44,7 @@
         return effect
 
     async def wait_for_room(self) -> None:
-        """Waits until the caller has read enough."""
+        """Waits until fewer than the maximum number of frames are queued."""
         while self._buffered_frames >= MAX_BUFFERED_FRAMES:
             self._has_room.clear()
             await self._has_room.wait()
--- a/src/godwittack/daemon/change.py
+++ b/src/godwittack/daemon/change.py
@@ -1,4 +1,4 @@
-"""Commits a table change and follows it until it is in force."""
+"""Commits a table change and waits until it is active on all daemons."""
 
 from __future__ import annotations
 
@@ -17,25 +17,26 @@
     from godwittack.store import protocol as platform
 
 SPREAD_INTERVAL_MS = 150
-# Added to the time after which an older table is served nowhere, for clocks
+# Added to the time after which no daemon serves an older table, for clocks
 # that run at different speeds.
 EXPIRY_MARGIN_MS = 500
-# How long a majority is waited for.
+# How long to wait for confirmations by a majority.
 MAJORITY_TIMEOUT_MS = 3_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ChangeProgress:
-    """How far a committed change came.
+    """How far a committed change has spread.
 
     Attributes:
-        accepted: Every daemon has confirmed it, or has lost the right to
-            take work until it has it.
-        after_ms: Time from the operator's request until then.
-        confirmed: Daemons that have it.
-        lapsed: Daemons that did not answer for long enough to be sure that
-            they take no new work on an older table.
-        missing: Daemons of which neither is sure.
+        version: Table version of the change.
+        accepted: Every daemon has the change, or its serving lease has
+            expired, so that it takes no work until it has the change.
+        after_ms: Time from the operator's request to this result.
+        confirmed: Daemons that have the change.
+        lapsed: Daemons that have been silent for so long that their serving
+            leases on an older table have expired.
+        missing: Daemons that are in neither of these states for certain.
     """
 
     version: int
@@ -50,7 +51,7 @@
 
 
 class Committer:
-    """Carries changes through for operators."""
+    """Commits operators' changes and spreads them to all daemons."""
 
     def __init__(
         self,
@@ -61,7 +62,7 @@
         policy: view.MemberPolicy,
         gossip_ms: int,
     ) -> None:
-        """Commits with `tables` and spreads with `gossiper`."""
+        """Commits to `tables` and spreads changes with `gossiper`."""
         self._tables = tables
         self._keeper = keeper
         self._gossiper = gossiper
@@ -72,7 +73,7 @@
     async def commit(
         self, proposal: store.Proposal
     ) -> Result[ChangeResult, platform.PlatformError]:
-        """Commits a change and waits until it is in force."""
+        """Commits a change and waits until it is active or has timed out."""
         clock = self._keeper.runtime.clock
         started_ms = clock.now_ms()
         result = await self._tables.commit(proposal, self._keeper.table)
@@ -92,7 +93,7 @@
         return Ok(await self._spread(entry.version, started_ms))
 
     async def _spread(self, version: int, started_ms: int) -> ChangeProgress:
-        """Spreads a version until it is accepted, or no majority has it."""
+        """Spreads a version until it is accepted or misses a majority."""
         clock = self._keeper.runtime.clock
         committed_ms = clock.now_ms()
         majority_at_ms = 0
@@ -104,13 +105,16 @@
             has_majority = 2 * len(confirmed) > expected_daemons
             if has_majority and not majority_at_ms:
                 majority_at_ms = now_ms
-            lapsed = has_majority and now_ms - majority_at_ms >= self._expiry_ms
-            hopeless = not has_majority and (
+            expired = (
+                has_majority and now_ms - majority_at_ms >= self._expiry_ms
+            )
+            timed_out = not has_majority and (
                 now_ms - committed_ms >= MAJORITY_TIMEOUT_MS
             )
-            # A daemon that was lost to us and forgotten may be well, and hold
-            # a lease on the version before: only a full count is at once.
-            if len(confirmed) >= expected_daemons or lapsed or hopeless:
+            # A daemon that was unreachable from here and dropped from the view
+            # may still run and hold a lease on the version before. Only
+            # confirmations by all expected daemons need no further wait.
+            if len(confirmed) >= expected_daemons or expired or timed_out:
                 break
             await asyncio.sleep(SPREAD_INTERVAL_MS / 1000)
         return ChangeProgress(
@@ -136,4 +140,4 @@
         return sorted(confirmed), sorted(missing)
 
 
-__all__ = ["ChangeResult", "Committer", "ChangeProgress"]
+__all__ = ["ChangeProgress", "ChangeResult", "Committer"]
--- a/src/godwittack/daemon/crash_rows.py
+++ b/src/godwittack/daemon/crash_rows.py
@@ -1,7 +1,7 @@
-"""Keeps what crashes servers in the platform's store.
+"""Stores which requests crash servers as rows in the platform's store.
 
-Daemons learn of crashes from each other. Where all of them end at one time,
-the store alone still knows which requests crash servers.
+Daemons publish crashes to each other. If all of them end at the same time,
+only the store still has the record of requests that crash servers.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
     from godwittack.daemon import runtime as runtimes
 
 TABLE = "quarantines"
-# Rows are never removed: a content replaces the one before it in its slot.
+# Rows are never removed: a content overwrites the one before it in its slot.
 SLOTS = 256
 MAX_TRIES = 5
 RETRY_PAUSE_S = 0.5
 
 
 class Store(protocol.ConditionalRows, protocol.RowFeed, Protocol):
-    """Rows that are written, and read from a key on."""
+    """Store whose rows can be written, and read in pages from a key on."""
 
 
 class _CrashJson(pydantic.BaseModel):
@@ -46,14 +46,14 @@
 
 
 class CrashRows:
-    """Writes contents that crash servers again, and reads them once.
+    """Writes contents that crash servers repeatedly, and reads them once.
 
-    They are read when this daemon first sees a server end under a request: a
-    daemon that sees none makes no call.
+    They are read when this daemon first observes a server that ends during a
+    request, so that a daemon that observes no crash makes no call.
     """
 
     def __init__(self, *, service: Store, runtime: runtimes.Runtime) -> None:
-        """Reads and writes in `service`."""
+        """Reads from and writes to `service`."""
         self._service = service
         self._runtime = runtime
         self._has_read = False
@@ -61,7 +61,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def record(self, update: effects.TellCrashes) -> None:
-        """Takes in what this daemon tells the others of crashes."""
+        """Stores crashes and completions that this daemon publishes."""
         if update.crashes and not self._has_read:
             self._has_read = True
             self._spawn(self._read())
@@ -69,20 +69,20 @@
             self._write_crashes(content)
         for completion in update.completions:
             self._written_counts.pop(completion.content, None)
-            # Every daemon is told of those alone that were kept. The row may
-            # be another daemon's.
+            # Only completions of stored contents are published to every
+            # daemon, with no target. Another daemon may have written the row.
             if not update.target:
                 self._spawn(self._write(_RowJson(content=completion.content)))
 
     def close(self) -> None:
-        """Ends calls that are under way."""
+        """Cancels calls in progress."""
         for task in self._tasks:
             task.cancel()
 
     def _write_crashes(self, content: str) -> None:
-        quarantined = self._runtime.core.world.quarantine
-        crashes = quarantined.crashes(content)
-        if not quarantined.is_kept(content):
+        crash_history = self._runtime.core.world.quarantine
+        crashes = crash_history.crashes(content)
+        if not crash_history.is_kept(content):
             return
         if self._written_counts.get(content, 0) >= len(crashes):
             return
@@ -128,7 +128,7 @@
                 "event=quarantines_unread detail=%r", str(result.err_value)
             )
             await asyncio.sleep(RETRY_PAUSE_S)
-        # Tried again at the next crash.
+        # Retried at the next crash.
         self._has_read = False
 
     def _apply_rows(self, rows: tuple[protocol.ChangedRow, ...]) -> None:
@@ -171,9 +171,10 @@
 def _is_still_relevant(
     kept: _RowJson, crash: _CrashJson, *, now_wall_ms: int
 ) -> bool:
-    """Returns whether a daemon that had lived on would know of a crash.
+    """Returns whether a daemon that kept running would still know of a crash.
 
-    A quarantine may last for longer than its crashes would be remembered.
+    Crashes of a content in quarantine count at any age, since a quarantine may
+    last longer than crashes are remembered otherwise.
     """
     if len(kept.crashes) >= quarantine.MOST_CRASHES:
         return True
--- a/src/godwittack/daemon/dispatch_announcer.py
+++ b/src/godwittack/daemon/dispatch_announcer.py
@@ -1,4 +1,4 @@
-"""Tells other daemons at once of long prompts sent to servers, and hears it."""
+"""Announces dispatches of long prompts to other daemons, and applies theirs."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 
 class DatagramSender(Protocol):
-    """Sends one message to many daemons, with no word of its arrival."""
+    """Sends one message to many daemons without acknowledgement."""
 
     def spread(self, peers: Iterable[str], news: peer_pb2.News) -> None:
         """Sends `news` once to each of these addresses."""
 
 
 class Announcer:
-    """Announces this daemon's long prompts, and takes in those of others.
+    """Announces this daemon's long prompts and applies those of others.
 
-    Each is a datagram a peer, not a message on a stream: one that is late or
-    lost is worth nothing, since the prompt has been computed by then, and
-    sixty daemons tell each other of a hundred prompts a second.
+    An announcement is one datagram per peer instead of a message on a stream:
+    sending it again or late is useless, since the prompt has been computed by
+    then, and sixty daemons announce a hundred prompts a second.
     """
 
     def __init__(
@@ -39,14 +39,14 @@
         runtime: runtimes.Runtime,
         datagrams: DatagramSender,
     ) -> None:
-        """Announces to those that `news` names as a model's audience."""
+        """Announces to the members that `news` returns as the audience."""
         self._members = members
         self._news = news
         self._runtime = runtime
         self._datagrams = datagrams
 
     def announce(self, announcement: effects.Announce) -> None:
-        """Tells the daemons that serve a model of a prompt sent."""
+        """Announces a dispatched prompt to the daemons that serve its model."""
         own = self._members.me.member_id
         message = peer_pb2.News(
             dispatched=[
@@ -68,7 +68,7 @@
         )
 
     def apply(self, message: peer_pb2.News) -> None:
-        """Takes in what another daemon announced."""
+        """Submits another daemon's announcements to the core."""
         now_ms = self._runtime.clock.now_ms()
         for announcement in message.dispatched:
             self._runtime.submit(
--- a/src/godwittack/daemon/feed_table.py
+++ b/src/godwittack/daemon/feed_table.py
@@ -1,4 +1,4 @@
-"""Keeps the newest table, as told by the operators' rows in the store."""
+"""Keeps the newest table from the operators' rows in the store's feed."""
 
 from __future__ import annotations
 
@@ -24,13 +24,18 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class FeedTableKeeper(tables.TableKeeper):
-    """Keeps the newest table, as told by the operators' rows."""
+    """Keeps the newest table from the feed of operators' rows.
+
+    Attributes:
+        members: The view of all daemons.
+        table_freshness: When the table was last known to be the newest.
+    """
 
     members: view.View
     table_freshness: freshness.Freshness
 
     def adopt(self, table: model.Table) -> bool:
-        """Puts a table in force if it is newer; it never goes back."""
+        """Activates a table if it is newer; never returns to an older one."""
         if not tables.TableKeeper.adopt(self, table):
             return False
         self.table_freshness.changed(table.version)
@@ -45,17 +50,21 @@
         ],
         rows: Mapping[str, protocol.ChangedRow],
     ) -> None:
-        """Puts newer rows in force."""
+        """Decodes changed rows and activates the table if it is newer."""
         table = decode(rows)
         if isinstance(table, Err):
-            # What is in force stays so: an older table serves, none does not.
+            # The active table stays: requests can be served by an older table,
+            # but not without one.
             logging.error("event=table_unreadable detail=%r", table.err_value)
             return
         if table.ok_value is not None:
             self.adopt(table.ok_value)
 
     def _update_kv_stores(self, table: model.Table) -> None:
-        """Tells the core of stores of cached state, which no list names."""
+        """Lists the table's stores of cached state as servers in the core.
+
+        The instance list does not contain them.
+        """
         if table.forwarding is None:
             return
         now_ms = self.runtime.clock.now_ms()
@@ -80,12 +89,12 @@
             )
 
     def record_confirmation(self, confirmed_at_ms: int) -> None:
-        """Takes in that the table was the newest at a time."""
+        """Records that the table was the newest at a time."""
         self.serving_lease.service_read(now_ms=confirmed_at_ms)
         self.update_serving_lease()
 
     def update_serving_lease(self) -> None:
-        """Tells the core until when keys may be served."""
+        """Updates in the core until when keys may be served."""
         now_ms = self.runtime.clock.now_ms()
         until_ms = self.serving_lease.until_ms(
             self.members, own_version=self.table.version, now_ms=now_ms
--- a/src/godwittack/daemon/lag.py
+++ b/src/godwittack/daemon/lag.py
@@ -1,4 +1,4 @@
-"""Measures how late this daemon's timers fire."""
+"""Detects overload of this daemon by how late its timers fire."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 async def watch_forever(*, members: view.View, clock: Clock) -> None:
-    """Tells the other daemons when this one is overloaded, and when not."""
+    """Publishes to the other daemons whether this one is overloaded."""
     detector = overload.OverloadDetector()
     while True:
         due_ms = clock.now_ms() + CHECK_INTERVAL_MS
--- a/src/godwittack/daemon/listeners.py
+++ b/src/godwittack/daemon/listeners.py
@@ -1,4 +1,4 @@
-"""Listens to callers, lookups and readiness checks."""
+"""HTTP servers for callers, address lookups, readiness and metrics."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
     from godwittack.table import forwarding
 
 HTTP_BACKLOG = 1_024
-# Of one line of a request's head, as the HTTP library reads it; the table's
-# own limit on all headers is checked after that, with an answer that says so.
+# Limit of the HTTP library for one header line of a request. The table's limit
+# on all headers is checked afterwards, and its refusal names the limit.
 MAX_HEADER_LINE_BYTES = 1 << 16
 
 
@@ -27,7 +27,7 @@
     def __init__(
         self, clock: Clock, delay: loop_delay.ReadDelay | None = None
     ) -> None:
-        """Listens to nothing yet; `delay` tells how late the loop may read."""
+        """Starts no server; `delay` measures how late the event loop reads."""
         self._clock = clock
         self._delay = delay
         self._servers: list[patience.PatientServer] = []
@@ -38,7 +38,7 @@
         address: str,
         handler: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]],
     ) -> None:
-        """Hands requests at an address to a handler.
+        """Starts a server at an address that passes requests to a handler.
 
         Raises:
             OSError: The address is in use.
@@ -58,7 +58,7 @@
         self._tcp_sites.append(site)
 
     def close_slow_connections(self, limits: forwarding.CallerLimits) -> None:
-        """Closes connections whose callers are slower than the limits."""
+        """Closes connections whose callers exceed the time limits."""
         for server in self._servers:
             server.end_slow(limits)
 
--- a/src/godwittack/daemon/load_filter.py
+++ b/src/godwittack/daemon/load_filter.py
@@ -1,4 +1,4 @@
-"""Decides which load reports are news to other daemons."""
+"""Selects the load reports that are published to other daemons."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 if TYPE_CHECKING:
     from godwittack.core import server_inputs
 
-# An unchanged load is told again after this, to a peer that missed it.
+# An unchanged load is published again after this, for peers that missed it.
 REPEAT_INTERVAL_MS = 2_000
-# Part of a figure by which it may move untold.
+# A count may change by this fraction without being published.
 RELATIVE_TOLERANCE = 0.1
 
 
 class LoadFilter:
-    """Remembers what was told last of each server."""
+    """Compares load reports with the one published last for each server."""
 
     def __init__(self) -> None:
-        """Has told nothing."""
+        """Starts without published reports."""
         self._last_published: dict[str, server_inputs.LoadReported] = {}
 
     def record_if_changed(self, load: server_inputs.LoadReported) -> bool:
-        """Returns whether to tell a report, and remembers it if so."""
+        """Returns whether to publish a report, and records it if so."""
         last = self._last_published.get(load.server_id)
         if last is not None and _is_same(last, load):
             return False
--- a/src/godwittack/daemon/log_sampling.py
+++ b/src/godwittack/daemon/log_sampling.py
@@ -1,4 +1,4 @@
-"""Keeps the volume of log lines bounded, by whole requests."""
+"""Bounds the volume of log lines by leaving out whole requests."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
     from godwittack.core import effects
 
-# Lines a second above which requests that end well are left out. Two hundred
+# Lines per second above which successful requests are left out. Two hundred
 # cost 1% of a core at 50 us each.
 MAX_LINES_PER_S = 200
 BURST_LINES = 400
-# Requests whose lines wait for their end, and lines of one of them.
+# Requests tracked until their end, and buffered lines of each.
 MAX_TRACKED_REQUESTS = 2_000
 MAX_LINES_PER_REQUEST = 24
-# Events after which nothing more is told of a request, and those of them that
-# are never left out for a success.
+# The last event of a request is one of these; FAILURE_EVENTS are those for
+# which buffered lines are written.
 FINAL_EVENTS = frozenset(
     {"finished", "refused", "stream_broken", "caller_gone"}
 )
@@ -33,12 +33,13 @@
 
 
 class RequestLogSampler:
-    """Writes all lines of a request or none.
+    """Writes all lines of a request or none, limited by a token bucket.
 
-    While there is room each line is written at once, so that the story of a
-    request is there even if the process is killed in the middle of it. Under
-    load the lines of further requests are held until their end: a failure's
-    are written, a success's counted.
+    While the bucket has tokens, each line is written at once, so that the log
+    of a request exists even if the process is killed before it ends. Under
+    load, the lines of further requests are buffered until their end: those of
+    a failed request are written, those of a successful one are left out and
+    the request is counted.
     """
 
     def __init__(
@@ -48,7 +49,7 @@
         now_ms: Callable[[], int],
         lines_per_s: int = MAX_LINES_PER_S,
     ) -> None:
-        """Writes lines by `write`."""
+        """Writes lines with `write`."""
         self.omitted_requests = 0
         self._write = write
         self._now_ms = now_ms
@@ -60,7 +61,7 @@
         )
 
     def record(self, event: effects.Event, line: str) -> None:
-        """Takes in a line of an event."""
+        """Writes, buffers or drops the line of an event."""
         self._refill()
         if not event.request_id:
             self._available_lines -= 1
@@ -88,8 +89,8 @@
         request_lines = self._requests.pop(event.request_id)
         if request_lines.is_unbuffered:
             return
-        # A herd of refusals must not flood the log either: beyond the burst
-        # they are left out as well, and counted.
+        # Many refusals at once must not flood the log either: once they exceed
+        # the burst, they are left out and counted too.
         if (
             event.name in FAILURE_EVENTS
             and self._available_lines > -BURST_LINES
--- a/src/godwittack/daemon/logs.py
+++ b/src/godwittack/daemon/logs.py
@@ -1,4 +1,4 @@
-"""Writes log lines without ever waiting for whoever reads them."""
+"""Writes log lines without blocking on a slow reader."""
 
 from __future__ import annotations
 
@@ -9,17 +9,18 @@
 import time
 from typing import IO
 
-# Lines that wait for a slow reader; about half a megabyte.
+# Lines queued for a slow reader; about half a megabyte.
 MAX_QUEUED_LINES = 4_000
-# How often the number of lines left out is told.
+# Minimum time between two reports of the number of dropped lines.
 DROP_REPORT_INTERVAL_S = 5.0
 
 
 class LineWriter:
-    """Hands lines to a thread of its own, which may block.
+    """Passes lines to a writer thread, which may block.
 
-    A terminal or pipe that nobody reads would stop the whole daemon at its
-    next line. Lines beyond what may wait are counted and left out instead.
+    Without it, a terminal or pipe that nobody reads would block the whole
+    daemon at its next line. Lines that do not fit the queue are dropped and
+    counted.
     """
 
     def __init__(
@@ -40,7 +41,7 @@
         self._thread.start()
 
     def write(self, line: str) -> None:
-        """Adds a line, or counts it as left out."""
+        """Queues a line, or counts it as dropped."""
         if len(self._lines) >= self._max_lines:
             self.dropped += 1
             return
@@ -49,11 +50,11 @@
             self._wake.set()
 
     def write_info(self, text: str) -> None:
-        """Adds a line with the present time before it."""
+        """Queues a line at level INFO with the current time."""
         self.write(f"{format_time(time.time())} level=INFO {text}")
 
     def close(self, *, wait_s: float = 0.5) -> None:
-        """Writes what waits, for as long as the reader allows."""
+        """Writes the queued lines, for at most `wait_s`."""
         self._closing = True
         self._wake.set()
         self._thread.join(wait_s)
@@ -71,7 +72,7 @@
                     self._out.write("\n".join(batch) + "\n")
                     self._out.flush()
                 except (OSError, ValueError):
-                    # The reader is gone: there is nobody left to tell.
+                    # The reader is gone, so these lines can't be written.
                     self.dropped += len(batch)
             if self._closing:
                 return
@@ -90,7 +91,7 @@
 
 
 class LineHandler(logging.Handler):
-    """Hands records of `logging` to a writer."""
+    """Passes records of `logging` to a writer."""
 
     def __init__(self, writer: LineWriter) -> None:
         """Writes through `writer`."""
@@ -98,7 +99,7 @@
         self._writer = writer
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Writes one record; a trace of an error stays on its line."""
+        """Writes one record as one line, with the traceback of an error."""
         text = record.getMessage()
         if record.exc_info and record.exc_info[1] is not None:
             trace = self.formatException(record)
@@ -109,19 +110,19 @@
 
     @staticmethod
     def formatException(record: logging.LogRecord) -> str:  # noqa: N802
-        """Returns a record's trace as one text."""
+        """Returns a record's traceback as text."""
         assert record.exc_info is not None
         return logging.Formatter().formatException(record.exc_info)
 
 
 def format_time(seconds: float) -> str:
-    """Returns the time field of a line."""
-    time_to_seconds = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(seconds))
-    return f"time={time_to_seconds}.{int(seconds % 1 * 1000):03d}"
+    """Returns the time field of a line, in UTC."""
+    formatted = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(seconds))
+    return f"time={formatted}.{int(seconds % 1 * 1000):03d}"
 
 
 def install() -> LineWriter:
-    """Sends all lines of `logging` to standard output by a writer."""
+    """Routes all records of `logging` to standard output by a writer."""
     writer = LineWriter(sys.stdout)
     root = logging.getLogger()
     root.handlers[:] = [LineHandler(writer)]
@@ -132,4 +133,4 @@
     return writer
 
 
-__all__ = ["LineHandler", "LineWriter", "install", "format_time"]
+__all__ = ["LineHandler", "LineWriter", "format_time", "install"]
--- a/src/godwittack/daemon/observer.py
+++ b/src/godwittack/daemon/observer.py
@@ -1,4 +1,4 @@
-"""Log lines, metrics and report counts from the core's events."""
+"""Turns the core's events into log lines, metrics and report counts."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class Observer(Protocol):
-    """Hears every event of the core."""
+    """Receives every event of the core."""
 
     def record(self, event: effects.Event) -> None:
-        """Takes in one event."""
+        """Records one event."""
 
 
 class EventObserver:
-    """Logs, counts and measures events."""
+    """Logs events and records them in reports and metrics."""
 
     def __init__(
         self,
@@ -30,19 +30,19 @@
         event_meters: meters.Meters,
         log_sampler: log_sampling.RequestLogSampler | None = None,
     ) -> None:
-        """Counts in `counts` and measures in `event_meters`.
+        """Sets where events are recorded.
 
         Args:
-            counts: What reports are made of.
-            event_meters: What metrics are made of.
-            log_sampler: Keeps the volume of lines bounded; None for all lines.
+            counts: Counts for reports.
+            event_meters: Instruments for metrics.
+            log_sampler: Bounds the volume of log lines; None logs every line.
         """
         self._counts = counts
         self._meters = event_meters
         self._log_sampler = log_sampler
 
     def record(self, event: effects.Event) -> None:
-        """Takes in one event."""
+        """Counts, measures and logs one event."""
         self._counts.event(event)
         self._meters.record_event(event)
         if self._log_sampler is None:
@@ -62,7 +62,7 @@
 
 def _quote(value: str | int | float) -> str:
     text = str(value)
-    # A line break in a value that came from outside would forge a line.
+    # A line break in an external value could forge a log line.
     text = text.replace("\\", "\\\\").replace("\n", "\\n")
     text = text.replace("\r", "\\r").replace('"', "'")
     return f'"{text}"' if not text or " " in text or "=" in text else text
--- a/src/godwittack/daemon/outbox.py
+++ b/src/godwittack/daemon/outbox.py
@@ -1,4 +1,4 @@
-"""What waits for one peer, and the stream that it is told on."""
+"""Queues updates for one peer and sends them on one stream."""
 
 from __future__ import annotations
 
@@ -18,36 +18,42 @@
     from godwittack.peer import exchange
 
 RETRY_PAUSE_MS = 500
-# Pause between two accounts of all crashes to one peer. Meanwhile its own news
-# of the same crashes is on its way.
+# Minimum time between two transfers of all crashes to one peer. In between,
+# its own update about the same crashes may arrive.
 RESEND_INTERVAL_MS = 500
-# A stream to a peer that has been told nothing for so long is closed.
+# A stream without messages for this long is closed.
 IDLE_TIMEOUT_MS = 10_000
 
 
 class NewsStream(Protocol):
-    """An open stream of news to one peer."""
+    """An open stream of updates to one peer."""
 
     async def send(
         self, news: peer_pb2.News
     ) -> Result[None, exchange.PeerError]:
-        """Sends a message; after an error the stream is of no more use."""
+        """Sends a message; after an error the stream can't be used again."""
 
     def close(self) -> None:
-        """Ends the stream."""
+        """Closes the stream."""
 
 
 class NewsClient(Protocol):
-    """Opens streams of news."""
+    """Opens streams of updates."""
 
     def open_news(
         self, address: str, *, on_broken: Callable[[], None]
     ) -> NewsStream:
-        """Returns a stream to a peer; opens with the first message."""
+        """Returns a stream to a peer, which opens with the first message."""
 
 
 class Outbox:
-    """What waits for one peer, and the stream to it."""
+    """Queue of updates for one peer, and the stream that carries them.
+
+    Attributes:
+        pending: Updates not sent yet.
+        last_demands: The demand sent or queued last.
+        last_used_ms: When a message was last sent.
+    """
 
     def __init__(
         self,
@@ -57,7 +63,7 @@
         client: NewsClient,
         clock: Clock,
     ) -> None:
-        """Tells the peer at `address`, once there is something to tell."""
+        """Starts a task that sends to `address` once updates are pending."""
         self.pending = pending.PendingNews()
         self.last_demands: tuple[inputs.CellDemand, ...] = ()
         self.last_used_ms = clock.now_ms()
@@ -72,7 +78,7 @@
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def queue_demands(self, demands: tuple[inputs.CellDemand, ...]) -> None:
-        """Queues the demand where it is not the one told last."""
+        """Queues the demand if it differs from the last one."""
         if demands != self.last_demands:
             self.last_demands = demands
             self.pending.demands = demands
@@ -82,43 +88,45 @@
         crashes: tuple[quarantine.Crash, ...],
         completions: tuple[quarantine.Completion, ...],
     ) -> None:
-        """Sends crashes and runs without one now."""
+        """Sends crashes and completed runs at once."""
         self.pending.crashes.update(crashes)
         self.pending.completions.update(completions)
         self.send_pending()
 
     def resend_all_crashes(self, known: quarantine.Quarantine) -> None:
-        """Sends all that is known of crashes, unless it was a moment ago."""
+        """Sends all known crashes, at most once per resend interval."""
         now_ms = self._clock.now_ms()
         if now_ms - self._last_resend_ms >= RESEND_INTERVAL_MS:
             self._last_resend_ms = now_ms
             self.send_crashes(known.known(), known.completions())
 
     def send_pending(self) -> None:
-        """Has what waits sent now."""
+        """Has the pending updates sent at once."""
         if not self.pending.is_empty():
             self._send_requested.set()
 
     def is_idle(self, now_ms: int) -> bool:
         """Returns whether the stream may be closed.
 
-        Not while something waits: woken a moment ago, it would be lost.
+        Pending updates prevent it, even if their sending has just been
+        requested: closing would lose them.
         """
         unused_ms = now_ms - self.last_used_ms
         has_work = self.last_demands or not self.pending.is_empty()
         return unused_ms > IDLE_TIMEOUT_MS and not has_work
 
     def close(self) -> None:
-        """Ends the stream; what waits is lost."""
+        """Closes the stream and drops pending updates."""
         self._task.cancel()
         if self._stream is not None:
             self._stream.close()
 
     def _handle_broken_stream(self) -> None:
-        """Tells the demand again, which may have been lost with the stream.
+        """Queues the demand again, which may have been lost with the stream.
 
-        Loads repeat and the list has versions; demand is told on changes
-        only, so that the peer would split limits by an old one until then.
+        Loads are repeated and the instance list has versions, but demand is
+        sent only on changes: until the next one, the peer would split limits
+        by an outdated demand.
         """
         self._stream = None
         if self.last_demands and self.pending.demands is None:
@@ -144,7 +152,7 @@
                 self._address, on_broken=self._handle_broken_stream
             )
             self._writer = wire.NewsWriter()
-            # What was told on a stream that broke may not have arrived.
+            # The demand sent on a stream that broke may not have arrived.
             news.demands = self.last_demands
         message = self._writer.write(news, now_ms=self._clock.now_ms())
         if is_new_stream:
--- a/src/godwittack/daemon/platform_daemon.py
+++ b/src/godwittack/daemon/platform_daemon.py
@@ -1,4 +1,4 @@
-"""Builds and runs a daemon whose surroundings speak the platform's way."""
+"""Builds, runs and stops a daemon with the platform's interface."""
 
 from __future__ import annotations
 
@@ -49,18 +49,18 @@
     from godwittack.core import effects
     from godwittack.store import protocol as stores
 
-# Taken off the bound on keys: the store's feed may be silent for a second
-# while changes are made, and a request takes a while to its server.
+# Subtracted from the bound on keys: the store's feed may be silent for a second
+# while changes are made, and a request takes a while to reach its server.
 KEY_BOUND_MARGIN_MS = 1_500
-# Taken off the time until SIGKILL, for the last answers and the end itself.
+# Subtracted from the time until SIGKILL, for the last answers and the shutdown.
 STOP_MARGIN_MS = 1_200
-# Between two looks for connections that nobody uses any more.
+# Interval between two searches for unused and slow connections.
 CLEANUP_INTERVAL_MS = 500
-# Engines let running requests end before they load, so that the order need
-# only wait until no daemon sends new ones: a notice takes some 10 ms.
+# Engines let running requests end before they load weights, so the order need
+# only wait until no daemon sends new ones: a drain notice takes some 10 ms.
 ORDER_DELAY_MS = 100
-# For an order without an answer: a load takes up to 3.2 s where long requests
-# end first. One that was taken may last longer.
+# For an order without an answer: a load takes up to 3.2 s if long requests must
+# end first. A load that the server has accepted may last longer.
 LOAD_TIMEOUT_MS = 4_000
 
 
@@ -74,13 +74,13 @@
         write_line: Callable[[str], None],
         delay: loop_delay.ReadDelay,
     ) -> None:
-        """Wires the parts; nothing runs yet.
+        """Wires the components without starting them.
 
         Args:
             loaded: Settings.
-            session: For calls to the store.
-            write_line: Writes a log line without waiting.
-            delay: How late the loop may read.
+            session: HTTP session for calls to the store.
+            write_line: Writes a log line without blocking.
+            delay: Measures how late the event loop reads.
         """
         self._settings = settings = loaded.settings
         self._components = components = base.Components.from_config(loaded)
@@ -181,8 +181,8 @@
         )
         self._gossiper.carriers = self._serving_daemons
         self._gossiper.freshness = {
-            known.topic: known
-            for known in (self._keeper.table_freshness, self._servers_freshness)
+            entry.topic: entry
+            for entry in (self._keeper.table_freshness, self._servers_freshness)
         }
         self._streams = watch.Streams()
         self._instance_list = instances.InstanceFollower(
@@ -192,15 +192,15 @@
             known=self._servers_freshness,
             is_reader=self._is_reader,
         )
-        self._operator_rows = self._follower(
+        self._operator_rows = self._build_follower(
             names.OPERATOR_TABLE,
             on_rows=self._apply_operator_rows,
-            known=self._keeper.table_freshness,
+            feed_freshness=self._keeper.table_freshness,
         )
-        self._server_rows = self._follower(
+        self._server_rows = self._build_follower(
             names.SERVERS_TABLE,
             on_rows=self._instance_list.rows_changed,
-            known=self._servers_freshness,
+            feed_freshness=self._servers_freshness,
         )
         self._instance_list.follower = self._server_rows
         self._watcher = watch.ServerWatcher(
@@ -223,7 +223,8 @@
             rollout_policy=rollout.RolloutPolicy(
                 order_after_ms=ORDER_DELAY_MS,
                 load_limit_ms=LOAD_TIMEOUT_MS,
-                # Until then it would not be used with its old weights either.
+                # By then the server could not be used with its outdated
+                # weights either.
                 taken_limit_ms=max(LOAD_TIMEOUT_MS, max_weights_age_ms),
                 use_limit_ms=max_weights_age_ms,
             ),
@@ -252,18 +253,18 @@
         self._crash_rows.record(update)
 
     def _serving_daemons(self) -> tuple[str, ...]:
-        """Returns the daemons that callers are sent to."""
+        """Returns the ids of the daemons that callers are sent to."""
         return tuple(m.member_id for m in self._serving.chosen().serving)
 
     async def run(self) -> None:
-        """Serves until a stop is ordered and everything is finished.
+        """Serves until a stop signal arrives and the daemon has stopped.
 
         Raises:
             OSError: An address is in use.
         """
         stop = base.install_stop_handler()
-        # Settings that change while the process runs concern addresses,
-        # which only a restart could take up.
+        # SIGHUP asks for a reload, but the settings that may change concern
+        # addresses, which only a restart can apply.
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGHUP, _log_reload)
         settings = self._settings
@@ -284,7 +285,7 @@
                 settings.metrics_address, self._metrics
             )
         self._gossiper.announce()
-        self._start_loops()
+        self._start_background_tasks()
         logging.info(
             "event=serving daemon=%s http=%s peer=%s",
             self._members.me.member_id,
@@ -294,7 +295,7 @@
         await stop.wait()
         await self._stop()
 
-    def _start_loops(self) -> None:
+    def _start_background_tasks(self) -> None:
         settings = self._settings
         self._background_tasks.start(
             self.runtime.tick_forever(tick_ms=settings.tick_ms)
@@ -326,22 +327,22 @@
         )
 
     async def _stop(self) -> None:
-        """Leaves in order: told, unused, empty, gone."""
+        """Announces the stop, waits for callers to leave, drains and closes."""
         settings = self._settings
         started_ms = self._clock.now_ms()
         grace_ms = round(settings.stop_grace_s * 1000)
-        kill_deadline_ms = started_ms + grace_ms - STOP_MARGIN_MS
+        stop_deadline_ms = started_ms + grace_ms - STOP_MARGIN_MS
         logging.info("event=stopping in_flight=%d", self._in_flight())
         self._caller_face.stopping = self._directory.stopping = True
         await self._gossiper.stop()
         address_expires_ms = (
             started_ms + directory.KEEP_FACTOR * directory.ADDRESS_KEEP_MS
         )
-        while self._clock.now_ms() < min(address_expires_ms, kill_deadline_ms):
+        while self._clock.now_ms() < min(address_expires_ms, stop_deadline_ms):
             await asyncio.sleep(0.05)
         await self._listeners.stop()
         self.runtime.submit(inputs.StopOrdered(self._clock.now_ms()))
-        remaining_s = max(0.1, (kill_deadline_ms - self._clock.now_ms()) / 1000)
+        remaining_s = max(0.1, (stop_deadline_ms - self._clock.now_ms()) / 1000)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(remaining_s):
                 await self.runtime.stopped.wait()
@@ -366,12 +367,12 @@
             if table.forwarding is not None:
                 self._listeners.close_slow_connections(table.forwarding.limits)
 
-    def _follower(
+    def _build_follower(
         self,
         name: str,
         *,
         on_rows: Callable[[Mapping[str, stores.ChangedRow]], None],
-        known: freshness.Freshness,
+        feed_freshness: freshness.Freshness,
     ) -> following.RowsFollower:
         return following.RowsFollower(
             feed=self._store,
@@ -380,8 +381,8 @@
             rng=self._rng,
             wait_ms=self._settings.feed_wait_ms,
             on_rows=on_rows,
-            on_confirmed=known.confirmed,
-            known=known,
+            on_confirmed=feed_freshness.confirmed,
+            known=feed_freshness,
             is_reader=self._is_reader,
         )
 
@@ -404,7 +405,8 @@
             changed_rows,
         )
         if version_before and self._keeper.table.version > version_before:
-            # Probed in turn, some daemons would hear of it a second later.
+            # With only the probes in turn, some daemons would learn of the new
+            # version a second later.
             task = asyncio.create_task(self._gossiper.spread_now())
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
--- a/src/godwittack/daemon/process.py
+++ b/src/godwittack/daemon/process.py
@@ -1,4 +1,4 @@
-"""Runs one daemon as the whole of a process."""
+"""Runs one daemon in its own process."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         path: Settings file.
 
     Returns:
-        What is wrong with the settings, if anything is.
+        An error message if the settings are invalid.
 
     Raises:
         OSError: An address is in use.
@@ -31,7 +31,7 @@
     if isinstance(validated, Err):
         return validated
     loaded = validated.ok_value
-    # Without this absl complains of flags, which this program does not use.
+    # Without this, absl warns about unparsed flags; this program uses none.
     flags.FLAGS.mark_as_parsed()
     logging.set_verbosity(logging.INFO)
     if loaded.settings.interface is configs.Interface.PLATFORM:
@@ -42,7 +42,7 @@
 
 
 def _run_on_platform(loaded: configs.Loaded) -> None:
-    # Each way of running imports what it needs, and starts the sooner.
+    # Each interface imports only the modules it needs, to start faster.
     from godwittack.daemon import logs, platform_daemon
 
     writer = logs.install()
@@ -64,7 +64,7 @@
 
     problem = troubles.platform_trouble(path, loaded)
     if problem:
-        # The platform has outages, and a daemon must start during one.
+        # A daemon must also start during an outage of the platform.
         print(f"{problem}; starting without it", file=sys.stderr)
     logging.use_absl_handler()
     logging.get_absl_handler().setFormatter(
--- a/src/godwittack/daemon/published_weights.py
+++ b/src/godwittack/daemon/published_weights.py
@@ -1,4 +1,4 @@
-"""Keeps which weights are named, also where a row can't be read."""
+"""Keeps the published weights versions, also if a row can't be read."""
 
 from __future__ import annotations
 
@@ -17,14 +17,15 @@
 
 
 class PublishedVersions:
-    """The newest version that was named for each model.
+    """The newest weights version published for each model.
 
-    A row that can't be read takes nothing back: the model would go to its
-    first weights. Nor does it keep other rows from being put in force.
+    A row that can't be read does not withdraw the version known before, which
+    would return the model to its first weights. Nor does it prevent other rows
+    from taking effect.
     """
 
     def __init__(self) -> None:
-        """Knows no names."""
+        """Starts without published versions."""
         self.by_model: dict[str, str] = {}
         self._unreadable_versions: dict[str, int] = {}
 
@@ -35,7 +36,7 @@
             [protocol.ChangedRow], Result[model.NamedWeights | None, str]
         ],
     ) -> None:
-        """Takes in rows; older versions than known are left out."""
+        """Applies changed rows; ignores versions older than the known one."""
         for key, row in rows.items():
             decoded = decode(row)
             if isinstance(decoded, Err):
--- a/src/godwittack/daemon/runtime.py
+++ b/src/godwittack/daemon/runtime.py
@@ -33,27 +33,27 @@
         event_observer: observer.Observer,
         clock: Clock,
     ) -> None:
-        """Connects the core with its shells.
+        """Connects the core with its clients and stores.
 
         Args:
             core: The core.
-            backend_client: Speaks to servers.
-            claims: Keeps claims; None where callers bring no keys for them.
-            event_observer: Hears every event.
+            backend_client: Client for backend servers.
+            claims: Store of claims; None if callers send no idempotency keys.
+            event_observer: Receives every event.
             clock: Source of time.
         """
         self.core = core
         self.clock = clock
         self.stopped = asyncio.Event()
         self.recorder: record.Recorder | None = None
-        self.on_announce: Callable[[effects.Announce], None] = lambda sent: None
-        self.on_suspicion: Callable[[effects.Doubt], None] = lambda doubted: (
+        self.on_announce: Callable[[effects.Announce], None] = lambda effect: (
             None
         )
+        self.on_suspicion: Callable[[effects.Doubt], None] = lambda effect: None
         self.on_crashes: Callable[[effects.TellCrashes], None]
-        self.on_crashes = lambda seen: None
+        self.on_crashes = lambda effect: None
         self.on_rate_limit: Callable[[effects.TellRateLimit], None]
-        self.on_rate_limit = lambda named: None
+        self.on_rate_limit = lambda effect: None
         self._backend = backend_client
         self._claims = claims
         self._observer = event_observer
@@ -66,8 +66,8 @@
     def next_request_id(self, caller_id: str = "") -> str:
         """Returns an id that no other request of the system has.
 
-        Where callers name their requests, the id begins with that name, so
-        that log lines are found by it. Two requests may bear one name.
+        If the caller sent an id, the result begins with it, so that log lines
+        can be found by it. Two requests may carry the same caller id.
         """
         self._request_counter += 1
         if caller_id:
@@ -75,18 +75,18 @@
         return f"{self.core.world.daemon}/{self._request_counter}"
 
     def open_caller(self, request_id: str, call: backend.Call) -> caller.Caller:
-        """Registers a caller before its request goes to the core."""
+        """Registers a caller before its request is submitted to the core."""
         new_caller = caller.Caller(call)
         self._callers[request_id] = new_caller
         return new_caller
 
     def close_caller(self, request_id: str) -> None:
-        """Forgets a caller whose request the core never took in."""
+        """Removes a caller whose request the core has not accepted."""
         if request_id not in self.core.world.requests:
             self._callers.pop(request_id, None)
 
     def submit(self, input_: inputs.Input) -> None:
-        """Hands one input to the core and carries out its effects."""
+        """Submits one input to the core and carries out the effects."""
         new_effects = self.core.step(input_)
         if self.recorder is not None:
             self.recorder.stepped(input_, new_effects)
@@ -94,13 +94,13 @@
             self._carry_out(effect)
 
     async def tick_forever(self, *, tick_ms: int) -> None:
-        """Runs the core's upkeep."""
+        """Submits a tick to the core once per period."""
         while True:
             await asyncio.sleep(tick_ms / 1000)
             self.submit(inputs.Tick(self.clock.now_ms()))
 
     async def close(self) -> None:
-        """Ends what is still running."""
+        """Cancels all attempts and other tasks that still run."""
         tasks = [*self._attempts.values(), *self._tasks]
         for task in tasks:
             task.cancel()
@@ -153,7 +153,8 @@
             clock=self.clock,
         )
         if not effect.ends_at_ms:
-            # Of requests by routes the core tells more where it decides.
+            # For requests by routes, the core logs the placement itself, with
+            # more detail.
             self._log_dispatched(effect)
         task = asyncio.create_task(
             self._backend.send(effect, effect_caller.call, sink)
@@ -186,8 +187,8 @@
             return
         error = task.exception()
         if error is not None:
-            # A fault of our own must end the request, not leave its caller
-            # waiting; whether the call ran is not known.
+            # A fault in this daemon must end the request instead of leaving
+            # its caller waiting. It is unknown whether the call ran.
             self.submit(
                 inputs.AttemptFailed(
                     self.clock.now_ms(),
@@ -202,7 +203,7 @@
         address = self._attempt_addresses.get(effect.attempt_id)
         task = self._attempts.get(effect.attempt_id)
         if task is not None:
-            # The attempt may be the one whose input is being handled; it
+            # The input being handled may come from this very attempt, which
             # must return before it can be cancelled.
             asyncio.get_running_loop().call_soon(task.cancel)
         if effect.stop_engine and address:
@@ -235,7 +236,7 @@
             server_inputs.ProbeAnswered(
                 self.clock.now_ms(),
                 effect.server_id,
-                # Any answer is a sign of life, also a refusal.
+                # Any response shows that the server is alive, also a refusal.
                 isinstance(result, Ok) or result.err_value.status > 0,
                 incarnation=result.ok_value.incarnation
                 if isinstance(result, Ok)
--- a/src/godwittack/daemon/serve.py
+++ b/src/godwittack/daemon/serve.py
@@ -1,4 +1,4 @@
-"""Builds a daemon from its settings, runs it, and stops it in order."""
+"""Builds, runs and stops a daemon with the project's own interface."""
 
 from __future__ import annotations
 
@@ -42,10 +42,10 @@
 
 
 class Daemon:
-    """One daemon process: the core and all its shells."""
+    """One daemon process: the core, its servers, clients and tasks."""
 
     def __init__(self, loaded: configs.Loaded, sessions: HttpSessions) -> None:
-        """Wires the parts; nothing runs yet."""
+        """Wires the components without starting them."""
         self._settings = settings = loaded.settings
         self._sessions = sessions
         self._components = components = base.Components.from_config(loaded)
@@ -134,7 +134,7 @@
         self._background_tasks = base.BackgroundTasks()
 
     async def run(self) -> None:
-        """Serves until a stop is ordered and everything is finished.
+        """Serves until a stop signal arrives and the daemon has stopped.
 
         Raises:
             OSError: An address is in use.
@@ -146,7 +146,7 @@
         )
         self._streams.connect(core=self.runtime, news=self._news)
         await self._prepare()
-        self._start_loops()
+        self._start_background_tasks()
         runner = await self._listen()
         self.gossiper.announce()
         logging.info(
@@ -159,7 +159,7 @@
         await self._stop(runner)
 
     async def _prepare(self) -> None:
-        """Learns members, table and servers before the first caller."""
+        """Fetches members, table and servers before the first request."""
         await self.gossiper.join()
         addresses = [
             row.member.peer_address
@@ -170,7 +170,7 @@
         await self._server_watcher.ask_unknown()
         self._server_watcher.assign()
 
-    def _start_loops(self) -> None:
+    def _start_background_tasks(self) -> None:
         settings = self._settings
         self._background_tasks.start(
             self.runtime.tick_forever(tick_ms=settings.tick_ms)
@@ -206,11 +206,11 @@
         return runner
 
     async def _stop(self, runner: web.AppRunner) -> None:
-        """Leaves in order: told, unused, empty, gone.
+        """Announces the stop, waits for callers to leave, drains, then closes.
 
-        Callers keep an address for `address_keep_ms` after they were given
-        it. The daemon still serves for that long after the others have
-        stopped naming it, so that none of them finds the door closed.
+        Callers keep an address for `address_keep_ms` after they received it.
+        The daemon still serves for that long after the other daemons have
+        stopped recommending it, so that no caller is refused a connection.
         """
         settings = self._settings
         await self.gossiper.stop()
@@ -286,7 +286,7 @@
 
 
 class HttpSessions:
-    """HTTP client sessions, by how their connections are kept."""
+    """HTTP client sessions, by how they reuse connections."""
 
     def __init__(self) -> None:
         """Opens the sessions; needs a running loop."""
--- a/src/godwittack/daemon/tables.py
+++ b/src/godwittack/daemon/tables.py
@@ -1,4 +1,4 @@
-"""Keeps this daemon's table the newest, whatever is down."""
+"""Keeps this daemon's table up to date from the service, peers or a copy."""
 
 from __future__ import annotations
 
@@ -25,10 +25,13 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class TableKeeper:
-    """Puts newer tables in force and takes them from peers.
+    """Activates newer tables and fetches them from peers.
 
     Attributes:
-        on_adopted: Called when a newer table came into force here.
+        runtime: Runs the core, which holds the active table.
+        peers: Client for other daemons.
+        serving_lease: Until when this daemon may treat its table as current.
+        on_adopted: Called after a newer table has become active here.
     """
 
     runtime: runtimes.Runtime
@@ -39,17 +42,17 @@
 
     @property
     def table(self) -> model.Table:
-        """The table in force here."""
+        """The active table of this daemon."""
         return self.runtime.core.world.table
 
     def adopt(self, table: model.Table) -> bool:
-        """Puts a table in force if it is newer; it never goes back."""
+        """Activates a table if it is newer; never returns to an older one."""
         self.runtime.submit(
             inputs.TableChanged(
                 self.runtime.clock.now_ms(),
                 table,
-                # Read before this table counts as confirmed: a word on it
-                # says nothing of when it was made.
+                # Read before this table counts as confirmed: a confirmation of
+                # this table does not show when it was made.
                 newest_before_ms=self.serving_lease.newest_at_ms(),
             )
         )
@@ -60,7 +63,7 @@
         return True
 
     async def fetch_from_peer(self, address: str) -> None:
-        """Takes a peer's table where it is newer."""
+        """Fetches a peer's table and activates it if it is newer."""
         if self._is_fetching:
             return
         self._is_fetching = True
@@ -85,13 +88,18 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class PolledTableKeeper(TableKeeper):
-    """Reads versions from the table service, and the table where newer."""
+    """Polls the table service for the version, and for newer tables.
+
+    Attributes:
+        tables: Reads versions, tables and the stored copy.
+        rng: Adds jitter to the polls.
+    """
 
     tables: store.TableStore
     rng: random.Random
 
     async def load_initial(self, peer_addresses: list[str]) -> None:
-        """Finds a table to start with: the service, peers, then the copy."""
+        """Loads the first table from the service, peers or the stored copy."""
         await self.poll_once()
         for address in peer_addresses:
             await self.fetch_from_peer(address)
@@ -101,7 +109,7 @@
                 self.adopt(copy)
 
     async def poll_forever(self, *, poll_ms: int) -> None:
-        """Reads the version again and again, spread over the daemons."""
+        """Polls once per period, with jitter to spread the daemons' calls."""
         while True:
             jitter = self.rng.uniform(0.8, 1.2)
             await asyncio.sleep(poll_ms * jitter / 1000)
@@ -119,8 +127,8 @@
                 return
             self.adopt(table.ok_value)
         if newest.ok_value <= self.table.version:
-            # Counted from before the reading: a reply that took long says
-            # nothing of the time after it was made.
+            # Counted from the start of the call: a slow reply confirms nothing
+            # about the time after it was made.
             self.serving_lease.service_read(now_ms=started_ms)
 
 
--- a/src/godwittack/liveness/__init__.py
+++ b/src/godwittack/liveness/__init__.py
@@ -1,20 +1,21 @@
-"""Shows that a connection's path is dead while both ends think it open."""
+"""Detects connections whose path is dead while both ends seem open."""
 
 from __future__ import annotations
 
 import socket
 
-# Keep-alive probes: a path that lost track of a connection that nobody uses
-# shows within five seconds instead of never.
+# TCP keep-alive: if the network path has dropped the state of an idle
+# connection, this shows within five seconds instead of never.
 KEEPALIVE_IDLE_S = 2
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 3
-# The same for what was sent and is not acknowledged, which probes don't cover.
+# Limit for sent data without acknowledgement, which keep-alive probes don't
+# cover.
 MAX_UNACKNOWLEDGED_MS = 2_000
 
 
 def enable_keepalive(sock: socket.socket) -> None:
-    """Has the system probe an idle connection."""
+    """Makes the system probe an idle connection."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     for option, value in (
         (socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S),
@@ -25,7 +26,7 @@
 
 
 def limit_unacknowledged(sock: socket.socket) -> None:
-    """Has the system end a connection whose peer acknowledges nothing."""
+    """Makes the system close a connection whose peer acknowledges nothing."""
     sock.setsockopt(
         socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, MAX_UNACKNOWLEDGED_MS
     )
--- a/src/godwittack/metric/meters.py
+++ b/src/godwittack/metric/meters.py
@@ -22,7 +22,7 @@
     """All instruments of one daemon."""
 
     def __init__(self, world: entities.World) -> None:
-        """Reads gauges from `world`."""
+        """Creates the instruments; gauges read from `world`."""
         reader = prometheus.PrometheusMetricReader()
         provider = sdk.MeterProvider(metric_readers=[reader])
         meter = provider.get_meter("godwittack")
@@ -42,8 +42,8 @@
             unit="ms",
             description="Orders to load weights, by outcome and time to it",
         )
-        # Counted with each message: an instrument's own count takes as long
-        # as reading the message.
+        # Summed here for each message and read on demand: calling a counter
+        # instrument takes as long as reading the message.
         self._peer_bytes = 0
         meter.create_observable_counter(
             "godwittack_peer_bytes",
@@ -55,13 +55,13 @@
             self.add_gauge(name, read)
 
     def add_gauge(self, name: str, read: Callable[[], float]) -> None:
-        """Exposes what `read` returns at the time of each reading."""
+        """Adds a gauge that calls `read` at each collection."""
         self._meter.create_observable_gauge(
             name, callbacks=[_gauge_callback(read)]
         )
 
     def record_event(self, event: effects.Event) -> None:
-        """Measures one event of the core."""
+        """Updates the instruments with one event of the core."""
         fields = {field.key: field.value for field in event.fields}
         labels = {"workspace": str(fields.get("workspace", ""))}
         match event.name:
@@ -79,19 +79,19 @@
                 self._count_tokens(fields, labels)
 
     def weights_order(self, *, outcome: str, after_ms: int) -> None:
-        """Measures an order to load weights that has ended."""
+        """Records the outcome and duration of an order to load weights."""
         self._weights_orders.record(after_ms, {"outcome": outcome})
 
     def count_peer_bytes(self, size: int) -> None:
-        """Counts a message sent to another daemon or received."""
+        """Counts a message sent to or received from another daemon."""
         self._peer_bytes += size
 
     def exposition(self) -> bytes:
-        """Returns all metrics in Prometheus' text form."""
+        """Returns all metrics in Prometheus' text format."""
         return prometheus_client.generate_latest()
 
     def close(self) -> None:
-        """Ends the export."""
+        """Shuts down the export."""
         self._provider.shutdown()
 
     def _count_tokens(
