--- a/src/godwittack/clock/loop_delay.py
+++ b/src/godwittack/clock/loop_delay.py
@@ -25,7 +25,10 @@
         """Returns how long data read in this iteration may have waited."""
 
     def accept_delay_ms(self) -> int:
-        """Returns how long the last accepted connections may have waited."""
+        """Returns how long a connection may have waited to be accepted.
+
+        Holds for connections accepted in the previous iteration.
+        """
 
 
 class NoDelay:
@@ -89,7 +92,10 @@
         )
 
     def accept_delay_ms(self) -> int:
-        """Returns how long the last accepted connections may have waited."""
+        """Returns how long a connection may have waited to be accepted.
+
+        Holds for connections accepted in the previous iteration.
+        """
         return self._previous_delay_ms + self.read_delay_ms()
 
 
--- a/src/godwittack/daemon/crash_rows.py
+++ b/src/godwittack/daemon/crash_rows.py
@@ -88,14 +88,14 @@
             return
         self._written_counts[content] = len(crashes)
         clock = self._runtime.clock
-        ahead_ms = clock.wall_ms() - clock.now_ms()
+        wall_offset_ms = clock.wall_ms() - clock.now_ms()
         row = _RowJson(
             content=content,
             crashes=tuple(
                 _CrashJson(
                     start=crash.start,
                     reporter=crash.reporter,
-                    at_wall_ms=crash.at_ms + ahead_ms,
+                    at_wall_ms=crash.at_ms + wall_offset_ms,
                 )
                 for crash in crashes
             ),
@@ -133,7 +133,7 @@
 
     def _apply_rows(self, rows: tuple[protocol.ChangedRow, ...]) -> None:
         clock = self._runtime.clock
-        ahead_ms = clock.wall_ms() - clock.now_ms()
+        wall_offset_ms = clock.wall_ms() - clock.now_ms()
         crashes: list[quarantine.Crash] = []
         for row in rows:
             try:
@@ -150,7 +150,9 @@
                     content=stored.content,
                     start=crash.start,
                     reporter=crash.reporter,
-                    at_ms=min(clock.now_ms(), crash.at_wall_ms - ahead_ms),
+                    at_ms=min(
+                        clock.now_ms(), crash.at_wall_ms - wall_offset_ms
+                    ),
                 )
                 for crash in stored.crashes
                 if _is_still_relevant(
@@ -169,14 +171,14 @@
 
 
 def _is_still_relevant(
-    kept: _RowJson, crash: _CrashJson, *, now_wall_ms: int
+    stored: _RowJson, crash: _CrashJson, *, now_wall_ms: int
 ) -> bool:
     """Returns whether a daemon that kept running would still know of a crash.
 
     Crashes of a content in quarantine count at any age, since a quarantine may
     last longer than crashes are remembered otherwise.
     """
-    if len(kept.crashes) >= quarantine.MOST_CRASHES:
+    if len(stored.crashes) >= quarantine.MOST_CRASHES:
         return True
     return now_wall_ms - crash.at_wall_ms <= quarantine.MEMORY_MS
 
--- a/src/godwittack/daemon/listeners.py
+++ b/src/godwittack/daemon/listeners.py
@@ -27,7 +27,7 @@
     def __init__(
         self, clock: Clock, delay: loop_delay.ReadDelay | None = None
     ) -> None:
-        """Starts no server; `delay` measures how late the event loop reads."""
+        """Has no servers yet; `delay` measures how late the loop reads."""
         self._clock = clock
         self._delay = delay
         self._servers: list[patience.PatientServer] = []
--- a/src/godwittack/daemon/outbox.py
+++ b/src/godwittack/daemon/outbox.py
@@ -93,12 +93,14 @@
         self.pending.completions.update(completions)
         self.send_pending()
 
-    def resend_all_crashes(self, known: quarantine.Quarantine) -> None:
+    def resend_all_crashes(self, crash_history: quarantine.Quarantine) -> None:
         """Sends all known crashes, at most once per resend interval."""
         now_ms = self._clock.now_ms()
         if now_ms - self._last_resend_ms >= RESEND_INTERVAL_MS:
             self._last_resend_ms = now_ms
-            self.send_crashes(known.known(), known.completions())
+            self.send_crashes(
+                crash_history.known(), crash_history.completions()
+            )
 
     def send_pending(self) -> None:
         """Has the pending updates sent at once."""
@@ -137,14 +139,14 @@
         while True:
             await self._send_requested.wait()
             self._send_requested.clear()
-            news, self.pending = self.pending, pending.PendingNews()
-            if await self._send(news):
+            updates, self.pending = self.pending, pending.PendingNews()
+            if await self._send(updates):
                 continue
-            self.pending = news.followed_by(self.pending)
+            self.pending = updates.followed_by(self.pending)
             await asyncio.sleep(RETRY_PAUSE_MS / 1000)
             self._send_requested.set()
 
-    async def _send(self, news: pending.PendingNews) -> bool:
+    async def _send(self, updates: pending.PendingNews) -> bool:
         self.last_used_ms = self._clock.now_ms()
         is_new_stream = self._stream is None
         if self._stream is None:
@@ -153,8 +155,8 @@
             )
             self._writer = wire.NewsWriter()
             # The demand sent on a stream that broke may not have arrived.
-            news.demands = self.last_demands
-        message = self._writer.write(news, now_ms=self._clock.now_ms())
+            updates.demands = self.last_demands
+        message = self._writer.write(updates, now_ms=self._clock.now_ms())
         if is_new_stream:
             message.sender_id = self._own_id
         result = await self._stream.send(message)
--- a/src/godwittack/daemon/tables.py
+++ b/src/godwittack/daemon/tables.py
@@ -51,8 +51,8 @@
             inputs.TableChanged(
                 self.runtime.clock.now_ms(),
                 table,
-                # Read before this table counts as confirmed: a confirmation of
-                # this table does not show when it was made.
+                # Read before this table counts as confirmed: confirming a table
+                # does not show when the table was made.
                 newest_before_ms=self.serving_lease.newest_at_ms(),
             )
         )
