--- a/src/godwittack/address/__init__.py
+++ b/src/godwittack/address/__init__.py
@@ -1,11 +1,11 @@
-"""Addresses as the settings and tables write them: IP:PORT, [IPv6]:PORT."""
+"""Addresses in settings and tables: IP:PORT or [IPv6]:PORT."""
 
 from __future__ import annotations
 
 import functools
 import ipaddress
 
-MOST_PORT = 65_535
+MAX_PORT = 65_535
 
 
 @functools.lru_cache(maxsize=1_024)
@@ -19,17 +19,17 @@
     return host.strip("[]"), int(port)
 
 
-def checked(address: str) -> str:
-    """Returns an address that names an IP and a port.
+def validate(address: str) -> str:
+    """Returns the address if it consists of an IP and a valid port.
 
     Raises:
         ValueError: It does not.
     """
     host, port = split(address)
     ipaddress.ip_address(host)
-    if not 0 < port <= MOST_PORT:
+    if not 0 < port <= MAX_PORT:
         raise ValueError("no such port")
     return address
 
 
-__all__ = ["checked", "split"]
+__all__ = ["validate", "split"]
--- a/src/godwittack/clock/loop_delay.py
+++ b/src/godwittack/clock/loop_delay.py
@@ -1,8 +1,8 @@
-"""Tells since when data may have waited that an event loop reads now.
+"""Measures how long data may have waited before an event loop reads it.
 
-Load pattern: more daemons than cores, or a machine that stands still for a
-while. A request lies in its socket until the loop comes to read it, and what
-its caller has left of its time is less than it was when it was sent.
+Load pattern: more daemons than cores, or a machine that freezes for a while. A
+request waits in its socket until the loop reads it, and by then its caller has
+less time left than when it was sent.
 """
 
 from __future__ import annotations
@@ -15,79 +15,88 @@
 
 
 class ReadDelay(Protocol):
-    """How late a loop may be with what it reads or accepts."""
+    """How long data or connections may wait for an event loop."""
 
     @property
-    def rounds(self) -> int:
-        """Rounds of the loop so far."""
+    def iterations(self) -> int:
+        """Iterations of the loop so far."""
 
-    def read_ms(self) -> int:
-        """Returns how long data read in this round may have waited."""
+    def read_delay_ms(self) -> int:
+        """Returns how long data read in this iteration may have waited."""
 
-    def accepted_ms(self) -> int:
-        """Returns how long a connection accepted in the last one may have."""
+    def accept_delay_ms(self) -> int:
+        """Returns how long a connection may have waited to be accepted.
+
+        Holds for connections accepted in the previous iteration.
+        """
 
 
 class NoDelay:
-    """A loop that is taken to be on time."""
+    """Delay of a loop that is assumed to read and accept at once."""
 
-    rounds = 0
+    iterations = 0
 
-    def read_ms(self) -> int:
+    def read_delay_ms(self) -> int:
         """Returns 0."""
         return 0
 
-    def accepted_ms(self) -> int:
+    def accept_delay_ms(self) -> int:
         """Returns 0."""
         return 0
 
 
 class TimedSelector(selectors.DefaultSelector):
-    """A selector that measures the rounds of its loop.
+    """A selector that measures the iterations of its event loop.
 
-    What is ready when a round begins came after the round before had begun.
-    Of that time, the part for which the loop slept as it wanted does not
-    count: data would have woken it.
+    Data that is ready at the start of an iteration arrived after the start of
+    the previous one. The time that the loop slept as requested does not count,
+    because arriving data would have woken it.
     """
 
     def __init__(self, clock: Clock) -> None:
-        """Measures by `clock`, which should count while suspended."""
+        """Measures by `clock`, which should advance while suspended."""
         super().__init__()
-        self.rounds = 0
+        self.iterations = 0
         self._clock = clock
-        self._began_ms = clock.now_ms()
-        self._late_ms = 0
-        self._late_before_ms = 0
+        self._iteration_started_ms = clock.now_ms()
+        self._delay_ms = 0
+        self._previous_delay_ms = 0
         self._overslept_ms = 0
 
     def select(
         self, timeout: float | None = None
     ) -> list[tuple[selectors.SelectorKey, int]]:
-        """Waits for events; the loop calls it once a round."""
-        slept_from_ms = self._clock.now_ms()
+        """Waits for events; the loop calls it once per iteration."""
+        select_started_ms = self._clock.now_ms()
         ready = super().select(timeout)
         now_ms = self._clock.now_ms()
         overslept_ms = 0
         if timeout is not None:
-            wake_at_ms = slept_from_ms + round(max(0.0, timeout) * 1000)
+            wake_at_ms = select_started_ms + round(max(0.0, timeout) * 1000)
             overslept_ms = max(0, now_ms - wake_at_ms)
-        self._late_before_ms = self._late_ms
-        busy_ms = slept_from_ms - self._began_ms
-        # A process may be stopped after the events of a round were collected,
-        # or a signal end the wait: what is ready by then comes a round later.
-        self._late_ms = busy_ms + overslept_ms + self._overslept_ms
+        self._previous_delay_ms = self._delay_ms
+        busy_ms = select_started_ms - self._iteration_started_ms
+        # The process may be stopped after the events of an iteration were
+        # collected, or a signal may end the wait: data that is ready by then
+        # is read one iteration later.
+        self._delay_ms = busy_ms + overslept_ms + self._overslept_ms
         self._overslept_ms = overslept_ms
-        self._began_ms = now_ms
-        self.rounds += 1
+        self._iteration_started_ms = now_ms
+        self.iterations += 1
         return ready
 
-    def read_ms(self) -> int:
-        """Returns how long data read in this round may have waited."""
-        return self._late_ms + self._clock.now_ms() - self._began_ms
+    def read_delay_ms(self) -> int:
+        """Returns how long data read in this iteration may have waited."""
+        return (
+            self._delay_ms + self._clock.now_ms() - self._iteration_started_ms
+        )
+
+    def accept_delay_ms(self) -> int:
+        """Returns how long a connection may have waited to be accepted.
 
-    def accepted_ms(self) -> int:
-        """Returns how long a connection accepted in the last one may have."""
-        return self._late_before_ms + self.read_ms()
+        Holds for connections accepted in the previous iteration.
+        """
+        return self._previous_delay_ms + self.read_delay_ms()
 
 
 __all__ = ["NoDelay", "ReadDelay", "TimedSelector"]
--- a/src/godwittack/daemon/base.py
+++ b/src/godwittack/daemon/base.py
@@ -1,4 +1,4 @@
-"""What every daemon is made of, whatever its surroundings speak."""
+"""Components that daemons of either interface share."""
 
 from __future__ import annotations
 
@@ -28,19 +28,19 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Base:
-    """The core, the view of other daemons, and the ways to them.
+class Components:
+    """The core, the membership view and the clients for other daemons.
 
     Attributes:
-        clock: Source of time for all parts.
-        rng: Spreads what daemons would else do at one moment.
-        core: Decides.
-        counts: What reports are made of.
-        meters: What metrics are made of.
+        clock: Source of time for all components.
+        rng: Adds jitter, so that daemons do not act all at the same time.
+        core: Takes all routing decisions.
+        counts: Counts for reports.
+        meters: Instruments for metrics.
         members: The view of all daemons.
-        peers: Calls and streams to other daemons.
-        probes: Probes of them, as datagrams.
-        peer_secret: Proves messages between daemons.
+        peers: Client for calls and streams to other daemons.
+        probes: Sends probes to other daemons, as datagrams.
+        peer_secret: Authenticates messages between daemons.
         seeds: Peer addresses from the settings.
     """
 
@@ -56,8 +56,8 @@
     seeds: tuple[str, ...]
 
     @classmethod
-    def from_config(cls, loaded: configs.Loaded) -> Base:
-        """Builds the parts of a process that has just started."""
+    def from_config(cls, loaded: configs.Loaded) -> Components:
+        """Builds the components of a process that has just started."""
         settings = loaded.settings
         clock = SystemClock()
         rng = random.Random(secrets.randbits(64))
@@ -71,13 +71,13 @@
         core = router.Router.from_config(
             daemon=me.member_id, policy=settings.policy()
         )
-        measures = meters.Meters(core.world)
+        process_meters = meters.Meters(core.world)
         return cls(
             clock=clock,
             rng=rng,
             core=core,
             counts=ledger.Ledger(daemon=me.member_id, clock=clock),
-            meters=measures,
+            meters=process_meters,
             members=view.View(
                 me=me,
                 policy=settings.member_policy(),
@@ -87,28 +87,28 @@
             peers=exchange.PeerClient(
                 secret=loaded.cluster_secret,
                 timeout_ms=settings.peer_timeout_ms,
-                count_bytes=measures.count_peer_bytes,
+                count_bytes=process_meters.count_peer_bytes,
             ),
             probes=datagram.DatagramPeers(
                 secret=loaded.cluster_secret,
                 timeout_ms=settings.peer_timeout_ms,
-                count_bytes=measures.count_peer_bytes,
+                count_bytes=process_meters.count_peer_bytes,
             ),
             peer_secret=loaded.cluster_secret,
             seeds=settings.seeds,
         )
 
-    def gossiper(
+    def build_gossiper(
         self,
         *,
-        running: runtime.Runtime,
+        daemon_runtime: runtime.Runtime,
         keeper: tables.TableKeeper,
         news: newses.News,
     ) -> gossip.Gossiper:
-        """Returns what probes the others and spreads membership."""
+        """Returns a gossiper, which probes peers and spreads membership."""
         return gossip.Gossiper(
             members=self.members,
-            runtime=running,
+            runtime=daemon_runtime,
             keeper=keeper,
             client=self.peers,
             probes=self.probes,
@@ -117,7 +117,9 @@
             seeds=self.seeds,
         )
 
-    def peer_server(self, handler: server.PeerHandler) -> server.PeerServer:
+    def build_peer_server(
+        self, handler: server.PeerHandler
+    ) -> server.PeerServer:
         """Returns the server that other daemons call."""
         return server.PeerServer(
             handler=handler,
@@ -125,51 +127,51 @@
             count_bytes=self.meters.count_peer_bytes,
         )
 
-    async def close(self, listening: server.PeerServer) -> None:
-        """Ends the ways to other daemons, and the metrics."""
-        await listening.stop()
+    async def close(self, peer_server: server.PeerServer) -> None:
+        """Closes the server and clients for other daemons, and the metrics."""
+        await peer_server.stop()
         await self.peers.close()
         self.probes.close()
         self.meters.close()
 
 
-class Loops:
-    """What a daemon does all the time; the failure of one ends the process."""
+class BackgroundTasks:
+    """Tasks that run until the daemon stops; a failed one ends the process."""
 
     def __init__(self) -> None:
-        """Runs none yet."""
+        """Starts with no tasks."""
         self._tasks: list[asyncio.Task[None]] = []
 
-    def start(self, work: Coroutine[object, object, None]) -> None:
-        """Runs `work` until it is cancelled."""
-        task = asyncio.create_task(_run(work))
-        task.add_done_callback(_report_end)
+    def start(self, coroutine: Coroutine[object, object, None]) -> None:
+        """Runs `coroutine` until it is cancelled."""
+        task = asyncio.create_task(_run(coroutine))
+        task.add_done_callback(_stop_on_failure)
         self._tasks.append(task)
 
     async def cancel(self) -> None:
-        """Ends all and waits for that."""
+        """Cancels all tasks and waits until they have ended."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
 
-def stop_ordered() -> asyncio.Event:
-    """Returns an event that is set by the signals that end the process."""
+def install_stop_handler() -> asyncio.Event:
+    """Returns an event that SIGTERM and SIGINT set."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     return stop
 
 
-async def _run(work: Coroutine[object, object, None]) -> None:
-    await work
+async def _run(coroutine: Coroutine[object, object, None]) -> None:
+    await coroutine
 
 
-def _report_end(task: asyncio.Task[None]) -> None:
-    """Ends the process where one of its loops has failed.
+def _stop_on_failure(task: asyncio.Task[None]) -> None:
+    """Ends the process if a background task has failed.
 
-    A loop that ends silently would leave the daemon half alive.
+    A task that ended silently would leave the daemon partly working.
     """
     if task.cancelled():
         return
@@ -179,4 +181,4 @@
         signal.raise_signal(signal.SIGTERM)
 
 
-__all__ = ["Base", "Loops", "stop_ordered"]
+__all__ = ["BackgroundTasks", "Components", "install_stop_handler"]
--- a/src/godwittack/daemon/crash_rows.py
+++ b/src/godwittack/daemon/crash_rows.py
@@ -1,7 +1,7 @@
-"""Keeps what crashes servers in the platform's store.
+"""Stores which requests crash servers as rows in the platform's store.
 
-Daemons learn of crashes from each other. Where all of them end at one time,
-the store alone still knows which requests crash servers.
+Daemons publish crashes to each other. If all of them end at the same time,
+only the store still has the record of requests that crash servers.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
     from godwittack.daemon import runtime as runtimes
 
 TABLE = "quarantines"
-# Rows are never removed: a content replaces the one before it in its slot.
+# Rows are never removed: a content overwrites the one before it in its slot.
 SLOTS = 256
-TRIES = 5
-PAUSE_S = 0.5
+MAX_TRIES = 5
+RETRY_PAUSE_S = 0.5
 
 
 class Store(protocol.ConditionalRows, protocol.RowFeed, Protocol):
-    """Rows that are written, and read from a key on."""
+    """Store whose rows can be written, and read in pages from a key on."""
 
 
 class _CrashJson(pydantic.BaseModel):
@@ -46,56 +46,56 @@
 
 
 class CrashRows:
-    """Writes contents that crash servers again, and reads them once.
+    """Writes contents that crash servers repeatedly, and reads them once.
 
-    They are read when this daemon first sees a server end under a request: a
-    daemon that sees none makes no call.
+    They are read when this daemon first observes a server that ends during a
+    request, so that a daemon that observes no crash makes no call.
     """
 
     def __init__(self, *, service: Store, runtime: runtimes.Runtime) -> None:
-        """Reads and writes in `service`."""
+        """Reads from and writes to `service`."""
         self._service = service
         self._runtime = runtime
-        self._is_read = False
-        self._written: dict[str, int] = {}
+        self._has_read = False
+        self._written_counts: dict[str, int] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def seen(self, told: effects.TellCrashes) -> None:
-        """Takes in what this daemon tells the others of crashes."""
-        if told.crashes and not self._is_read:
-            self._is_read = True
+    def record(self, update: effects.TellCrashes) -> None:
+        """Stores crashes and completions that this daemon publishes."""
+        if update.crashes and not self._has_read:
+            self._has_read = True
             self._spawn(self._read())
-        for content in sorted({crash.content for crash in told.crashes}):
-            self._keep(content)
-        for done in told.completions:
-            self._written.pop(done.content, None)
-            # Every daemon is told of those alone that were kept. The row may
-            # be another daemon's.
-            if not told.target:
-                self._spawn(self._write(_RowJson(content=done.content)))
+        for content in sorted({crash.content for crash in update.crashes}):
+            self._write_crashes(content)
+        for completion in update.completions:
+            self._written_counts.pop(completion.content, None)
+            # Only completions of stored contents are published to every
+            # daemon, with no target. Another daemon may have written the row.
+            if not update.target:
+                self._spawn(self._write(_RowJson(content=completion.content)))
 
     def close(self) -> None:
-        """Ends calls that are under way."""
+        """Cancels calls in progress."""
         for task in self._tasks:
             task.cancel()
 
-    def _keep(self, content: str) -> None:
-        known = self._runtime.core.world.quarantine
-        crashes = known.crashes(content)
-        if not known.is_persisted(content):
+    def _write_crashes(self, content: str) -> None:
+        crash_history = self._runtime.core.world.quarantine
+        crashes = crash_history.crashes(content)
+        if not crash_history.is_persisted(content):
             return
-        if self._written.get(content, 0) >= len(crashes):
+        if self._written_counts.get(content, 0) >= len(crashes):
             return
-        self._written[content] = len(crashes)
+        self._written_counts[content] = len(crashes)
         clock = self._runtime.clock
-        ahead_ms = clock.wall_ms() - clock.now_ms()
+        wall_offset_ms = clock.wall_ms() - clock.now_ms()
         row = _RowJson(
             content=content,
             crashes=tuple(
                 _CrashJson(
                     start=crash.start,
                     reporter=crash.reporter,
-                    at_wall_ms=crash.at_ms + ahead_ms,
+                    at_wall_ms=crash.at_ms + wall_offset_ms,
                 )
                 for crash in crashes
             ),
@@ -107,37 +107,37 @@
         write = protocol.RowWrite(
             protocol.RowId(TABLE, f"{slot:03d}"), row.model_dump_json()
         )
-        for _ in range(TRIES):
-            got = await self._service.transact((), (write,))
-            if not isinstance(got, Err):
+        for _ in range(MAX_TRIES):
+            result = await self._service.transact((), (write,))
+            if not isinstance(result, Err):
                 return
             logging.info(
                 "event=quarantine_unwritten content=%s detail=%r",
                 row.content,
-                str(got.err_value),
+                str(result.err_value),
             )
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(RETRY_PAUSE_S)
 
     async def _read(self) -> None:
-        for _ in range(TRIES):
-            got = await self._service.page(TABLE, from_key="")
-            if not isinstance(got, Err):
-                self._take(got.ok_value.rows)
+        for _ in range(MAX_TRIES):
+            result = await self._service.page(TABLE, from_key="")
+            if not isinstance(result, Err):
+                self._apply_rows(result.ok_value.rows)
                 return
             logging.info(
-                "event=quarantines_unread detail=%r", str(got.err_value)
+                "event=quarantines_unread detail=%r", str(result.err_value)
             )
-            await asyncio.sleep(PAUSE_S)
-        # Tried again at the next crash.
-        self._is_read = False
+            await asyncio.sleep(RETRY_PAUSE_S)
+        # Retried at the next crash.
+        self._has_read = False
 
-    def _take(self, rows: tuple[protocol.ChangedRow, ...]) -> None:
+    def _apply_rows(self, rows: tuple[protocol.ChangedRow, ...]) -> None:
         clock = self._runtime.clock
-        ahead_ms = clock.wall_ms() - clock.now_ms()
-        found: list[quarantine.Crash] = []
+        wall_offset_ms = clock.wall_ms() - clock.now_ms()
+        crashes: list[quarantine.Crash] = []
         for row in rows:
             try:
-                kept = _RowJson.model_validate_json(row.value)
+                stored = _RowJson.model_validate_json(row.value)
             except pydantic.ValidationError as error:
                 logging.warning(
                     "event=quarantine_unreadable row=%s detail=%r",
@@ -145,35 +145,40 @@
                     str(error.errors()[0]["msg"]),
                 )
                 continue
-            found.extend(
+            crashes.extend(
                 quarantine.Crash(
-                    content=kept.content,
+                    content=stored.content,
                     start=crash.start,
                     reporter=crash.reporter,
-                    at_ms=min(clock.now_ms(), crash.at_wall_ms - ahead_ms),
+                    at_ms=min(
+                        clock.now_ms(), crash.at_wall_ms - wall_offset_ms
+                    ),
+                )
+                for crash in stored.crashes
+                if _is_still_relevant(
+                    stored, crash, now_wall_ms=clock.wall_ms()
                 )
-                for crash in kept.crashes
-                if _is_remembered(kept, crash, now_wall_ms=clock.wall_ms())
             )
-        if found:
+        if crashes:
             self._runtime.submit(
-                inputs.CrashesTold(clock.now_ms(), tuple(found))
+                inputs.CrashesTold(clock.now_ms(), tuple(crashes))
             )
 
-    def _spawn(self, work: Coroutine[object, object, None]) -> None:
-        task = asyncio.create_task(work)
+    def _spawn(self, coroutine: Coroutine[object, object, None]) -> None:
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
 
-def _is_remembered(
-    kept: _RowJson, crash: _CrashJson, *, now_wall_ms: int
+def _is_still_relevant(
+    stored: _RowJson, crash: _CrashJson, *, now_wall_ms: int
 ) -> bool:
-    """Returns whether a daemon that had lived on would know of a crash.
+    """Returns whether a daemon that kept running would still know of a crash.
 
-    A quarantine may last for longer than its crashes would be remembered.
+    Crashes of a content in quarantine count at any age, since a quarantine may
+    last longer than crashes are remembered otherwise.
     """
-    if len(kept.crashes) >= quarantine.CRASHES_TO_QUARANTINE:
+    if len(stored.crashes) >= quarantine.CRASHES_TO_QUARANTINE:
         return True
     return now_wall_ms - crash.at_wall_ms <= quarantine.RETENTION_MS
 
--- a/src/godwittack/daemon/keeping.py
+++ b/src/godwittack/daemon/feed_table.py
@@ -1,4 +1,4 @@
-"""Keeps the newest table, as told by the operators' rows in the store."""
+"""Keeps the newest table from the operators' rows in the store's feed."""
 
 from __future__ import annotations
 
@@ -23,21 +23,26 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class FeedKeeper(tables.TableKeeper):
-    """Keeps the newest table, as told by the operators' rows."""
+class FeedTableKeeper(tables.TableKeeper):
+    """Keeps the newest table from the feed of operators' rows.
+
+    Attributes:
+        members: The view of all daemons.
+        table_freshness: When the table was last known to be the newest.
+    """
 
     members: view.View
-    known: freshness.Freshness
+    table_freshness: freshness.Freshness
 
     def adopt(self, table: model.Table) -> bool:
-        """Puts a table in force if it is newer; it never goes back."""
+        """Activates a table if it is newer; never returns to an older one."""
         if not tables.TableKeeper.adopt(self, table):
             return False
-        self.known.record_version(table.version)
-        self._list_stores(table)
+        self.table_freshness.record_version(table.version)
+        self._update_kv_stores(table)
         return True
 
-    def rows_changed(
+    def apply_rows(
         self,
         decode: Callable[
             [Mapping[str, protocol.ChangedRow]],
@@ -45,29 +50,33 @@
         ],
         rows: Mapping[str, protocol.ChangedRow],
     ) -> None:
-        """Puts newer rows in force."""
+        """Decodes changed rows and activates the table if it is newer."""
         table = decode(rows)
         if isinstance(table, Err):
-            # What is in force stays so: an older table serves, none does not.
+            # The active table stays: requests can be served by an older table,
+            # but not without one.
             logging.error("event=table_unreadable detail=%r", table.err_value)
             return
         if table.ok_value is not None:
             self.adopt(table.ok_value)
 
-    def _list_stores(self, table: model.Table) -> None:
-        """Tells the core of stores of cached state, which no list names."""
+    def _update_kv_stores(self, table: model.Table) -> None:
+        """Lists the table's stores of cached state as servers in the core.
+
+        The instance list does not contain them.
+        """
         if table.forwarding is None:
             return
         now_ms = self.runtime.clock.now_ms()
-        named = {store.name: store for store in table.forwarding.kv_stores}
-        known = self.runtime.core.world.servers_by_target[STORE_TARGET]
-        for name in known.keys() - named.keys():
+        kv_stores = {store.name: store for store in table.forwarding.kv_stores}
+        listed_servers = self.runtime.core.world.servers_by_target[STORE_TARGET]
+        for name in listed_servers.keys() - kv_stores.keys():
             self.runtime.submit(
                 server_inputs.ServerListed(
                     at_ms=now_ms, server_id=name, gone=True
                 )
             )
-        for name, store in named.items():
+        for name, store in kv_stores.items():
             self.runtime.submit(
                 server_inputs.ServerListed(
                     at_ms=now_ms,
@@ -79,18 +88,18 @@
                 )
             )
 
-    def confirmed(self, made_at_ms: int) -> None:
-        """Takes in that the table was the newest at a time."""
-        self.right.record_service_read(now_ms=made_at_ms)
-        self.tell_right()
+    def record_confirmation(self, confirmed_at_ms: int) -> None:
+        """Records that the table was the newest at a time."""
+        self.serving_lease.record_service_read(now_ms=confirmed_at_ms)
+        self.update_serving_lease()
 
-    def tell_right(self) -> None:
-        """Tells the core until when keys may be served."""
+    def update_serving_lease(self) -> None:
+        """Updates in the core until when keys may be served."""
         now_ms = self.runtime.clock.now_ms()
-        until_ms = self.right.valid_until_ms(
+        until_ms = self.serving_lease.valid_until_ms(
             self.members, own_version=self.table.version, now_ms=now_ms
         )
         self.runtime.submit(inputs.RightToServe(now_ms, until_ms))
 
 
-__all__ = ["FeedKeeper"]
+__all__ = ["FeedTableKeeper"]
--- a/src/godwittack/daemon/gossip.py
+++ b/src/godwittack/daemon/gossip.py
@@ -105,7 +105,9 @@
         now_ms = self._runtime.clock.now_ms()
         self.members.expire(
             now_ms=now_ms,
-            may_forget=self._keeper.right.is_service_fresh(now_ms=now_ms),
+            may_forget=self._keeper.serving_lease.is_service_fresh(
+                now_ms=now_ms
+            ),
         )
         for member in self.members.probe_targets():
             self._start_probe(member.peer_address, member.member_id)
@@ -368,7 +370,7 @@
 
     def _compare_versions(self, told: peer_pb2.Envelope, now_ms: int) -> None:
         own = self._keeper.table.version
-        self._keeper.right.record_version(
+        self._keeper.serving_lease.record_version(
             own=own, reported=told.table_version, now_ms=now_ms
         )
         if told.table_version > own and told.sender.peer_address:
@@ -381,7 +383,9 @@
     def _adopted(self) -> None:
         now_ms = self._runtime.clock.now_ms()
         own = self._keeper.table.version
-        self._keeper.right.record_version(own=own, reported=own, now_ms=now_ms)
+        self._keeper.serving_lease.record_version(
+            own=own, reported=own, now_ms=now_ms
+        )
         self._tell_core(now_ms)
 
     def _tell_core(self, now_ms: int) -> None:
@@ -403,7 +407,7 @@
             self._told_known = known
             self._told_live = live
             self._told_carriers = carriers
-        until_ms = self._keeper.right.valid_until_ms(
+        until_ms = self._keeper.serving_lease.valid_until_ms(
             self.members,
             own_version=self._keeper.table.version,
             now_ms=now_ms,
--- a/src/godwittack/daemon/listening.py
+++ b/src/godwittack/daemon/listeners.py
@@ -1,4 +1,4 @@
-"""Listens to callers, lookups and readiness checks."""
+"""HTTP servers for callers, address lookups, readiness and metrics."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
     from godwittack.table import forwarding
 
 HTTP_BACKLOG = 1_024
-# Of one line of a request's head, as the HTTP library reads it; the table's
-# own limit on all headers is checked after that, with an answer that says so.
-MAX_LINE_BYTES = 1 << 16
+# Limit of the HTTP library for one header line of a request. The table's limit
+# on all headers is checked afterwards, and its refusal names the limit.
+MAX_HEADER_LINE_BYTES = 1 << 16
 
 
 class Listeners:
@@ -27,18 +27,18 @@
     def __init__(
         self, clock: Clock, delay: loop_delay.ReadDelay | None = None
     ) -> None:
-        """Listens to nothing yet; `delay` tells how late the loop may read."""
+        """Has no servers yet; `delay` measures how late the loop reads."""
         self._clock = clock
         self._delay = delay
         self._servers: list[patience.PatientServer] = []
-        self._sites: list[web.TCPSite] = []
+        self._tcp_sites: list[web.TCPSite] = []
 
     async def listen(
         self,
         address: str,
         handler: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]],
     ) -> None:
-        """Hands requests at an address to a handler.
+        """Starts a server at an address that passes requests to a handler.
 
         Raises:
             OSError: The address is in use.
@@ -46,7 +46,7 @@
         server = patience.PatientServer(
             handler,
             clock=self._clock,
-            max_line_bytes=MAX_LINE_BYTES,
+            max_line_bytes=MAX_HEADER_LINE_BYTES,
             delay=self._delay,
         )
         runner = web.ServerRunner(server)
@@ -55,16 +55,16 @@
         site = web.TCPSite(runner, host, port, backlog=HTTP_BACKLOG)
         await site.start()
         self._servers.append(server)
-        self._sites.append(site)
+        self._tcp_sites.append(site)
 
-    def end_slow(self, limits: forwarding.CallerLimits) -> None:
-        """Closes connections whose callers are slower than the limits."""
+    def close_slow_connections(self, limits: forwarding.CallerLimits) -> None:
+        """Closes connections whose callers exceed the time limits."""
         for server in self._servers:
             server.end_slow(limits)
 
     async def stop(self) -> None:
         """Accepts no more connections."""
-        for site in self._sites:
+        for site in self._tcp_sites:
             await site.stop()
 
 
--- a/src/godwittack/daemon/observer.py
+++ b/src/godwittack/daemon/observer.py
@@ -1,4 +1,4 @@
-"""Log lines, metrics and report counts from the core's events."""
+"""Turns the core's events into log lines, metrics and report counts."""
 
 from __future__ import annotations
 
@@ -8,64 +8,64 @@
 
 if TYPE_CHECKING:
     from godwittack.core import effects
-    from godwittack.daemon import stories
+    from godwittack.daemon import log_sampling
     from godwittack.metric import meters
     from godwittack.report import ledger
 
 
 class Observer(Protocol):
-    """Hears every event of the core."""
+    """Receives every event of the core."""
 
-    def event(self, event: effects.Event) -> None:
-        """Takes in one event."""
+    def record(self, event: effects.Event) -> None:
+        """Records one event."""
 
 
 class EventObserver:
-    """Logs, counts and measures events."""
+    """Logs events and records them in reports and metrics."""
 
     def __init__(
         self,
         *,
         counts: ledger.Ledger,
-        measures: meters.Meters,
-        told: stories.Stories | None = None,
+        event_meters: meters.Meters,
+        log_sampler: log_sampling.RequestLogSampler | None = None,
     ) -> None:
-        """Counts in `counts` and measures in `measures`.
+        """Sets where events are recorded.
 
         Args:
-            counts: What reports are made of.
-            measures: What metrics are made of.
-            told: Keeps the volume of lines bounded; None for all lines.
+            counts: Counts for reports.
+            event_meters: Instruments for metrics.
+            log_sampler: Bounds the volume of log lines; None logs every line.
         """
         self._counts = counts
-        self._measures = measures
-        self._told = told
+        self._meters = event_meters
+        self._log_sampler = log_sampler
 
-    def event(self, event: effects.Event) -> None:
-        """Takes in one event."""
+    def record(self, event: effects.Event) -> None:
+        """Counts, measures and logs one event."""
         self._counts.event(event)
-        self._measures.event(event)
-        if self._told is None:
-            logging.info("%s", line(event))
+        self._meters.record_event(event)
+        if self._log_sampler is None:
+            logging.info("%s", format_line(event))
         else:
-            self._told.tell(event, line(event))
+            self._log_sampler.record(event, format_line(event))
 
 
-def line(event: effects.Event) -> str:
+def format_line(event: effects.Event) -> str:
     """Returns an event as one line of key=value pairs."""
     parts = [f"event={event.name}"]
     if event.request_id:
-        parts.append(f"request={_quoted(event.request_id)}")
-    parts.extend(f"{f.key}={_quoted(f.value)}" for f in event.fields)
+        parts.append(f"request={_quote(event.request_id)}")
+    parts.extend(f"{f.key}={_quote(f.value)}" for f in event.fields)
     return " ".join(parts)
 
 
-def _quoted(value: str | int | float) -> str:
+def _quote(value: str | int | float) -> str:
     text = str(value)
-    # A line break in a value that came from outside would forge a line.
+    # A line break in an external value could forge a log line.
     text = text.replace("\\", "\\\\").replace("\n", "\\n")
     text = text.replace("\r", "\\r").replace('"', "'")
     return f'"{text}"' if not text or " " in text or "=" in text else text
 
 
-__all__ = ["EventObserver", "Observer", "line"]
+__all__ = ["EventObserver", "Observer", "format_line"]
--- a/src/godwittack/daemon/outbox.py
+++ b/src/godwittack/daemon/outbox.py
@@ -1,4 +1,4 @@
-"""What waits for one peer, and the stream that it is told on."""
+"""Queues updates for one peer and sends them on one stream."""
 
 from __future__ import annotations
 
@@ -17,37 +17,43 @@
     from godwittack.core import inputs, quarantine
     from godwittack.peer import exchange
 
-RETRY_MS = 500
-# Pause between two accounts of all crashes to one peer. Meanwhile its own news
-# of the same crashes is on its way.
-TELL_AGAIN_MS = 500
-# A stream to a peer that has been told nothing for so long is closed.
-IDLE_MS = 10_000
+RETRY_PAUSE_MS = 500
+# Minimum time between two transfers of all crashes to one peer. In between,
+# its own update about the same crashes may arrive.
+RESEND_INTERVAL_MS = 500
+# A stream without messages for this long is closed.
+IDLE_TIMEOUT_MS = 10_000
 
 
 class NewsStream(Protocol):
-    """An open stream of news to one peer."""
+    """An open stream of updates to one peer."""
 
     async def send(
         self, news: peer_pb2.News
     ) -> Result[None, exchange.PeerError]:
-        """Sends a message; after an error the stream is of no more use."""
+        """Sends a message; after an error the stream can't be used again."""
 
     def close(self) -> None:
-        """Ends the stream."""
+        """Closes the stream."""
 
 
 class NewsClient(Protocol):
-    """Opens streams of news."""
+    """Opens streams of updates."""
 
     def open_news(
         self, address: str, *, on_broken: Callable[[], None]
     ) -> NewsStream:
-        """Returns a stream to a peer; opens with the first message."""
+        """Returns a stream to a peer, which opens with the first message."""
 
 
 class Outbox:
-    """What waits for one peer, and the stream to it."""
+    """Queue of updates for one peer, and the stream that carries them.
+
+    Attributes:
+        pending: Updates not sent yet.
+        last_demands: The demand sent or queued last.
+        last_used_ms: When a message was last sent.
+    """
 
     def __init__(
         self,
@@ -57,104 +63,108 @@
         client: NewsClient,
         clock: Clock,
     ) -> None:
-        """Tells the peer at `address`, once there is something to tell."""
+        """Starts a task that sends to `address` once updates are pending."""
         self.pending = pending.PendingNews()
-        self.demands_told: tuple[inputs.CellDemand, ...] = ()
-        self.used_at_ms = clock.now_ms()
+        self.last_demands: tuple[inputs.CellDemand, ...] = ()
+        self.last_used_ms = clock.now_ms()
         self._own_id = own_id
         self._address = address
         self._client = client
         self._clock = clock
         self._stream: NewsStream | None = None
         self._writer = wire.NewsWriter()
-        self._told_again_ms = -TELL_AGAIN_MS
-        self._due = asyncio.Event()
+        self._last_resend_ms = -RESEND_INTERVAL_MS
+        self._send_requested = asyncio.Event()
         self._task = asyncio.get_running_loop().create_task(self._run())
 
-    def tell_demands(self, demands: tuple[inputs.CellDemand, ...]) -> None:
-        """Queues the demand where it is not the one told last."""
-        if demands != self.demands_told:
-            self.demands_told = demands
+    def queue_demands(self, demands: tuple[inputs.CellDemand, ...]) -> None:
+        """Queues the demand if it differs from the last one."""
+        if demands != self.last_demands:
+            self.last_demands = demands
             self.pending.demands = demands
 
-    def tell_crashes(
+    def send_crashes(
         self,
         crashes: tuple[quarantine.Crash, ...],
         completions: tuple[quarantine.Completion, ...],
     ) -> None:
-        """Sends crashes and runs without one now."""
+        """Sends crashes and completed runs at once."""
         self.pending.crashes.update(crashes)
         self.pending.completions.update(completions)
-        self.wake()
+        self.send_pending()
 
-    def tell_crashes_again(self, known: quarantine.Quarantine) -> None:
-        """Sends all that is known of crashes, unless it was a moment ago."""
+    def resend_all_crashes(self, crash_history: quarantine.Quarantine) -> None:
+        """Sends all known crashes, at most once per resend interval."""
         now_ms = self._clock.now_ms()
-        if now_ms - self._told_again_ms >= TELL_AGAIN_MS:
-            self._told_again_ms = now_ms
-            self.tell_crashes(known.crashes_to_exchange(), known.completions())
+        if now_ms - self._last_resend_ms >= RESEND_INTERVAL_MS:
+            self._last_resend_ms = now_ms
+            self.send_crashes(
+                crash_history.crashes_to_exchange(), crash_history.completions()
+            )
 
-    def wake(self) -> None:
-        """Has what waits sent now."""
+    def send_pending(self) -> None:
+        """Has the pending updates sent at once."""
         if not self.pending.is_empty():
-            self._due.set()
+            self._send_requested.set()
 
     def is_idle(self, now_ms: int) -> bool:
         """Returns whether the stream may be closed.
 
-        Not while something waits: woken a moment ago, it would be lost.
+        Pending updates prevent it, even if their sending has just been
+        requested: closing would lose them.
         """
-        unused_ms = now_ms - self.used_at_ms
-        waits = self.demands_told or not self.pending.is_empty()
-        return unused_ms > IDLE_MS and not waits
+        unused_ms = now_ms - self.last_used_ms
+        has_work = self.last_demands or not self.pending.is_empty()
+        return unused_ms > IDLE_TIMEOUT_MS and not has_work
 
     def close(self) -> None:
-        """Ends the stream; what waits is lost."""
+        """Closes the stream and drops pending updates."""
         self._task.cancel()
         if self._stream is not None:
             self._stream.close()
 
-    def _broken(self) -> None:
-        """Tells the demand again, which may have been lost with the stream.
+    def _handle_broken_stream(self) -> None:
+        """Queues the demand again, which may have been lost with the stream.
 
-        Loads repeat and the list has versions; demand is told on changes
-        only, so that the peer would split limits by an old one until then.
+        Loads are repeated and the instance list has versions, but demand is
+        sent only on changes: until the next one, the peer would split limits
+        by an outdated demand.
         """
         self._stream = None
-        if self.demands_told and self.pending.demands is None:
-            self.pending.demands = self.demands_told
-            self._due.set()
+        if self.last_demands and self.pending.demands is None:
+            self.pending.demands = self.last_demands
+            self._send_requested.set()
 
     async def _run(self) -> None:
         while True:
-            await self._due.wait()
-            self._due.clear()
-            news, self.pending = self.pending, pending.PendingNews()
-            if await self._send(news):
+            await self._send_requested.wait()
+            self._send_requested.clear()
+            updates, self.pending = self.pending, pending.PendingNews()
+            if await self._send(updates):
                 continue
-            self.pending = news.followed_by(self.pending)
-            await asyncio.sleep(RETRY_MS / 1000)
-            self._due.set()
+            self.pending = updates.followed_by(self.pending)
+            await asyncio.sleep(RETRY_PAUSE_MS / 1000)
+            self._send_requested.set()
 
-    async def _send(self, news: pending.PendingNews) -> bool:
-        self.used_at_ms = self._clock.now_ms()
-        opens = self._stream is None
+    async def _send(self, updates: pending.PendingNews) -> bool:
+        self.last_used_ms = self._clock.now_ms()
+        is_new_stream = self._stream is None
         if self._stream is None:
             self._stream = self._client.open_news(
-                self._address, on_broken=self._broken
+                self._address, on_broken=self._handle_broken_stream
             )
             self._writer = wire.NewsWriter()
-            # What was told on a stream that broke may not have arrived.
-            news.demands = self.demands_told
-        message = self._writer.write(news, now_ms=self._clock.now_ms())
-        if opens:
+            # The demand sent on a stream that broke may not have arrived.
+            updates.demands = self.last_demands
+        message = self._writer.write(updates, now_ms=self._clock.now_ms())
+        if is_new_stream:
             message.sender_id = self._own_id
-        got = await self._stream.send(message)
-        if isinstance(got, Err):
+        result = await self._stream.send(message)
+        if isinstance(result, Err):
             logging.info(
                 "event=news_lost peer=%s detail=%s",
                 self._address,
-                got.err_value.detail,
+                result.err_value.detail,
             )
             self._stream = None
             return False
--- a/src/godwittack/daemon/serve.py
+++ b/src/godwittack/daemon/serve.py
@@ -1,4 +1,4 @@
-"""Builds a daemon from its settings, runs it, and stops it in order."""
+"""Builds, runs and stops a daemon with the project's own interface."""
 
 from __future__ import annotations
 
@@ -42,17 +42,21 @@
 
 
 class Daemon:
-    """One daemon process: the core and all its shells."""
+    """One daemon process: the core, its servers, clients and tasks."""
 
-    def __init__(self, loaded: configs.Loaded, sessions: Sessions) -> None:
-        """Wires the parts; nothing runs yet."""
+    def __init__(self, loaded: configs.Loaded, sessions: HttpSessions) -> None:
+        """Wires the components without starting them."""
         self._settings = settings = loaded.settings
         self._sessions = sessions
-        self._base = parts = base.Base.from_config(loaded)
-        core, clock, counts = parts.core, parts.clock, parts.counts
-        self._meters = parts.meters
-        self._peers, self._probes = parts.peers, parts.probes
-        rng, members = parts.rng, parts.members
+        self._components = components = base.Components.from_config(loaded)
+        core, clock, counts = (
+            components.core,
+            components.clock,
+            components.counts,
+        )
+        self._meters = components.meters
+        self._peers, self._probes = components.peers, components.probes
+        rng, members = components.rng, components.members
         platform = platform_http.HttpPlatform(
             session=sessions.platform,
             base_url=settings.platform_url,
@@ -71,8 +75,8 @@
             core=core,
             backend_client=backend,
             claims=claim_store.ClaimStore(platform),
-            observe=observer.EventObserver(
-                counts=counts, measures=self._meters
+            event_observer=observer.EventObserver(
+                counts=counts, event_meters=self._meters
             ),
             clock=clock,
         )
@@ -83,22 +87,24 @@
             )
             self.runtime.recorder = record.Recorder(core, sink)
         store = table_store.TableStore(platform, platform)
-        self._keeper = tables.PolledKeeper(
+        self._keeper = tables.PolledTableKeeper(
             tables=store,
             runtime=self.runtime,
             peers=self._peers,
-            right=serving_lease.QuorumServingLease(settings.member_policy()),
+            serving_lease=serving_lease.QuorumServingLease(
+                settings.member_policy()
+            ),
             rng=rng,
         )
         self._news = news.News(
             members=members, runtime=self.runtime, client=self._peers
         )
         self.runtime.on_crashes = self._news.publish_crashes
-        self.gossiper = parts.gossiper(
-            running=self.runtime, keeper=self._keeper, news=self._news
+        self.gossiper = components.build_gossiper(
+            daemon_runtime=self.runtime, keeper=self._keeper, news=self._news
         )
         self._streams = watch.Streams()
-        self._lists = listing.ListWatcher(
+        self._list_watcher = listing.ListWatcher(
             instances=platform,
             core=self.runtime,
             members=members,
@@ -106,9 +112,9 @@
             streams=self._streams,
             on_entries=self.gossiper.entries_listed,
         )
-        self.gossiper.list_hash = self._lists.list_hash
-        self.gossiper.on_list_hash = self._lists.hash_told
-        self._servers = watch.ServerWatcher(
+        self.gossiper.list_hash = self._list_watcher.list_hash
+        self.gossiper.on_list_hash = self._list_watcher.hash_told
+        self._server_watcher = watch.ServerWatcher(
             core=self.runtime,
             client=backend,
             members=members,
@@ -125,24 +131,24 @@
             policy=leases.LeasePolicy(lease_ms=settings.lease_ms),
             measures=self._meters,
         )
-        self._peer_server = parts.peer_server(self.gossiper)
+        self._peer_server = components.build_peer_server(self.gossiper)
         self._app = self._build_app(loaded, store, platform, counts)
-        self._loops = base.Loops()
+        self._background_tasks = base.BackgroundTasks()
 
     async def run(self) -> None:
-        """Serves until a stop is ordered and everything is finished.
+        """Serves until a stop signal arrives and the daemon has stopped.
 
         Raises:
             OSError: An address is in use.
         """
-        stop = base.stop_ordered()
+        stop = base.install_stop_handler()
         await self._peer_server.start(self._settings.peer_address)
         await self._probes.start(
             self._settings.peer_address, handler=self.gossiper
         )
         self._streams.connect(core=self.runtime, news=self._news)
         await self._prepare()
-        self._start_loops()
+        self._start_background_tasks()
         runner = await self._listen()
         self.gossiper.announce()
         logging.info(
@@ -155,32 +161,36 @@
         await self._stop(runner)
 
     async def _prepare(self) -> None:
-        """Learns members, table and servers before the first caller."""
+        """Fetches members, table and servers before the first request."""
         await self.gossiper.join()
         addresses = [
             row.member.peer_address
             for row in self.gossiper.members.rows.values()
         ]
-        await self._keeper.load_first(addresses)
-        await self._lists.poll_once()
-        await self._servers.ask_unknown()
-        self._servers.assign()
+        await self._keeper.load_initial(addresses)
+        await self._list_watcher.poll_once()
+        await self._server_watcher.ask_unknown()
+        self._server_watcher.assign()
 
-    def _start_loops(self) -> None:
+    def _start_background_tasks(self) -> None:
         settings = self._settings
-        self._loops.start(self.runtime.tick_forever(tick_ms=settings.tick_ms))
-        self._loops.start(
+        self._background_tasks.start(
+            self.runtime.tick_forever(tick_ms=settings.tick_ms)
+        )
+        self._background_tasks.start(
             self.gossiper.gossip_forever(gossip_ms=settings.gossip_ms)
         )
-        self._loops.start(self._news.tell_forever(news_ms=settings.news_ms))
-        self._loops.start(
+        self._background_tasks.start(
+            self._news.tell_forever(news_ms=settings.news_ms)
+        )
+        self._background_tasks.start(
             self._keeper.poll_forever(poll_ms=settings.table_poll_ms)
         )
-        self._loops.start(
-            self._lists.poll_forever(poll_ms=settings.list_poll_ms)
+        self._background_tasks.start(
+            self._list_watcher.poll_forever(poll_ms=settings.list_poll_ms)
         )
-        self._loops.start(self._servers.assign_forever())
-        self._loops.start(
+        self._background_tasks.start(self._server_watcher.assign_forever())
+        self._background_tasks.start(
             self._leader.lead_forever(step_ms=settings.lead_step_ms)
         )
 
@@ -198,11 +208,11 @@
         return runner
 
     async def _stop(self, runner: web.AppRunner) -> None:
-        """Leaves in order: told, unused, empty, gone.
+        """Announces the stop, waits for callers to leave, drains, then closes.
 
-        Callers keep an address for `address_keep_ms` after they were given
-        it. The daemon still serves for that long after the others have
-        stopped naming it, so that none of them finds the door closed.
+        Callers keep an address for `address_keep_ms` after they received it.
+        The daemon still serves for that long after the other daemons have
+        stopped recommending it, so that no caller is refused a connection.
         """
         settings = self._settings
         await self.gossiper.stop()
@@ -214,11 +224,11 @@
             async with asyncio.timeout(settings.stop_patience_ms / 1000):
                 await self.runtime.stopped.wait()
         await runner.cleanup()
-        await self._loops.cancel()
-        self._servers.close()
+        await self._background_tasks.cancel()
+        self._server_watcher.close()
         self._news.close()
         await self.runtime.close()
-        await self._base.close(self._peer_server)
+        await self._components.close(self._peer_server)
         logging.info("event=stopped")
 
     def _build_app(
@@ -229,18 +239,18 @@
         counts: ledger.Ledger,
     ) -> web.Application:
         settings = loaded.settings
-        face = calls.CallFace(
+        call_face = calls.CallFace(
             runtime=self.runtime,
             settings=settings,
             signer=token.TokenSigner(loaded.cluster_secret),
         )
-        state = status.StatusFace(
+        status_face = status.StatusFace(
             runtime=self.runtime,
             settings=settings,
             members=self.gossiper.members,
             meters=self._meters,
         )
-        operators = operate.OperatorFace(
+        operator_face = operate.OperatorFace(
             runtime=self.runtime,
             settings=settings,
             gossiper=self.gossiper,
@@ -259,24 +269,26 @@
         app = web.Application(client_max_size=settings.max_body_bytes)
         app.router.add_routes(
             [
-                web.post("/v1/chat/completions", face.generate),
-                web.post("/v1/completions", face.generate),
-                web.get("/v1/resume", face.resume),
-                web.get("/v1/where", state.where),
-                web.get("/v1/models", state.models),
-                web.route("*", "/svc/{service}", face.call_service),
-                web.route("*", "/svc/{service}/{path:.*}", face.call_service),
-                web.get("/healthz", state.health),
-                web.get("/readyz", state.ready),
-                web.get("/metrics", state.metrics),
-                *operators.routes(),
+                web.post("/v1/chat/completions", call_face.generate),
+                web.post("/v1/completions", call_face.generate),
+                web.get("/v1/resume", call_face.resume),
+                web.get("/v1/where", status_face.where),
+                web.get("/v1/models", status_face.models),
+                web.route("*", "/svc/{service}", call_face.call_service),
+                web.route(
+                    "*", "/svc/{service}/{path:.*}", call_face.call_service
+                ),
+                web.get("/healthz", status_face.health),
+                web.get("/readyz", status_face.ready),
+                web.get("/metrics", status_face.metrics),
+                *operator_face.routes(),
             ]
         )
         return app
 
 
-class Sessions:
-    """HTTP client sessions, by how their connections are kept."""
+class HttpSessions:
+    """HTTP client sessions, by how they reuse connections."""
 
     def __init__(self) -> None:
         """Opens the sessions; needs a running loop."""
@@ -303,7 +315,7 @@
 
 async def serve(loaded: configs.Loaded) -> None:
     """Runs a daemon until it is stopped."""
-    sessions = Sessions()
+    sessions = HttpSessions()
     try:
         await Daemon(loaded, sessions).run()
     finally:
--- a/src/godwittack/daemon/tables.py
+++ b/src/godwittack/daemon/tables.py
@@ -1,4 +1,4 @@
-"""Keeps this daemon's table the newest, whatever is down."""
+"""Keeps this daemon's table up to date from the service, peers or a copy."""
 
 from __future__ import annotations
 
@@ -25,32 +25,35 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class TableKeeper:
-    """Puts newer tables in force and takes them from peers.
+    """Activates newer tables and fetches them from peers.
 
     Attributes:
-        on_adopted: Called when a newer table came into force here.
+        runtime: Runs the core, which holds the active table.
+        peers: Client for other daemons.
+        serving_lease: Until when this daemon may treat its table as current.
+        on_adopted: Called after a newer table has become active here.
     """
 
     runtime: runtimes.Runtime
     peers: exchange.PeerClient
-    right: serving_lease.ServingLease
+    serving_lease: serving_lease.ServingLease
     on_adopted: Callable[[], None] = lambda: None
-    _fetching: bool = False
+    _is_fetching: bool = False
 
     @property
     def table(self) -> model.Table:
-        """The table in force here."""
+        """The active table of this daemon."""
         return self.runtime.core.world.table
 
     def adopt(self, table: model.Table) -> bool:
-        """Puts a table in force if it is newer; it never goes back."""
+        """Activates a table if it is newer; never returns to an older one."""
         self.runtime.submit(
             inputs.TableChanged(
                 self.runtime.clock.now_ms(),
                 table,
-                # Read before this table counts as confirmed: a word on it
-                # says nothing of when it was made.
-                newest_before_ms=self.right.last_confirmed_ms(),
+                # Read before this table counts as confirmed: confirming a table
+                # does not show when the table was made.
+                newest_before_ms=self.serving_lease.last_confirmed_ms(),
             )
         )
         if self.table is not table:
@@ -60,19 +63,19 @@
         return True
 
     async def fetch_from_peer(self, address: str) -> None:
-        """Takes a peer's table where it is newer."""
-        if self._fetching:
+        """Fetches a peer's table and activates it if it is newer."""
+        if self._is_fetching:
             return
-        self._fetching = True
+        self._is_fetching = True
         try:
-            got = await self.peers.fetch_table(
+            reply = await self.peers.fetch_table(
                 address, known_version=self.table.version
             )
         finally:
-            self._fetching = False
-        if isinstance(got, Err):
+            self._is_fetching = False
+        if isinstance(reply, Err):
             return
-        parsed = tables_wire.read(got.ok_value)
+        parsed = tables_wire.read(reply.ok_value)
         if isinstance(parsed, Ok):
             self.adopt(parsed.ok_value)
         elif parsed is not None:
@@ -84,14 +87,19 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class PolledKeeper(TableKeeper):
-    """Reads versions from the table service, and the table where newer."""
+class PolledTableKeeper(TableKeeper):
+    """Polls the table service for the version, and for newer tables.
+
+    Attributes:
+        tables: Reads versions, tables and the stored copy.
+        rng: Adds jitter to the polls.
+    """
 
     tables: store.TableStore
     rng: random.Random
 
-    async def load_first(self, peer_addresses: list[str]) -> None:
-        """Finds a table to start with: the service, peers, then the copy."""
+    async def load_initial(self, peer_addresses: list[str]) -> None:
+        """Loads the first table from the service, peers or the stored copy."""
         await self.poll_once()
         for address in peer_addresses:
             await self.fetch_from_peer(address)
@@ -101,7 +109,7 @@
                 self.adopt(copy)
 
     async def poll_forever(self, *, poll_ms: int) -> None:
-        """Reads the version again and again, spread over the daemons."""
+        """Polls once per period, with jitter to spread the daemons' calls."""
         while True:
             jitter = self.rng.uniform(0.8, 1.2)
             await asyncio.sleep(poll_ms * jitter / 1000)
@@ -110,18 +118,18 @@
     async def poll_once(self) -> None:
         """Reads the newest version and fetches the table if it is newer."""
         started_ms = self.runtime.clock.now_ms()
-        got = await self.tables.version()
-        if isinstance(got, Err):
+        newest = await self.tables.version()
+        if isinstance(newest, Err):
             return
-        if got.ok_value > self.table.version:
+        if newest.ok_value > self.table.version:
             table = await self.tables.table()
             if isinstance(table, Err):
                 return
             self.adopt(table.ok_value)
-        if got.ok_value <= self.table.version:
-            # Counted from before the reading: a reply that took long says
-            # nothing of the time after it was made.
-            self.right.record_service_read(now_ms=started_ms)
+        if newest.ok_value <= self.table.version:
+            # Counted from the start of the call: a slow reply confirms nothing
+            # about the time after it was made.
+            self.serving_lease.record_service_read(now_ms=started_ms)
 
 
-__all__ = ["PolledKeeper", "TableKeeper"]
+__all__ = ["PolledTableKeeper", "TableKeeper"]
--- a/src/godwittack/daemon/watch.py
+++ b/src/godwittack/daemon/watch.py
@@ -14,7 +14,7 @@
 from godwittack.backend import protocol as backend
 from godwittack.core import cached_state, server_inputs
 from godwittack.daemon import digest as digests
-from godwittack.daemon import loads
+from godwittack.daemon import load_filter
 from godwittack.daemon import news as newses
 from godwittack.member import assignment
 
@@ -261,12 +261,12 @@
 
     def __init__(self, news: newses.News) -> None:
         self._news = news
-        self._loads = loads.LoadFilter()
+        self._loads = load_filter.LoadFilter()
 
     def publish(self, item: Watched) -> None:
         match item.told:
             case server_inputs.LoadReported():
-                if self._loads.is_news(item.told):
+                if self._loads.record_if_changed(item.told):
                     self._news.publish_load(item.told, item.target)
             case server_inputs.CacheDigest():
                 self._news.publish_digest(item.told, item.target)
--- a/src/godwittack/metric/meters.py
+++ b/src/godwittack/metric/meters.py
@@ -22,7 +22,7 @@
     """All instruments of one daemon."""
 
     def __init__(self, world: entities.World) -> None:
-        """Reads gauges from `world`."""
+        """Creates the instruments; gauges read from `world`."""
         reader = prometheus.PrometheusMetricReader()
         provider = sdk.MeterProvider(metric_readers=[reader])
         meter = provider.get_meter("godwittack")
@@ -42,12 +42,12 @@
             unit="ms",
             description="Orders to load weights, by outcome and time to it",
         )
-        # Counted with each message: an instrument's own count takes as long
-        # as reading the message.
+        # Summed here for each message and read on demand: calling a counter
+        # instrument takes as long as reading the message.
         self._peer_bytes = 0
         meter.create_observable_counter(
             "godwittack_peer_bytes",
-            callbacks=[_callback(lambda: self._peer_bytes)],
+            callbacks=[_gauge_callback(lambda: self._peer_bytes)],
             unit="By",
         )
         self._meter = meter
@@ -55,11 +55,13 @@
             self.add_gauge(name, read)
 
     def add_gauge(self, name: str, read: Callable[[], float]) -> None:
-        """Exposes what `read` returns at the time of each reading."""
-        self._meter.create_observable_gauge(name, callbacks=[_callback(read)])
+        """Adds a gauge that calls `read` at each collection."""
+        self._meter.create_observable_gauge(
+            name, callbacks=[_gauge_callback(read)]
+        )
 
-    def event(self, event: effects.Event) -> None:
-        """Measures one event of the core."""
+    def record_event(self, event: effects.Event) -> None:
+        """Updates the instruments with one event of the core."""
         fields = {field.key: field.value for field in event.fields}
         labels = {"workspace": str(fields.get("workspace", ""))}
         match event.name:
@@ -77,19 +79,19 @@
                 self._count_tokens(fields, labels)
 
     def weights_order(self, *, outcome: str, after_ms: int) -> None:
-        """Measures an order to load weights that has ended."""
+        """Records the outcome and duration of an order to load weights."""
         self._weights_orders.record(after_ms, {"outcome": outcome})
 
     def count_peer_bytes(self, size: int) -> None:
-        """Counts a message sent to another daemon or received."""
+        """Counts a message sent to or received from another daemon."""
         self._peer_bytes += size
 
     def exposition(self) -> bytes:
-        """Returns all metrics in Prometheus' text form."""
+        """Returns all metrics in Prometheus' text format."""
         return prometheus_client.generate_latest()
 
     def close(self) -> None:
-        """Ends the export."""
+        """Shuts down the export."""
         self._provider.shutdown()
 
     def _count_tokens(
@@ -116,13 +118,16 @@
         ),
         "godwittack_quarantined": lambda: len(world.quarantine),
         "godwittack_retry_tokens": lambda: min(
-            (shared.tokens for shared in world.target_budgets.values()),
+            (budget.tokens for budget in world.target_budgets.values()),
             default=-1.0,
         ),
         "godwittack_retry_daemons": lambda: world.max_expected_daemons,
         "godwittack_table_version": lambda: world.table.version,
         "godwittack_prefill_us_per_token": lambda: max(
-            (known.us_per_token for known in world.prefill_costs.values()),
+            (
+                prefill_cost.us_per_token
+                for prefill_cost in world.prefill_costs.values()
+            ),
             default=0.0,
         ),
         "godwittack_live_daemons": lambda: len(world.live_daemons),
@@ -143,11 +148,11 @@
 
 
 def _cpu_seconds() -> float:
-    used = resource.getrusage(resource.RUSAGE_SELF)
-    return used.ru_utime + used.ru_stime
+    usage = resource.getrusage(resource.RUSAGE_SELF)
+    return usage.ru_utime + usage.ru_stime
 
 
-def _callback(
+def _gauge_callback(
     read: Callable[[], float],
 ) -> Callable[[api.CallbackOptions], Iterable[api.Observation]]:
     def observe(_: api.CallbackOptions) -> Iterable[api.Observation]:
--- a/tests/cases/weights.py
+++ b/tests/cases/weights.py
@@ -6,7 +6,7 @@
 
 from cases import routed_core
 from godwittack.core import effects, inputs, server_inputs
-from godwittack.daemon import keeping
+from godwittack.daemon import feed_table
 from godwittack.lead import rollout
 from godwittack.member import freshness, store_lease
 
@@ -243,23 +243,25 @@
 
     def __init__(self) -> None:
         self.core = routed_core.Core(servers=1)
-        self.keeper = keeping.FeedKeeper(
+        self.keeper = feed_table.FeedTableKeeper(
             runtime=_Running(self.core),
             peers=None,
-            right=store_lease.StoreServingLease(
+            serving_lease=store_lease.StoreServingLease(
                 bound_ms=routed_core.ALLOWED_MS
             ),
             members=None,
-            known=freshness.Freshness(topic=freshness.Topic.TABLE),
+            table_freshness=freshness.Freshness(topic=freshness.Topic.TABLE),
         )
-        self.keeper.known.on_confirmed = self.keeper.confirmed
-        self.keeper.known.record_version(1)
+        self.keeper.table_freshness.on_confirmed = (
+            self.keeper.record_confirmation
+        )
+        self.keeper.table_freshness.record_version(1)
 
     def read(self, table: model.Table | None = None) -> None:
         """Lets an answer of the store come, with a newer table or without."""
         if table is not None:
             assert self.keeper.adopt(table)
-        self.keeper.known.record_confirmation(self.core.now_ms)
+        self.keeper.table_freshness.record_confirmation(self.core.now_ms)
 
     def read_for(self, ms: int) -> None:
         """Lets time pass, with an answer of the store each second."""
