--- a/bench/peers.py
+++ b/bench/peers.py
@@ -160,7 +160,7 @@
             session=session,
             base_url=platform_url,
             timeout_ms=TIMEOUT_MS,
-            pause_ms=0,
+            backoff_ms=0,
             clock=SystemClock(),
         )
         got = await client.instances()
--- a/src/godwittack/claim/batch.py
+++ b/src/godwittack/claim/batch.py
@@ -20,7 +20,9 @@
 class _Pending:
     condition: protocol.Condition
     write: protocol.RowWrite
-    done: asyncio.Future[Result[protocol.Transacted, protocol.PlatformError]]
+    done: asyncio.Future[
+        Result[protocol.TransactionResult, protocol.PlatformError]
+    ]
 
 
 class WriteBatcher:
@@ -38,10 +40,10 @@
 
     async def write(
         self, condition: protocol.Condition, write: protocol.RowWrite
-    ) -> Result[protocol.Transacted, protocol.PlatformError]:
+    ) -> Result[protocol.TransactionResult, protocol.PlatformError]:
         """Makes one conditional write, perhaps together with others."""
         future: asyncio.Future[
-            Result[protocol.Transacted, protocol.PlatformError]
+            Result[protocol.TransactionResult, protocol.PlatformError]
         ] = asyncio.get_running_loop().create_future()
         self._waiting.append(_Pending(condition, write, future))
         if self._flusher is None or self._flusher.done():
@@ -72,13 +74,17 @@
                 if row.version == pending.condition.version:
                     rest.append(pending)
                 else:
-                    _settle(pending, Ok(protocol.Transacted(False, (row,))))
+                    _settle(
+                        pending, Ok(protocol.TransactionResult(False, (row,)))
+                    )
             if len(rest) == len(batch):
                 # No condition failed, yet nothing was committed: the rows
                 # changed back in between. The callers try again.
                 for pending in rest:
                     row = rows[pending.condition.row_id]
-                    _settle(pending, Ok(protocol.Transacted(False, (row,))))
+                    _settle(
+                        pending, Ok(protocol.TransactionResult(False, (row,)))
+                    )
                 return
             batch = rest
 
@@ -96,7 +102,7 @@
 
 def _settle(
     pending: _Pending,
-    got: Result[protocol.Transacted, protocol.PlatformError],
+    got: Result[protocol.TransactionResult, protocol.PlatformError],
 ) -> None:
     if not pending.done.done():
         pending.done.set_result(got)
--- a/src/godwittack/command/check.py
+++ b/src/godwittack/command/check.py
@@ -9,7 +9,7 @@
 from result import Err
 
 from godwittack.command import codes, parser
-from godwittack.config import trouble as troubles
+from godwittack.config import validation
 
 
 @parser.app.command
@@ -18,11 +18,11 @@
     settings: Annotated[str, cyclopts.Parameter(help="YAML settings file")],
 ) -> int:
     """Checks a settings file, its addresses and the platform."""
-    loaded = troubles.load_checked(settings)
+    loaded = validation.load_and_check(settings)
     if isinstance(loaded, Err):
         print(loaded.err_value, file=sys.stderr)
         return codes.BAD_INPUT
-    trouble = troubles.platform_trouble(settings, loaded.ok_value)
+    trouble = validation.check_platform(settings, loaded.ok_value)
     if trouble:
         print(
             f"{trouble}; write http://IP:port of the platform's service (in an"
--- a/src/godwittack/command/client.py
+++ b/src/godwittack/command/client.py
@@ -94,17 +94,17 @@
     return got
 
 
-def table(target: Target | None) -> Result[model.Table, str]:
+def fetch_table(target: Target | None) -> Result[model.Table, str]:
     """Returns the table in force at the daemon."""
     got = call(target, "GET", "/operator/table?form=json")
     if isinstance(got, Err):
         return got
     if got.ok_value.status != 200:
-        return Err(detail(got.ok_value))
+        return Err(error_detail(got.ok_value))
     return schema.table_from_json(got.ok_value.body)
 
 
-def detail(answer: Answer) -> str:
+def error_detail(answer: Answer) -> str:
     """Returns what a daemon said was wrong."""
     try:
         told = json.loads(answer.body)
@@ -155,7 +155,7 @@
     "Target",
     "TargetOption",
     "call",
-    "detail",
+    "error_detail",
     "fail",
-    "table",
+    "fetch_table",
 ]
--- a/src/godwittack/command/diff.py
+++ b/src/godwittack/command/diff.py
@@ -4,7 +4,7 @@
 
 from result import Err
 
-from godwittack.command import changing, client, codes, parser, sheetfile
+from godwittack.command import client, codes, csv_file, parser, submission
 
 
 @parser.table.command
@@ -15,11 +15,11 @@
         file: CSV as `export` writes it.
         target: Which daemon to ask.
     """
-    found = sheetfile.changes(file, target)
+    found = csv_file.changed_cells(file, target)
     if isinstance(found, Err):
         return client.fail(found.err_value.detail, found.err_value.code)
     for change in found.ok_value:
-        print(changing.describe(change))
+        print(submission.format_change(change))
     return codes.FAILED if found.ok_value else codes.OK
 
 
--- a/src/godwittack/command/explain.py
+++ b/src/godwittack/command/explain.py
@@ -14,10 +14,10 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-PAIR = re.compile(r'(\w+)=("[^"]*"|\S*)')
-REQUEST = "request"
+KEY_VALUE = re.compile(r'(\w+)=("[^"]*"|\S*)')
+REQUEST_KEY = "request"
 # Belief lines that concern a server, told beside a request that used it.
-SERVER_EVENTS = frozenset(
+SERVER_STATE_EVENTS = frozenset(
     {
         "server_crashed",
         "server_ejected",
@@ -43,7 +43,7 @@
     ],
 ) -> int:
     """Prints what happened to one request, in order, over all daemons."""
-    told = sorted(_story(request_id, list(_lines(logs))))
+    told = sorted(_request_lines(request_id, list(_read_lines(logs))))
     if not told:
         print(
             f"{request_id}: no line of these logs names it; it may have reached"
@@ -57,7 +57,7 @@
     return codes.OK
 
 
-def _lines(logs: tuple[str, ...]) -> Iterator[tuple[str, str]]:
+def _read_lines(logs: tuple[str, ...]) -> Iterator[tuple[str, str]]:
     """Yields the log's name and each line."""
     if not logs:
         yield from (("", line.rstrip("\n")) for line in sys.stdin)
@@ -67,7 +67,7 @@
             yield from ((path.stem, line.rstrip("\n")) for line in opened)
 
 
-def _story(
+def _request_lines(
     request_id: str, lines: Iterable[tuple[str, str]]
 ) -> list[tuple[str, str]]:
     """Returns the lines of a request, its content and the servers it used."""
@@ -77,13 +77,16 @@
     contents: set[str] = set()
     of_contents: list[tuple[str, str, str]] = []
     for source, line in lines:
-        pairs = dict(PAIR.findall(line))
+        pairs = dict(KEY_VALUE.findall(line))
         shown = f"{source}: {line}" if source else line
-        if pairs.get(REQUEST, "").strip('"').partition("~")[0] == request_id:
+        if (
+            pairs.get(REQUEST_KEY, "").strip('"').partition("~")[0]
+            == request_id
+        ):
             own.append((pairs.get("time", ""), shown))
             servers.add(pairs.get("server", ""))
             contents.add(pairs.get("content", ""))
-        elif pairs.get("event") in SERVER_EVENTS:
+        elif pairs.get("event") in SERVER_STATE_EVENTS:
             others.append((pairs.get("time", ""), pairs["server"], shown))
         elif pairs.get("event") in CONTENT_EVENTS:
             of_contents.append((pairs.get("time", ""), pairs["content"], shown))
--- a/src/godwittack/command/export.py
+++ b/src/godwittack/command/export.py
@@ -8,7 +8,7 @@
 from result import Err
 
 from godwittack.command import client, codes, parser
-from godwittack.table import sheet
+from godwittack.table import csv_format
 
 
 @parser.table.command
@@ -19,10 +19,10 @@
         file: Where to; `-` is the standard output.
         target: Which daemon to ask.
     """
-    got = client.table(target)
+    got = client.fetch_table(target)
     if isinstance(got, Err):
         return client.fail(got.err_value, codes.UNAVAILABLE)
-    text = sheet.to_csv(got.ok_value)
+    text = csv_format.to_csv(got.ok_value)
     if file == "-":
         sys.stdout.write(text)
     else:
--- a/src/godwittack/command/history.py
+++ b/src/godwittack/command/history.py
@@ -7,7 +7,7 @@
 
 from result import Err, Ok, Result
 
-from godwittack.command import changing, client, codes, parser
+from godwittack.command import client, codes, parser, submission
 from godwittack.table import model, schema
 
 
@@ -25,7 +25,7 @@
         target: Which daemon to ask.
         json: Print the entries as stored.
     """
-    got = entries(target, after=after)
+    got = fetch_entries(target, after=after)
     if isinstance(got, Err):
         return client.fail(got.err_value, codes.UNAVAILABLE)
     if json:
@@ -42,11 +42,11 @@
             f" {entry.who}: {entry.why}"
         )
         for change in entry.changes:
-            print(f"    {changing.describe(change)}")
+            print(f"    {submission.format_change(change)}")
     return codes.OK
 
 
-def entries(
+def fetch_entries(
     target: client.Target | None, *, after: int
 ) -> Result[list[model.AuditEntry], str]:
     """Returns the audit entries above a version."""
@@ -54,7 +54,7 @@
     if isinstance(got, Err):
         return got
     if got.ok_value.status != 200:
-        return Err(client.detail(got.ok_value))
+        return Err(client.error_detail(got.ok_value))
     found: list[model.AuditEntry] = []
     for stored in json_module.loads(got.ok_value.body):
         parsed = schema.audit_from_json(json_module.dumps(stored))
@@ -64,4 +64,4 @@
     return Ok(found)
 
 
-__all__ = ["entries", "history"]
+__all__ = ["fetch_entries", "history"]
--- a/src/godwittack/command/import_.py
+++ b/src/godwittack/command/import_.py
@@ -4,7 +4,7 @@
 
 from result import Err
 
-from godwittack.command import changing, client, parser, sheetfile
+from godwittack.command import client, csv_file, parser, submission
 
 
 @parser.table.command(name="import")
@@ -24,10 +24,10 @@
         target: Which daemon to ask.
         json: Print the daemon's answer as JSON.
     """
-    found = sheetfile.changes(file, target)
+    found = csv_file.changed_cells(file, target)
     if isinstance(found, Err):
         return client.fail(found.err_value.detail, found.err_value.code)
-    return changing.send(target, found.ok_value, why=why, as_json=json)
+    return submission.submit(target, found.ok_value, why=why, as_json=json)
 
 
 __all__ = ["import_"]
--- a/src/godwittack/command/report.py
+++ b/src/godwittack/command/report.py
@@ -20,7 +20,7 @@
     if isinstance(got, Err):
         return client.fail(got.err_value, codes.UNAVAILABLE)
     if got.ok_value.status != 200:
-        return client.fail(client.detail(got.ok_value))
+        return client.fail(client.error_detail(got.ok_value))
     if json:
         print(got.ok_value.body)
         return codes.OK
--- a/src/godwittack/command/set_.py
+++ b/src/godwittack/command/set_.py
@@ -4,7 +4,7 @@
 
 from result import Err
 
-from godwittack.command import changing, client, codes, parser
+from godwittack.command import client, codes, parser, submission
 from godwittack.table import edit, model
 
 
@@ -28,7 +28,7 @@
         target: Which daemon to ask.
         json: Print the daemon's answer as JSON.
     """
-    got = client.table(target)
+    got = client.fetch_table(target)
     if isinstance(got, Err):
         return client.fail(got.err_value, codes.UNAVAILABLE)
     table = got.ok_value
@@ -64,7 +64,7 @@
         return client.fail(applied.err_value)
     # Taken from the checked rows, so that values have the cells' own types.
     changes = edit.diff(table, applied.ok_value)
-    return changing.send(target, changes, why=why, as_json=json)
+    return submission.submit(target, changes, why=why, as_json=json)
 
 
 __all__ = ["set_"]
--- a/src/godwittack/command/settings.py
+++ b/src/godwittack/command/settings.py
@@ -11,7 +11,7 @@
 from godwittack.core import policy
 from godwittack.member import view
 
-UNITS = {
+UNITS_BY_SUFFIX = {
     "_ms": "milliseconds",
     "_bytes": "bytes",
     "_per_token": "microseconds a token",
@@ -29,19 +29,21 @@
         )
         _print(name, default, field.description or "")
     print("\nNumbers below `decisions:`")
-    _print_numbers(policy.Policy)
+    _print_fields(policy.Policy)
     print("\nNumbers below `membership:`")
-    _print_numbers(view.MemberPolicy)
+    _print_fields(view.MemberPolicy)
     return codes.OK
 
 
 def _print(name: str, default: object, meaning: str) -> None:
-    unit = next((u for end, u in UNITS.items() if name.endswith(end)), "")
+    unit = next(
+        (u for end, u in UNITS_BY_SUFFIX.items() if name.endswith(end)), ""
+    )
     shown = f"{default} {unit}".strip()
     print(f"{name} (default: {shown})\n    {meaning}")
 
 
-def _print_numbers(owner: type) -> None:
+def _print_fields(owner: type) -> None:
     meanings = _attribute_docs(inspect.getdoc(owner) or "")
     for field in dataclasses.fields(owner):
         _print(field.name, field.default, meanings.get(field.name, ""))
--- a/src/godwittack/command/show.py
+++ b/src/godwittack/command/show.py
@@ -16,7 +16,7 @@
         target: Which daemon to ask.
         json: Print the stored form.
     """
-    got = client.table(target)
+    got = client.fetch_table(target)
     if isinstance(got, Err):
         return client.fail(got.err_value, codes.UNAVAILABLE)
     table = got.ok_value
--- a/src/godwittack/command/status.py
+++ b/src/godwittack/command/status.py
@@ -21,7 +21,7 @@
     if isinstance(got, Err):
         return client.fail(got.err_value, codes.UNAVAILABLE)
     if got.ok_value.status != 200:
-        return client.fail(client.detail(got.ok_value))
+        return client.fail(client.error_detail(got.ok_value))
     told = json_module.loads(got.ok_value.body)
     if json:
         print(got.ok_value.body)
--- a/src/godwittack/command/changing.py
+++ b/src/godwittack/command/submission.py
@@ -12,7 +12,7 @@
 from godwittack.table import model, schema
 
 
-def describe(change: model.CellChange) -> str:
+def format_change(change: model.CellChange) -> str:
     """Returns one changed cell as a line."""
     if change.column == model.ROW_COLUMN:
         verb = "new row" if change.after is not None else "row removed"
@@ -22,7 +22,7 @@
     return f"{change.kind} {change.name}, {change.column}: {before} -> {after}"
 
 
-def send(
+def submit(
     target: client.Target | None,
     changes: list[model.CellChange],
     *,
@@ -36,7 +36,7 @@
         return codes.OK
     if not as_json:
         for change in changes:
-            print(describe(change))
+            print(format_change(change))
     why = why or _ask_reason()
     if len(why) < 3:
         return client.fail("--why: write a reason of at least 3 letters")
@@ -61,19 +61,19 @@
         print(got.ok_value.body)
     else:
         _print_result(got.ok_value)
-    return _code(got.ok_value)
+    return _exit_code(got.ok_value)
 
 
 def _print_result(answer: client.Answer) -> None:
     if answer.status == 409:
         _print_conflict(json.loads(answer.body))
     elif answer.status != 200:
-        print(f"not changed: {client.detail(answer)}", file=sys.stderr)
+        print(f"not changed: {client.error_detail(answer)}", file=sys.stderr)
     else:
-        _print_in_force(json.loads(answer.body))
+        _print_commit(json.loads(answer.body))
 
 
-def _print_in_force(told: dict) -> None:
+def _print_commit(told: dict) -> None:
     version, after_ms = told["version"], told["after_ms"]
     if told["result"] == "accepted":
         print(
@@ -113,7 +113,7 @@
     return input("why (goes into the audit trail): ").strip()
 
 
-def _code(answer: client.Answer) -> int:
+def _exit_code(answer: client.Answer) -> int:
     if answer.status == 409:
         return codes.CONFLICT
     if answer.status >= 500:
@@ -124,4 +124,4 @@
     return codes.OK if told["result"] == "accepted" else codes.UNAVAILABLE
 
 
-__all__ = ["describe", "send"]
+__all__ = ["format_change", "submit"]
--- a/src/godwittack/command/undo.py
+++ b/src/godwittack/command/undo.py
@@ -4,7 +4,7 @@
 
 from result import Err
 
-from godwittack.command import changing, client, codes, history, parser
+from godwittack.command import client, codes, history, parser, submission
 from godwittack.table import edit
 
 
@@ -25,13 +25,13 @@
         target: Which daemon to ask.
         json: Print the daemon's answer as JSON.
     """
-    got = history.entries(target, after=version - 1)
+    got = history.fetch_entries(target, after=version - 1)
     if isinstance(got, Err):
         return client.fail(got.err_value, codes.UNAVAILABLE)
     if not got.ok_value or got.ok_value[0].version != version:
         return client.fail(f"no version {version} is in the history")
     changes = edit.invert(got.ok_value[0].changes)
-    return changing.send(
+    return submission.submit(
         target,
         changes,
         why=why or f"undo of version {version}",
--- a/src/godwittack/config/settings.py
+++ b/src/godwittack/config/settings.py
@@ -211,21 +211,21 @@
 
     @pydantic.field_validator("decisions")
     @classmethod
-    def _known_decisions(
+    def _check_decisions(
         cls, value: dict[str, int | float]
     ) -> dict[str, int | float]:
         return _check_names(value, policies.Policy)
 
     @pydantic.field_validator("membership")
     @classmethod
-    def _known_membership(
+    def _check_membership(
         cls, value: dict[str, int | float]
     ) -> dict[str, int | float]:
         return _check_names(value, view.MemberPolicy)
 
     @pydantic.field_validator("platform_url")
     @classmethod
-    def _http_url(cls, value: str) -> str:
+    def _check_platform_url(cls, value: str) -> str:
         if not value.startswith(("http://", "https://")):
             raise ValueError("write http://IP:port")
         return value
@@ -237,32 +237,33 @@
 
     def policy(self) -> policies.Policy:
         """Returns the core's numbers."""
-        bounded = dataclasses.replace(
+        defaults = dataclasses.replace(
             policies.Policy(),
             old_weights_limit_ms=max(
                 0, self.weights_bound_ms - WEIGHTS_MARGIN_MS
             ),
         )
         return dataclasses.replace(
-            bounded, **_typed(self.decisions, policies.Policy)
+            defaults, **_convert_numbers(self.decisions, policies.Policy)
         )
 
     def member_policy(self) -> view.MemberPolicy:
         """Returns the membership's numbers."""
         return dataclasses.replace(
-            view.MemberPolicy(), **_typed(self.membership, view.MemberPolicy)
+            view.MemberPolicy(),
+            **_convert_numbers(self.membership, view.MemberPolicy),
         )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Loaded:
+class LoadedSettings:
     """Settings with the secrets that they point to."""
 
     settings: Settings
     cluster_secret: bytes
 
 
-def load(path: str) -> Result[Loaded, str]:
+def load(path: str) -> Result[LoadedSettings, str]:
     """Reads and checks a settings file.
 
     Returns:
@@ -282,7 +283,7 @@
     except pydantic.ValidationError as error:
         return Err(f"{path}: {_explain(error)}")
     if settings.cluster_secret:
-        return Ok(Loaded(settings, settings.cluster_secret.encode()))
+        return Ok(LoadedSettings(settings, settings.cluster_secret.encode()))
     if not settings.cluster_secret_file:
         return Err(f"{path}: cluster_secret_file: missing; write its path")
     secret_path = pathlib.Path(path).parent / settings.cluster_secret_file
@@ -295,7 +296,7 @@
             f"{path}: cluster_secret_file: write at least"
             f" {MIN_SECRET_BYTES} bytes into it"
         )
-    return Ok(Loaded(settings, secret))
+    return Ok(LoadedSettings(settings, secret))
 
 
 def _explain(error: pydantic.ValidationError) -> str:
@@ -303,7 +304,7 @@
     key = ".".join(str(part) for part in first["loc"]) or "settings"
     field = Settings.model_fields.get(str(first["loc"][0]))
     if first["type"] == "extra_forbidden":
-        close = _closest(key)
+        close = _closest_setting(key)
         hint = f"did you mean {close}?" if close else "see godwittack settings"
         return f"{key}: no such setting; {hint}"
     if first["type"] == "missing":
@@ -313,7 +314,7 @@
     return f"{key}: {first['msg']}{meaning}"
 
 
-def _closest(key: str) -> str:
+def _closest_setting(key: str) -> str:
     found = difflib.get_close_matches(key, Settings.model_fields, n=1)
     return found[0] if found else ""
 
@@ -330,7 +331,9 @@
     return value
 
 
-def _typed(value: dict[str, int | float], owner: type) -> dict[str, Any]:
+def _convert_numbers(
+    value: dict[str, int | float], owner: type
+) -> dict[str, Any]:
     types = {field.name: field.type for field in dataclasses.fields(owner)}
     return {
         name: int(number) if types[name] == "int" else float(number)
@@ -338,4 +341,4 @@
     }
 
 
-__all__ = ["Interface", "Loaded", "Operator", "Settings", "load"]
+__all__ = ["Interface", "LoadedSettings", "Operator", "Settings", "load"]
--- a/src/godwittack/config/trouble.py
+++ b/src/godwittack/config/validation.py
@@ -14,7 +14,7 @@
 PLATFORM_TIMEOUT_S = 2.0
 
 
-def load_checked(path: str) -> Result[configs.Loaded, str]:
+def load_and_check(path: str) -> Result[configs.LoadedSettings, str]:
     """Loads settings and tries the addresses they name."""
     loaded = configs.load(path)
     if isinstance(loaded, Err):
@@ -28,19 +28,19 @@
         ("peer_address", socket.SOCK_STREAM),
         ("peer_address", socket.SOCK_DGRAM),
     ):
-        trouble = _cannot_bind(getattr(settings, key), kind)
+        trouble = _bind_error(getattr(settings, key), kind)
         if trouble:
             return Err(f"{path}: {key}: {trouble}; write a free IP:port")
     return Ok(loaded.ok_value)
 
 
-def platform_trouble(path: str, loaded: configs.Loaded) -> str:
+def check_platform(path: str, loaded: configs.LoadedSettings) -> str:
     """Returns why the platform can't be reached, or nothing."""
-    trouble = _cannot_reach(loaded.settings.platform_url)
+    trouble = _connection_error(loaded.settings.platform_url)
     return f"{path}: platform_url: {trouble}" if trouble else ""
 
 
-def _cannot_bind(address: str, kind: socket.SocketKind) -> str:
+def _bind_error(address: str, kind: socket.SocketKind) -> str:
     host, port = addresses.split(address)
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     with socket.socket(family, kind) as probe:
@@ -53,7 +53,7 @@
     return ""
 
 
-def _cannot_reach(url: str) -> str:
+def _connection_error(url: str) -> str:
     try:
         with urllib.request.urlopen(
             url + "/instances", timeout=PLATFORM_TIMEOUT_S
@@ -63,4 +63,4 @@
         return f"{url} can't be reached ({error})"
 
 
-__all__ = ["load_checked", "platform_trouble"]
+__all__ = ["load_and_check", "check_platform"]
--- a/src/godwittack/core/admission.py
+++ b/src/godwittack/core/admission.py
@@ -54,7 +54,7 @@
     if asked.route is not None:
         request.give_up_at_ms = arrived_at_ms + asked.route.timeout_ms
         if asked.route.streaming:
-            request.leaves_at_ms = arrived_at_ms + asked.route.patience_ms
+            request.leaves_at_ms = arrived_at_ms + asked.route.caller_timeout_ms
     if not _within_limits(world, request, workspace):
         return
     world.requests[request.request_id] = request
--- a/src/godwittack/core/routing.py
+++ b/src/godwittack/core/routing.py
@@ -56,7 +56,7 @@
     if refusal is not None:
         return refusal
     name = world.table.workspace_by_token.get(asked.token_sha256, "")
-    target = found.target_of(arrived.request_id)
+    target = found.select_target(arrived.request_id)
     is_model = target in forwarding.engines
     kind = work.WorkKind.GENERATION if is_model else work.WorkKind.PLAIN
     return Routed(
--- a/src/godwittack/daemon/base.py
+++ b/src/godwittack/daemon/base.py
@@ -56,7 +56,7 @@
     seeds: tuple[str, ...]
 
     @classmethod
-    def from_config(cls, loaded: configs.Loaded) -> Base:
+    def from_config(cls, loaded: configs.LoadedSettings) -> Base:
         """Builds the parts of a process that has just started."""
         settings = loaded.settings
         clock = SystemClock()
--- a/src/godwittack/daemon/edge.py
+++ b/src/godwittack/daemon/edge.py
@@ -69,7 +69,7 @@
 
     def __init__(
         self,
-        loaded: configs.Loaded,
+        loaded: configs.LoadedSettings,
         session: aiohttp.ClientSession,
         write_line: Callable[[str], None],
         delay: loop_delay.ReadDelay,
@@ -407,7 +407,7 @@
 
 
 async def serve(
-    loaded: configs.Loaded,
+    loaded: configs.LoadedSettings,
     *,
     write_line: Callable[[str], None],
     delay: loop_delay.ReadDelay,
--- a/src/godwittack/daemon/following.py
+++ b/src/godwittack/daemon/following.py
@@ -141,13 +141,13 @@
             return self._failed(got.err_value)
         self._answered(started_ms)
         page = got.ok_value
-        if page.newest < self._newest:
+        if page.newest_version < self._newest:
             # Read from a copy that lags: taking it in would take back what
             # is known to have been acknowledged.
             logging.info(
                 "event=store_read_stale table=%s newest=%d known=%d",
                 self._table,
-                page.newest,
+                page.newest_version,
                 self._newest,
             )
             return False
@@ -164,7 +164,7 @@
             self._on_confirmed(made_at_ms)
         return True
 
-    async def _snapshot(self) -> protocol.Got[protocol.FeedPage]:
+    async def _snapshot(self) -> protocol.PlatformResult[protocol.FeedPage]:
         """Reads all rows.
 
         Where they take several pages, what changed between those is told
@@ -210,7 +210,7 @@
             else:
                 rows[row.key] = row
         self.rows = rows
-        self._newest = page.newest
+        self._newest = page.newest_version
         self._needs_snapshot = False
         # A row may have been made and removed between two calls. Not told of,
         # its version would be read and never in force, and no answer would
--- a/src/godwittack/daemon/naming.py
+++ b/src/godwittack/daemon/naming.py
@@ -32,7 +32,7 @@
         self,
         rows: Mapping[str, protocol.ChangedRow],
         decode: Callable[
-            [protocol.ChangedRow], Result[model.NamedWeights | None, str]
+            [protocol.ChangedRow], Result[model.PublishedWeights | None, str]
         ],
     ) -> None:
         """Takes in rows; older versions than known are left out."""
--- a/src/godwittack/daemon/process.py
+++ b/src/godwittack/daemon/process.py
@@ -12,7 +12,7 @@
 from godwittack import clock
 from godwittack.clock import loop_delay
 from godwittack.config import settings as configs
-from godwittack.config import trouble as troubles
+from godwittack.config import validation
 
 
 def run(path: str) -> Result[None, str]:
@@ -27,7 +27,7 @@
     Raises:
         OSError: An address is in use.
     """
-    got = troubles.load_checked(path)
+    got = validation.load_and_check(path)
     if isinstance(got, Err):
         return got
     loaded = got.ok_value
@@ -41,7 +41,7 @@
     return Ok(None)
 
 
-def _run_on_platform(loaded: configs.Loaded) -> None:
+def _run_on_platform(loaded: configs.LoadedSettings) -> None:
     # Each way of running imports what it needs, and starts the sooner.
     from godwittack.daemon import edge, logs
 
@@ -57,10 +57,10 @@
         writer.close()
 
 
-def _run(path: str, loaded: configs.Loaded) -> None:
+def _run(path: str, loaded: configs.LoadedSettings) -> None:
     from godwittack.daemon import serve
 
-    trouble = troubles.platform_trouble(path, loaded)
+    trouble = validation.check_platform(path, loaded)
     if trouble:
         # The platform has outages, and a daemon must start during one.
         print(f"{trouble}; starting without it", file=sys.stderr)
--- a/src/godwittack/daemon/serve.py
+++ b/src/godwittack/daemon/serve.py
@@ -44,7 +44,9 @@
 class Daemon:
     """One daemon process: the core and all its shells."""
 
-    def __init__(self, loaded: configs.Loaded, sessions: Sessions) -> None:
+    def __init__(
+        self, loaded: configs.LoadedSettings, sessions: Sessions
+    ) -> None:
         """Wires the parts; nothing runs yet."""
         self._settings = settings = loaded.settings
         self._sessions = sessions
@@ -57,7 +59,7 @@
             session=sessions.platform,
             base_url=settings.platform_url,
             timeout_ms=settings.platform_timeout_ms,
-            pause_ms=settings.platform_pause_ms,
+            backoff_ms=settings.platform_pause_ms,
             clock=clock,
         )
         backend = backend_http.HttpBackend(
@@ -223,7 +225,7 @@
 
     def _build_app(
         self,
-        loaded: configs.Loaded,
+        loaded: configs.LoadedSettings,
         store: table_store.TableStore,
         platform: platform_http.HttpPlatform,
         counts: ledger.Ledger,
@@ -301,7 +303,7 @@
         await self.platform.close()
 
 
-async def serve(loaded: configs.Loaded) -> None:
+async def serve(loaded: configs.LoadedSettings) -> None:
     """Runs a daemon until it is stopped."""
     sessions = Sessions()
     try:
--- a/src/godwittack/daemon/tables.py
+++ b/src/godwittack/daemon/tables.py
@@ -96,7 +96,7 @@
         for address in peer_addresses:
             await self.fetch_from_peer(address)
         if self.table.version == 0:
-            copy = await self.tables.copy()
+            copy = await self.tables.read_copy()
             if copy is not None:
                 self.adopt(copy)
 
--- a/src/godwittack/entry/operate.py
+++ b/src/godwittack/entry/operate.py
@@ -15,7 +15,7 @@
 from godwittack.daemon import change as changes
 from godwittack.entry import parse, refusal, weights
 from godwittack.report import ledger
-from godwittack.table import schema, sheet, store
+from godwittack.table import csv_format, schema, store
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -76,7 +76,9 @@
                 headers=headers,
             )
         return web.Response(
-            text=sheet.to_csv(table), content_type="text/csv", headers=headers
+            text=csv_format.to_csv(table),
+            content_type="text/csv",
+            headers=headers,
         )
 
     async def change(self, request: web.Request, who: str) -> web.Response:
--- a/src/godwittack/platform/rows.py
+++ b/src/godwittack/platform/rows.py
@@ -61,7 +61,7 @@
         self,
         conditions: tuple[protocol.Condition, ...],
         writes: tuple[protocol.RowWrite, ...],
-    ) -> protocol.Got[protocol.Transacted]:
+    ) -> protocol.PlatformResult[protocol.TransactionResult]:
         """Makes all writes if all conditions hold."""
         body = {
             "precondition": [
@@ -81,7 +81,7 @@
         status, answer = got.ok_value
         rows = tuple(_stored(row, answer.now_ms) for row in answer.rows)
         return Ok(
-            protocol.Transacted(
+            protocol.TransactionResult(
                 status != STATUS_CONDITION_FAILED,
                 rows,
                 answer.row_version,
@@ -91,7 +91,7 @@
 
     async def read(
         self, row_id: protocol.RowId
-    ) -> protocol.Got[protocol.StoredRow]:
+    ) -> protocol.PlatformResult[protocol.StoredRow]:
         """Returns one row."""
         got = await self._range("read", row_id.table, row_id.key, limit=1)
         if isinstance(got, Err):
@@ -104,14 +104,14 @@
 
     async def page(
         self, table: str, *, from_key: str
-    ) -> protocol.Got[protocol.FeedPage]:
+    ) -> protocol.PlatformResult[protocol.FeedPage]:
         """Returns rows of a table, from a key on."""
         got = await self._range("scan", table, from_key, limit=PAGE_ROWS)
         return got if isinstance(got, Err) else Ok(_page(got.ok_value))
 
     async def _range(
         self, step: str, table: str, from_key: str, *, limit: int
-    ) -> protocol.Got[_Rows]:
+    ) -> protocol.PlatformResult[_Rows]:
         query = {"table": table, "part": "", "limit": str(limit)}
         if from_key:
             query["from"] = from_key
@@ -120,7 +120,7 @@
 
     async def changes(
         self, table: str, *, after: int, wait_ms: int
-    ) -> protocol.Got[protocol.FeedPage]:
+    ) -> protocol.PlatformResult[protocol.FeedPage]:
         """Returns changes after a version."""
         query = {"table": table, "after": str(after), "wait-ms": str(wait_ms)}
         got = await self._call(
@@ -139,7 +139,7 @@
         query: Mapping[str, str] | None = None,
         body: bytes | None = None,
         wait_ms: int = 0,
-    ) -> protocol.Got[tuple[int, _Rows]]:
+    ) -> protocol.PlatformResult[tuple[int, _Rows]]:
         url = f"http://{self._address}{path}"
         if query:
             url = f"{url}?{parse.urlencode(query)}"
@@ -148,7 +148,7 @@
             method,
             url,
             body=body,
-            limit_ms=self._timeout_ms + wait_ms,
+            timeout_ms=self._timeout_ms + wait_ms,
         )
         if isinstance(got, Err):
             return self._error(step, got.err_value.detail)
@@ -211,7 +211,7 @@
     )
     return protocol.FeedPage(
         rows=rows,
-        newest=page.row_version,
+        newest_version=page.row_version,
         service_ms=page.now_ms,
         next_key=rows[-1].key + "\0" if page.has_more and rows else "",
     )
--- a/src/godwittack/platform/table.py
+++ b/src/godwittack/platform/table.py
@@ -88,7 +88,7 @@
 
 def weights_from_row(
     row: protocol.ChangedRow,
-) -> Result[model.NamedWeights | None, str]:
+) -> Result[model.PublishedWeights | None, str]:
     """Decodes a row that names weights; None for a row of another kind."""
     if not row.key.startswith(names.WEIGHTS_KEY_PREFIX) or row.deleted:
         return Ok(None)
@@ -98,7 +98,7 @@
         return Err(wire.why(error))
     if row.key != names.WEIGHTS_KEY_PREFIX + named.model:
         return Err(f"it names {named.model}")
-    return Ok(model.NamedWeights(named.model, str(named.version)))
+    return Ok(model.PublishedWeights(named.model, str(named.version)))
 
 
 def table_from_rows(
--- a/src/godwittack/store/call.py
+++ b/src/godwittack/store/call.py
@@ -11,17 +11,17 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Failure:
+class CallFailure:
     """A call that brought no answer.
 
     Attributes:
         detail: One line for people.
-        sent: Whether a byte may have reached the store.
+        may_have_run: Whether a byte may have reached the store.
         timed_out: Whether its time ran out.
     """
 
     detail: str
-    sent: bool = True
+    may_have_run: bool = True
     timed_out: bool = False
 
 
@@ -39,8 +39,8 @@
     url: str,
     *,
     body: bytes | None,
-    limit_ms: int,
-) -> Result[Reply, Failure]:
+    timeout_ms: int,
+) -> Result[Reply, CallFailure]:
     """Makes one call; redirects are answers like others."""
     try:
         async with session.request(
@@ -48,16 +48,16 @@
             url,
             data=body,
             headers=JSON_TYPE if body else {},
-            timeout=aiohttp.ClientTimeout(total=limit_ms / 1000),
+            timeout=aiohttp.ClientTimeout(total=timeout_ms / 1000),
             allow_redirects=False,
         ) as response:
             return Ok(Reply(response.status, await response.read()))
     except TimeoutError:
-        return Err(Failure("no answer in time", timed_out=True))
+        return Err(CallFailure("no answer in time", timed_out=True))
     except aiohttp.ClientConnectorError as error:
-        return Err(Failure(str(error), sent=False))
+        return Err(CallFailure(str(error), may_have_run=False))
     except (aiohttp.ClientError, OSError) as error:
-        return Err(Failure(str(error) or type(error).__name__))
+        return Err(CallFailure(str(error) or type(error).__name__))
 
 
-__all__ = ["Failure", "Reply", "exchange"]
+__all__ = ["CallFailure", "Reply", "exchange"]
--- a/src/godwittack/store/http.py
+++ b/src/godwittack/store/http.py
@@ -61,22 +61,22 @@
         session: aiohttp.ClientSession,
         base_url: str,
         timeout_ms: int,
-        pause_ms: int,
+        backoff_ms: int,
         clock: Clock,
     ) -> None:
         """Uses `session` for all calls to `base_url`."""
         self._session = session
         self._base_url = base_url.rstrip("/")
         self._timeout_ms = timeout_ms
-        self._pause_ms = pause_ms
+        self._backoff_ms = backoff_ms
         self._clock = clock
-        self._down_until_ms = 0
+        self._backoff_until_ms = 0
 
     async def transact(
         self,
         conditions: tuple[protocol.Condition, ...],
         writes: tuple[protocol.RowWrite, ...],
-    ) -> Result[protocol.Transacted, protocol.PlatformError]:
+    ) -> Result[protocol.TransactionResult, protocol.PlatformError]:
         """Makes all writes if all conditions hold."""
         body = {
             "conditions": [
@@ -104,7 +104,7 @@
         stored = _TransactedJson.model_validate_json(got.ok_value)
         rows = tuple(_row(row) for row in stored.rows)
         return Ok(
-            protocol.Transacted(
+            protocol.TransactionResult(
                 stored.committed, rows, service_ms=stored.now_ms
             )
         )
@@ -169,36 +169,40 @@
     async def _call(
         self, step: str, method: str, path: str, body: bytes | None = None
     ) -> Result[bytes, protocol.PlatformError]:
-        if self._clock.now_ms() < self._down_until_ms:
-            return self._error(step, "unreachable a moment ago", sent=False)
+        if self._clock.now_ms() < self._backoff_until_ms:
+            return self._error(
+                step, "unreachable a moment ago", may_have_run=False
+            )
         got = await calls.exchange(
             self._session,
             method,
             self._base_url + path,
             body=body,
-            limit_ms=self._timeout_ms,
+            timeout_ms=self._timeout_ms,
         )
         if isinstance(got, Err):
             failure = got.err_value
-            if failure.timed_out or not failure.sent:
-                self._pause()
-            return self._error(step, failure.detail, sent=failure.sent)
+            if failure.timed_out or not failure.may_have_run:
+                self._start_backoff()
+            return self._error(
+                step, failure.detail, may_have_run=failure.may_have_run
+            )
         if got.ok_value.status != 200:
             return self._error(step, f"status {got.ok_value.status}")
         return Ok(got.ok_value.body)
 
-    def _pause(self) -> None:
-        self._down_until_ms = self._clock.now_ms() + self._pause_ms
+    def _start_backoff(self) -> None:
+        self._backoff_until_ms = self._clock.now_ms() + self._backoff_ms
 
     def _error(
-        self, step: str, detail: str, *, sent: bool = True
+        self, step: str, detail: str, *, may_have_run: bool = True
     ) -> Err[protocol.PlatformError]:
         return Err(
             protocol.PlatformError(
                 step=step,
                 peer=self._base_url,
                 detail=detail,
-                may_have_run=sent,
+                may_have_run=may_have_run,
             )
         )
 
--- a/src/godwittack/store/protocol.py
+++ b/src/godwittack/store/protocol.py
@@ -8,7 +8,7 @@
 
 from result import Result
 
-_Got = TypeVar("_Got")
+_Value = TypeVar("_Value")
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
@@ -36,7 +36,7 @@
 
 
 # What a call brings: its answer, or why there is none.
-Got: TypeAlias = Result[_Got, PlatformError]
+PlatformResult: TypeAlias = Result[_Value, PlatformError]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -78,7 +78,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Transacted:
+class TransactionResult:
     """What became of a transaction.
 
     Attributes:
@@ -101,10 +101,10 @@
         self,
         conditions: tuple[Condition, ...],
         writes: tuple[RowWrite, ...],
-    ) -> Got[Transacted]:
+    ) -> PlatformResult[TransactionResult]:
         """Makes all writes if all conditions hold."""
 
-    async def read(self, row_id: RowId) -> Got[StoredRow]:
+    async def read(self, row_id: RowId) -> PlatformResult[StoredRow]:
         """Returns one row, from a replica that may lag."""
 
 
@@ -113,7 +113,7 @@
 
     async def scan(
         self, table: str, *, after: str, limit: int
-    ) -> Got[list[StoredRow]]:
+    ) -> PlatformResult[list[StoredRow]]:
         """Returns up to `limit` rows with keys above `after`, in order."""
 
 
@@ -133,13 +133,13 @@
 
     Attributes:
         rows: All rows for a snapshot, else those changed, in order.
-        newest: Version up to which the rows are told.
+        newest_version: Version up to which the rows are told.
         service_ms: The store's steady clock when it answered.
         next_key: Where the next page begins; empty for the last one.
     """
 
     rows: tuple[ChangedRow, ...]
-    newest: int
+    newest_version: int
     service_ms: int = 0
     next_key: str = ""
 
@@ -147,29 +147,31 @@
 class RowFeed(Protocol):
     """Changes of a table's rows, told as they happen."""
 
-    async def page(self, table: str, *, from_key: str) -> Got[FeedPage]:
+    async def page(
+        self, table: str, *, from_key: str
+    ) -> PlatformResult[FeedPage]:
         """Returns rows of a table as of one moment, from a key on."""
 
     async def changes(
         self, table: str, *, after: int, wait_ms: int
-    ) -> Got[FeedPage]:
+    ) -> PlatformResult[FeedPage]:
         """Returns changes after a version, waiting for one up to a limit."""
 
 
 class ObjectStore(Protocol):
     """Named objects without transactions."""
 
-    async def get(self, name: str) -> Got[bytes | None]:
+    async def get(self, name: str) -> PlatformResult[bytes | None]:
         """Returns an object, or None where there is none."""
 
-    async def put(self, name: str, data: bytes) -> Got[None]:
+    async def put(self, name: str, data: bytes) -> PlatformResult[None]:
         """Writes an object."""
 
 
 class WeightStore(Protocol):
     """Versions of weights; the engines load them from it themselves."""
 
-    async def versions(self, model: str) -> Got[tuple[str, ...]]:
+    async def versions(self, model: str) -> PlatformResult[tuple[str, ...]]:
         """Returns the versions that can be loaded."""
 
 
@@ -210,7 +212,7 @@
 class InstanceList(Protocol):
     """Live and leaving instances; lags."""
 
-    async def instances(self) -> Got[tuple[Instance, ...]]:
+    async def instances(self) -> PlatformResult[tuple[Instance, ...]]:
         """Returns all entries."""
 
 
@@ -219,7 +221,7 @@
     "Condition",
     "ConditionalRows",
     "FeedPage",
-    "Got",
+    "PlatformResult",
     "Instance",
     "InstanceList",
     "InstanceRole",
@@ -230,6 +232,6 @@
     "RowWrite",
     "StoredRow",
     "TableService",
-    "Transacted",
+    "TransactionResult",
     "WeightStore",
 ]
--- a/src/godwittack/table/edit.py
+++ b/src/godwittack/table/edit.py
@@ -16,8 +16,8 @@
 def diff(before: model.Table, after: model.Table) -> list[model.CellChange]:
     """Returns the cells that differ, in sheet order."""
     changes: list[model.CellChange] = []
-    old_rows = {_key(row): row for row in before.rows()}
-    new_rows = {_key(row): row for row in after.rows()}
+    old_rows = {_row_key(row): row for row in before.rows()}
+    new_rows = {_row_key(row): row for row in after.rows()}
     for key in [*old_rows, *(k for k in new_rows if k not in old_rows)]:
         changes.extend(
             _diff_row(key[0], key[1], old_rows.get(key), new_rows.get(key))
@@ -36,7 +36,7 @@
     Returns:
         The table with the version raised by one, or a one-line error.
     """
-    cells = {_key(row): _cells(row) for row in table.rows()}
+    cells = {_row_key(row): _cells(row) for row in table.rows()}
     for change in changes:
         key = (change.kind, change.name)
         if change.column == model.ROW_COLUMN:
@@ -58,7 +58,7 @@
     return Ok(model.Table.from_rows(version=table.version + 1, rows=rows))
 
 
-def conflicts(
+def find_conflicts(
     table: model.Table, changes: Iterable[model.CellChange]
 ) -> list[model.CellChange]:
     """Returns what now stands in cells that `changes` saw otherwise.
@@ -69,7 +69,7 @@
     found: list[model.CellChange] = []
     for change in changes:
         row = table.row(change.kind, change.name)
-        now = _value_now(row, change.column)
+        now = _cell_value(row, change.column)
         if now != change.before and now != change.after:
             found.append(dataclasses.replace(change, after=now))
     return found
@@ -86,29 +86,29 @@
     return inverted
 
 
-def _key(row: model.Row) -> tuple[model.RowKind, str]:
+def _row_key(row: model.Row) -> tuple[model.RowKind, str]:
     return (model.row_kind(row), row.name)
 
 
 def _cells(row: model.Row) -> dict[str, model.CellValue]:
     return {
-        field.name: _plain(getattr(row, field.name))
+        field.name: _plain_value(getattr(row, field.name))
         for field in dataclasses.fields(row)
     }
 
 
-def _plain(value: model.CellValue) -> model.CellValue:
+def _plain_value(value: model.CellValue) -> model.CellValue:
     if isinstance(value, model.Repeatable):
         return value.value
     return value
 
 
-def _value_now(row: model.Row | None, column: str) -> model.CellValue | None:
+def _cell_value(row: model.Row | None, column: str) -> model.CellValue | None:
     if row is None:
         return None
     if column == model.ROW_COLUMN:
         return row.name
-    return _plain(getattr(row, column))
+    return _plain_value(getattr(row, column))
 
 
 def _diff_row(
@@ -129,8 +129,8 @@
             )
         )
     for column in model.columns(kind):
-        old = _value_now(before, column)
-        new = _value_now(after, column)
+        old = _cell_value(before, column)
+        new = _cell_value(after, column)
         if old != new:
             changes.append(
                 model.CellChange(
@@ -140,4 +140,4 @@
     return changes
 
 
-__all__ = ["apply", "conflicts", "diff", "invert"]
+__all__ = ["apply", "find_conflicts", "diff", "invert"]
--- a/src/godwittack/table/forwarding.py
+++ b/src/godwittack/table/forwarding.py
@@ -16,9 +16,9 @@
 
 
 # Callers of streams leave when no event has come for the longest of these.
-LEAST_PATIENCE_MS = 2_000
-AIMS_OF_PATIENCE = 4
-GAPS_OF_PATIENCE = 8
+MIN_CALLER_TIMEOUT_MS = 2_000
+CALLER_TIMEOUT_AIMS = 4
+CALLER_TIMEOUT_GAP_AIMS = 8
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
@@ -56,15 +56,15 @@
     anonymous: bool = False
 
     @property
-    def patience_ms(self) -> int:
+    def caller_timeout_ms(self) -> int:
         """Time for which callers of a stream wait for its next event."""
         return max(
-            LEAST_PATIENCE_MS,
-            AIMS_OF_PATIENCE * self.aim_ms,
-            GAPS_OF_PATIENCE * self.gap_aim_ms,
+            MIN_CALLER_TIMEOUT_MS,
+            CALLER_TIMEOUT_AIMS * self.aim_ms,
+            CALLER_TIMEOUT_GAP_AIMS * self.gap_aim_ms,
         )
 
-    def target_of(self, request_id: str) -> str:
+    def select_target(self, request_id: str) -> str:
         """Returns the target of a request, split by a hash of its id."""
         if len(self.targets) == 1:
             return self.targets[0].target
--- a/src/godwittack/table/model.py
+++ b/src/godwittack/table/model.py
@@ -64,8 +64,8 @@
     @property
     def is_unlimited(self) -> bool:
         """Whether neither number of requests is limited."""
-        least = min(self.max_in_flight, self.max_requests_per_s)
-        return least >= NO_LIMIT
+        lowest_limit = min(self.max_in_flight, self.max_requests_per_s)
+        return lowest_limit >= NO_LIMIT
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
@@ -109,7 +109,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NamedWeights:
+class PublishedWeights:
     """The version of weights that a model's servers should load."""
 
     model: str
@@ -202,12 +202,12 @@
 
     def row(self, kind: RowKind, name: str) -> Row | None:
         """Returns one row, or None where there is none."""
-        sheets: dict[RowKind, dict[str, Row]] = {
+        rows_by_kind: dict[RowKind, dict[str, Row]] = {
             RowKind.WORKSPACE: dict(self.workspaces),
             RowKind.MODEL: dict(self.models),
             RowKind.SERVICE: dict(self.services),
         }
-        return sheets[kind].get(name)
+        return rows_by_kind[kind].get(name)
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
@@ -267,7 +267,7 @@
     "CellChange",
     "CellValue",
     "ModelRow",
-    "NamedWeights",
+    "PublishedWeights",
     "Repeatable",
     "Row",
     "RowKind",
--- a/src/godwittack/table/store.py
+++ b/src/godwittack/table/store.py
@@ -18,11 +18,11 @@
 CHANGE_TABLE = "change"
 VERSION_ROW = protocol.RowId(CONFIG_TABLE, "version")
 TABLE_ROW = protocol.RowId(CONFIG_TABLE, "table")
-OBJECT_NAME = "table-latest"
-COMMIT_TRIES = 8
+COPY_OBJECT_NAME = "table-latest"
+MAX_COMMIT_ATTEMPTS = 8
 # A row version that no row has.
-UNMET_VERSION = -1
-AUDIT_PAGE = 500
+NEVER_MATCHING_VERSION = -1
+AUDIT_PAGE_ROWS = 500
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
@@ -98,11 +98,11 @@
         got = await self._service.read(TABLE_ROW)
         if isinstance(got, Err):
             return got
-        return Ok(_parse(got.ok_value.value))
+        return Ok(_parse_table(got.ok_value.value))
 
-    async def copy(self) -> model.Table | None:
+    async def read_copy(self) -> model.Table | None:
         """Returns the object store's copy, which may be old, or None."""
-        got = await self._objects.get(OBJECT_NAME)
+        got = await self._objects.get(COPY_OBJECT_NAME)
         if isinstance(got, Err) or got.ok_value is None:
             return None
         parsed = schema.table_from_json(got.ok_value.decode())
@@ -111,7 +111,7 @@
     async def write_copy(self, table: model.Table) -> None:
         """Writes the object store's copy; a failure only leaves it old."""
         await self._objects.put(
-            OBJECT_NAME, schema.table_to_json(table).encode()
+            COPY_OBJECT_NAME, schema.table_to_json(table).encode()
         )
 
     async def history(
@@ -122,7 +122,7 @@
         after = _audit_key(after_version)
         while True:
             got = await self._service.scan(
-                AUDIT_TABLE, after=after, limit=AUDIT_PAGE
+                AUDIT_TABLE, after=after, limit=AUDIT_PAGE_ROWS
             )
             if isinstance(got, Err):
                 return got
@@ -131,7 +131,7 @@
                 if isinstance(parsed, Ok):
                     entries.append(parsed.ok_value)
                 after = row.row_id.key
-            if len(got.ok_value) < AUDIT_PAGE:
+            if len(got.ok_value) < AUDIT_PAGE_ROWS:
                 return Ok(entries)
 
     async def commit(
@@ -146,11 +146,11 @@
         lost, or that another daemon made for the same command, is recognized.
         """
         table, row_version = base, await self._row_version(base)
-        for _ in range(COMMIT_TRIES):
+        for _ in range(MAX_COMMIT_ATTEMPTS):
             merged = await self._merge(proposal, table)
             if not isinstance(merged, model.Table):
-                return await self._settle(proposal, merged)
-            entry = _entry(proposal, table, merged)
+                return await self._earlier_commit_or(proposal, merged)
+            entry = _audit_entry(proposal, table, merged)
             got = await self._transact(proposal, merged, entry, row_version)
             if isinstance(got, Err):
                 if not got.err_value.may_have_run:
@@ -162,29 +162,29 @@
                 await self.write_copy(merged)
                 return Ok(Committed(merged, entry))
             rows = {row.row_id: row for row in got.ok_value.rows}
-            settled = _settled(rows, proposal)
+            settled = _earlier_commit(rows, proposal)
             if settled is not None:
                 return Ok(settled)
-            table = _parse(rows[TABLE_ROW].value)
+            table = _parse_table(rows[TABLE_ROW].value)
             row_version = rows[TABLE_ROW].version
         return Err(
             protocol.PlatformError(
                 step="commit table",
                 peer="table service",
-                detail=f"others changed the table {COMMIT_TRIES} times",
+                detail=f"others changed the table {MAX_COMMIT_ATTEMPTS} times",
                 may_have_run=False,
             )
         )
 
     async def _row_version(self, base: model.Table) -> int:
         got = await self._service.read(TABLE_ROW)
-        if isinstance(got, Ok) and _parse(got.ok_value.value) == base:
+        if isinstance(got, Ok) and _parse_table(got.ok_value.value) == base:
             return got.ok_value.version
         # Not the row that the base came from: the condition must fail, and
         # its reply brings the one that stands.
-        return UNMET_VERSION
+        return NEVER_MATCHING_VERSION
 
-    async def _settle(
+    async def _earlier_commit_or(
         self,
         proposal: Proposal,
         refused: Result[CommitResult, protocol.PlatformError],
@@ -196,28 +196,28 @@
         operator as somebody else's.
         """
         # Never true, so that the reply brings the rows as they stand.
-        unmet = protocol.Condition(TABLE_ROW, UNMET_VERSION)
+        unmet = protocol.Condition(TABLE_ROW, NEVER_MATCHING_VERSION)
         made = protocol.Condition(_change_row(proposal), 0)
         got = await self._service.transact((unmet, made), ())
         if isinstance(got, Err):
             return got
         rows = {row.row_id: row for row in got.ok_value.rows}
-        settled = _settled(rows, proposal)
+        settled = _earlier_commit(rows, proposal)
         return refused if settled is None else Ok(settled)
 
     async def _merge(
         self, proposal: Proposal, table: model.Table
     ) -> model.Table | Result[CommitResult, protocol.PlatformError]:
-        clashes = edit.conflicts(table, proposal.changes)
+        clashes = edit.find_conflicts(table, proposal.changes)
         if clashes:
-            others = await self._who_changed(clashes)
+            others = await self._conflicting_entries(clashes)
             return Ok(Conflict(tuple(clashes), others))
         applied = edit.apply(table, proposal.changes)
         if isinstance(applied, Err):
             return Ok(Invalid(applied.err_value))
         return applied.ok_value
 
-    async def _who_changed(
+    async def _conflicting_entries(
         self, clashes: Sequence[model.CellChange]
     ) -> tuple[model.AuditEntry, ...]:
         got = await self.history(after_version=0)
@@ -238,7 +238,7 @@
         merged: model.Table,
         entry: model.AuditEntry,
         row_version: int,
-    ) -> Result[protocol.Transacted, protocol.PlatformError]:
+    ) -> Result[protocol.TransactionResult, protocol.PlatformError]:
         audit_row = protocol.RowId(AUDIT_TABLE, _audit_key(merged.version))
         change_row = _change_row(proposal)
         audit = schema.audit_to_json(entry)
@@ -256,7 +256,7 @@
         )
 
 
-def _entry(
+def _audit_entry(
     proposal: Proposal, before: model.Table, after: model.Table
 ) -> model.AuditEntry:
     return model.AuditEntry(
@@ -274,7 +274,7 @@
     return protocol.RowId(CHANGE_TABLE, proposal.commit_id)
 
 
-def _settled(
+def _earlier_commit(
     rows: dict[protocol.RowId, protocol.StoredRow], proposal: Proposal
 ) -> Committed | None:
     """Returns the commit that was already made for a proposal's nonce."""
@@ -284,10 +284,10 @@
     parsed = schema.audit_from_json(made.value)
     if isinstance(parsed, Err):
         raise ValueError(parsed.err_value)
-    return Committed(_parse(rows[TABLE_ROW].value), parsed.ok_value)
+    return Committed(_parse_table(rows[TABLE_ROW].value), parsed.ok_value)
 
 
-def _parse(value: str) -> model.Table:
+def _parse_table(value: str) -> model.Table:
     if not value:
         return model.Table()
     parsed = schema.table_from_json(value)
--- a/tests/cases/crash_rows.py
+++ b/tests/cases/crash_rows.py
@@ -36,7 +36,7 @@
         for write in writes:
             assert write.row_id.table == crash_rows.TABLE
             self.rows[write.row_id.key] = write.value
-        return Ok(protocol.Transacted(True, ()))
+        return Ok(protocol.TransactionResult(True, ()))
 
     async def page(self, table, *, from_key):
         """Returns all rows."""
@@ -48,7 +48,7 @@
             protocol.ChangedRow(key=key, value=value, version=1)
             for key, value in self.rows.items()
         )
-        return Ok(protocol.FeedPage(rows=tuple(rows), newest=1))
+        return Ok(protocol.FeedPage(rows=tuple(rows), newest_version=1))
 
 
 class Daemon:
--- a/tests/cases/following.py
+++ b/tests/cases/following.py
@@ -55,7 +55,7 @@
     ]
     return Ok(
         protocol.FeedPage(
-            rows=tuple(changed), newest=newest, service_ms=clock_ms
+            rows=tuple(changed), newest_version=newest, service_ms=clock_ms
         )
     )
 
--- a/tests/cases/logs.py
+++ b/tests/cases/logs.py
@@ -61,7 +61,7 @@
     assert told.stories.left_out > 3_000
     by_request: dict[str, list[str]] = {}
     for line in told.lines:
-        fields = dict(explain.PAIR.findall(line))
+        fields = dict(explain.KEY_VALUE.findall(line))
         if "request" in fields:
             by_request.setdefault(fields["request"], []).append(fields["event"])
     for name, events in by_request.items():
--- a/tests/sim/fakes.py
+++ b/tests/sim/fakes.py
@@ -104,11 +104,11 @@
         ]
         return Ok(rows[:limit])
 
-    def _apply(self, conditions, writes) -> platform.Transacted:
+    def _apply(self, conditions, writes) -> platform.TransactionResult:
         current = tuple(self._row(c.row_id) for c in conditions)
         for row, condition in zip(current, conditions, strict=True):
             if row.version != condition.version:
-                return platform.Transacted(
+                return platform.TransactionResult(
                     False, current, service_ms=self.now_ms()
                 )
         for write in writes:
@@ -119,7 +119,7 @@
                 write.row_id, write.value, self.version
             )
             self.on_write()
-        return platform.Transacted(True, (), service_ms=self.now_ms())
+        return platform.TransactionResult(True, (), service_ms=self.now_ms())
 
     def now_ms(self) -> int:
         """Returns the service's own clock, whose origin is its own as well."""
