--- a/src/godwittack/command/__init__.py
+++ b/src/godwittack/command/__init__.py
@@ -1,1 +1,1 @@
-"""Commands of the program, a verb each."""
+"""Commands of the command line, one module each."""
--- a/src/godwittack/command/check.py
+++ b/src/godwittack/command/check.py
@@ -22,15 +22,15 @@
     if isinstance(loaded, Err):
         print(loaded.err_value, file=sys.stderr)
         return codes.BAD_INPUT
-    trouble = validation.check_platform(settings, loaded.ok_value)
-    if trouble:
+    problem = validation.check_platform(settings, loaded.ok_value)
+    if problem:
         print(
-            f"{trouble}; write http://IP:port of the platform's service (in an"
-            " outage of it `serve` starts all the same)",
+            f"{problem}; write http://IP:port of the platform's service"
+            " (`serve` starts even if it is down)",
             file=sys.stderr,
         )
         return codes.BAD_INPUT
-    print(f"{settings}: good, for instance {loaded.ok_value.settings.name}")
+    print(f"{settings}: valid, for instance {loaded.ok_value.settings.name}")
     return codes.OK
 
 
--- a/src/godwittack/command/client.py
+++ b/src/godwittack/command/client.py
@@ -1,4 +1,4 @@
-"""Calls of a daemon's operator side, for the commands."""
+"""Calls the operators' HTTP interface of a daemon."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 
 DAEMON_VARIABLE = "GODWITTACK_DAEMON"
 TOKEN_VARIABLE = "GODWITTACK_TOKEN_FILE"
-# A change is answered within 9 s. A daemon that is silent for longer was
-# paused or cut off, and another one can tell what became of the change.
+# A change is answered within 9 s. A daemon that takes longer was paused or
+# disconnected, and another daemon can report the outcome of the change.
 TIMEOUT_S = 9.0
 READ_TIMEOUT_S = 4.0
 
@@ -27,11 +27,11 @@
 @cyclopts.Parameter(name="*")
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Target:
-    """Which daemon to ask, and as whom.
+    """Which daemon to call, and with which token.
 
     Attributes:
-        daemon: IP:port of any daemon, or of several with commas between, of
-            which the next is asked where one does not answer; default from
+        daemon: IP:port of any daemon, or several separated by commas, of
+            which the next is called if one does not answer; default from
             GODWITTACK_DAEMON.
         token_file: File with your token; default from GODWITTACK_TOKEN_FILE.
     """
@@ -48,7 +48,7 @@
     """A daemon's answer.
 
     Attributes:
-        table_version: Version named in the answer's head, 0 where none is.
+        table_version: Value of the x-table-version header, 0 if absent.
     """
 
     status: int
@@ -62,14 +62,16 @@
     path: str,
     body: dict[str, object] | None = None,
 ) -> Result[Answer, str]:
-    """Calls the daemon and returns its answer, or one line of error.
+    """Calls the daemon and returns its answer, or a one-line error.
 
-    The next named daemon is asked where one does not answer. That is safe for
-    a change as well: its body carries a nonce, which is committed once.
+    If a daemon does not answer, the next one is called. This is safe for
+    changes too: the body contains a nonce, which is committed only once.
     """
     target = target or Target()
-    named = target.daemon or os.environ.get(DAEMON_VARIABLE, "")
-    addresses = [part.strip() for part in named.split(",") if part.strip()]
+    daemon_list = target.daemon or os.environ.get(DAEMON_VARIABLE, "")
+    addresses = [
+        part.strip() for part in daemon_list.split(",") if part.strip()
+    ]
     token_file = target.token_file or os.environ.get(TOKEN_VARIABLE, "")
     if not addresses:
         return Err(
@@ -84,37 +86,39 @@
         token = pathlib.Path(token_file).read_text(encoding="utf-8").strip()
     except OSError as error:
         return Err(f"--token-file {token_file}: {error.strerror}")
-    got: Result[Answer, str] = Err("no daemon asked")
+    answer: Result[Answer, str] = Err("no daemon was called")
     for address in addresses:
-        got = asyncio.run(_call(address, token, method, path, body))
-        if isinstance(got, Ok):
+        answer = asyncio.run(_call(address, token, method, path, body))
+        if isinstance(answer, Ok):
             break
         if address != addresses[-1]:
-            print(f"{got.err_value}; asking the next daemon", file=sys.stderr)
-    return got
+            print(
+                f"{answer.err_value}; trying the next daemon", file=sys.stderr
+            )
+    return answer
 
 
 def fetch_table(target: Target | None) -> Result[model.Table, str]:
-    """Returns the table in force at the daemon."""
-    got = call(target, "GET", "/operator/table?form=json")
-    if isinstance(got, Err):
-        return got
-    if got.ok_value.status != 200:
-        return Err(error_detail(got.ok_value))
-    return schema.table_from_json(got.ok_value.body)
+    """Returns the table that the daemon currently uses."""
+    answer = call(target, "GET", "/operator/table?form=json")
+    if isinstance(answer, Err):
+        return answer
+    if answer.ok_value.status != 200:
+        return Err(error_detail(answer.ok_value))
+    return schema.table_from_json(answer.ok_value.body)
 
 
 def error_detail(answer: Answer) -> str:
-    """Returns what a daemon said was wrong."""
+    """Returns the error detail from a daemon's answer."""
     try:
-        told = json.loads(answer.body)
+        error_body = json.loads(answer.body)
     except ValueError:
         return f"status {answer.status}"
-    return str(told.get("detail", f"status {answer.status}"))
+    return str(error_body.get("detail", f"status {answer.status}"))
 
 
 def fail(message: str, code: int = codes.BAD_INPUT) -> int:
-    """Prints one line of error and returns the exit code."""
+    """Prints a one-line error and returns the exit code."""
     print(message, file=sys.stderr)
     return code
 
--- a/src/godwittack/command/codes.py
+++ b/src/godwittack/command/codes.py
@@ -1,4 +1,4 @@
-"""Exit codes, for scripts."""
+"""Exit codes of the commands."""
 
 from __future__ import annotations
 
--- a/src/godwittack/command/csv_file.py
+++ b/src/godwittack/command/csv_file.py
@@ -1,4 +1,4 @@
-"""Compares a CSV file with the table in force, for two commands."""
+"""Compares a CSV file with the current table, for `import` and `diff`."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CsvFileError:
-    """Why a file can't be compared, and the command's exit code."""
+    """Why a file could not be compared, with the command's exit code."""
 
     detail: str
     code: int
@@ -26,7 +26,7 @@
 def changed_cells(
     file: str, target: client.Target | None
 ) -> Result[list[model.CellChange], CsvFileError]:
-    """Returns the cells that importing a CSV would change."""
+    """Returns the cells that importing a CSV file would change."""
     try:
         text = pathlib.Path(file).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
--- a/src/godwittack/command/explain.py
+++ b/src/godwittack/command/explain.py
@@ -1,4 +1,4 @@
-"""`godwittack explain`: tells one request's story from log lines."""
+"""`godwittack explain`: collects the log lines of one request."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 KEY_VALUE = re.compile(r'(\w+)=("[^"]*"|\S*)')
 REQUEST_KEY = "request"
-# Belief lines that concern a server, told beside a request that used it.
+# Lines about a server's state, shown for requests that used the server.
 SERVER_STATE_EVENTS = frozenset(
     {
         "server_crashed",
@@ -28,7 +28,7 @@
         "server_state",
     }
 )
-# Lines that concern what a request asks, however long before it.
+# Lines about a request's content, shown however long before the request.
 CONTENT_EVENTS = frozenset({"quarantined", "crashes_cleared"})
 
 
@@ -43,39 +43,39 @@
     ],
 ) -> int:
     """Prints what happened to one request, in order, over all daemons."""
-    told = sorted(_request_lines(request_id, list(_read_lines(logs))))
-    if not told:
+    selected = sorted(_request_lines(request_id, list(_read_lines(logs))))
+    if not selected:
         print(
-            f"{request_id}: no line of these logs names it; it may have reached"
-            " another daemon, or been left out under load (see"
+            f"{request_id}: not found in these logs; it may have reached"
+            " another daemon, or its lines were left out under load (see"
             " event=log_lines_left_out)",
             file=sys.stderr,
         )
         return codes.BAD_INPUT
-    for _, line in told:
+    for _, line in selected:
         print(line)
     return codes.OK
 
 
 def _read_lines(logs: tuple[str, ...]) -> Iterator[tuple[str, str]]:
-    """Yields the log's name and each line."""
+    """Yields each line with the name of its log."""
     if not logs:
         yield from (("", line.rstrip("\n")) for line in sys.stdin)
     for name in logs:
         path = pathlib.Path(name)
-        with path.open(encoding="utf-8", errors="replace") as opened:
-            yield from ((path.stem, line.rstrip("\n")) for line in opened)
+        with path.open(encoding="utf-8", errors="replace") as log_file:
+            yield from ((path.stem, line.rstrip("\n")) for line in log_file)
 
 
 def _request_lines(
     request_id: str, lines: Iterable[tuple[str, str]]
 ) -> list[tuple[str, str]]:
-    """Returns the lines of a request, its content and the servers it used."""
-    own: list[tuple[str, str]] = []
-    others: list[tuple[str, str, str]] = []
+    """Returns time and text of lines about a request, its servers, content."""
+    request_lines: list[tuple[str, str]] = []
+    server_lines: list[tuple[str, str, str]] = []
     servers: set[str] = set()
     contents: set[str] = set()
-    of_contents: list[tuple[str, str, str]] = []
+    content_lines: list[tuple[str, str, str]] = []
     for source, line in lines:
         pairs = dict(KEY_VALUE.findall(line))
         shown = f"{source}: {line}" if source else line
@@ -83,27 +83,29 @@
             pairs.get(REQUEST_KEY, "").strip('"').partition("~")[0]
             == request_id
         ):
-            own.append((pairs.get("time", ""), shown))
+            request_lines.append((pairs.get("time", ""), shown))
             servers.add(pairs.get("server", ""))
             contents.add(pairs.get("content", ""))
         elif pairs.get("event") in SERVER_STATE_EVENTS:
-            others.append((pairs.get("time", ""), pairs["server"], shown))
+            server_lines.append((pairs.get("time", ""), pairs["server"], shown))
         elif pairs.get("event") in CONTENT_EVENTS:
-            of_contents.append((pairs.get("time", ""), pairs["content"], shown))
-    if not own:
+            content_lines.append(
+                (pairs.get("time", ""), pairs["content"], shown)
+            )
+    if not request_lines:
         return []
-    begin, end = min(own)[0], max(own)[0]
-    told = [
+    started, ended = min(request_lines)[0], max(request_lines)[0]
+    selected = [
         (time, shown)
-        for time, server, shown in others
-        if server in servers - {""} and begin <= time <= end
+        for time, server, shown in server_lines
+        if server in servers - {""} and started <= time <= ended
     ]
-    told.extend(
+    selected.extend(
         (time, shown)
-        for time, content, shown in of_contents
+        for time, content, shown in content_lines
         if content in contents - {""}
     )
-    return own + told
+    return request_lines + selected
 
 
 __all__ = ["explain"]
--- a/src/godwittack/command/export.py
+++ b/src/godwittack/command/export.py
@@ -13,21 +13,21 @@
 
 @parser.table.command
 def export(file: str = "-", /, *, target: client.TargetOption = None) -> int:
-    """Writes the table as CSV for a spreadsheet.
+    """Writes the table as CSV, for a spreadsheet.
 
     Args:
-        file: Where to; `-` is the standard output.
-        target: Which daemon to ask.
+        file: Output file; `-` is the standard output.
+        target: Which daemon to call.
     """
-    got = client.fetch_table(target)
-    if isinstance(got, Err):
-        return client.fail(got.err_value, codes.UNAVAILABLE)
-    text = csv_format.to_csv(got.ok_value)
+    table = client.fetch_table(target)
+    if isinstance(table, Err):
+        return client.fail(table.err_value, codes.UNAVAILABLE)
+    text = csv_format.to_csv(table.ok_value)
     if file == "-":
         sys.stdout.write(text)
     else:
         pathlib.Path(file).write_text(text, encoding="utf-8")
-        print(f"version {got.ok_value.version} written to {file}")
+        print(f"version {table.ok_value.version} written to {file}")
     return codes.OK
 
 
--- a/src/godwittack/command/import_.py
+++ b/src/godwittack/command/import_.py
@@ -1,4 +1,4 @@
-"""`godwittack table import`: puts a CSV in force."""
+"""`godwittack table import`: replaces the table by a CSV file."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
     target: client.TargetOption = None,
     json: bool = False,
 ) -> int:
-    """Replaces the table by a CSV; shows the cells that change first.
+    """Replaces the table by a CSV file, after showing the changed cells.
 
     Args:
         file: CSV as `export` writes it.
         why: Reason for the audit trail.
-        target: Which daemon to ask.
+        target: Which daemon to call.
         json: Print the daemon's answer as JSON.
     """
-    found = csv_file.changed_cells(file, target)
-    if isinstance(found, Err):
-        return client.fail(found.err_value.detail, found.err_value.code)
-    return submission.submit(target, found.ok_value, why=why, as_json=json)
+    changes = csv_file.changed_cells(file, target)
+    if isinstance(changes, Err):
+        return client.fail(changes.err_value.detail, changes.err_value.code)
+    return submission.submit(target, changes.ok_value, why=why, as_json=json)
 
 
 __all__ = ["import_"]
--- a/src/godwittack/command/parser.py
+++ b/src/godwittack/command/parser.py
@@ -1,4 +1,4 @@
-"""The parser that every command registers with."""
+"""The command-line parser with which all commands register."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 
 
 def register() -> None:
-    """Imports the commands, which register themselves."""
-    # Imported here, since each of them imports this module for `app`.
+    """Imports the command modules, which register themselves."""
+    # Imported here because each of them imports this module for `app`.
     from godwittack.command import (  # noqa: F401
         check,
         diff,
--- a/src/godwittack/command/replay.py
+++ b/src/godwittack/command/replay.py
@@ -10,11 +10,11 @@
 
 @parser.app.command
 def replay(*files: str, write: bool = False) -> int:
-    """Replays sessions; exits 1 where the decisions differ now.
+    """Replays sessions; exits 1 if the decisions differ.
 
     Args:
-        files: Recordings, as the setting record_file makes them.
-        write: Write the decisions of now into the files.
+        files: Recordings, as written to the setting record_file.
+        write: Overwrite the recorded decisions with the current ones.
     """
     code = codes.OK
     for name in files:
@@ -23,15 +23,15 @@
             lines = path.read_text(encoding="utf-8").splitlines()
         except OSError as error:
             return client.fail(f"{name}: {error.strerror}")
-        changed = record.difference(name, lines)
-        if not changed:
+        differences = record.difference(name, lines)
+        if not differences:
             print(f"{name}: same")
             continue
-        print("\n".join(changed))
+        print("\n".join(differences))
         code = codes.FAILED
         if write:
-            made = record.replay(lines)
-            path.write_text("\n".join(made) + "\n", encoding="utf-8")
+            replayed = record.replay(lines)
+            path.write_text("\n".join(replayed) + "\n", encoding="utf-8")
     return code
 
 
--- a/src/godwittack/command/report.py
+++ b/src/godwittack/command/report.py
@@ -1,4 +1,4 @@
-"""`godwittack report`: tells what is late, refused or wasted."""
+"""`godwittack report`: prints what was late, refused or wasted."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 @parser.app.command
 def report(*, target: client.TargetOption = None, json: bool = False) -> int:
-    """Tells by workspace what was late, refused or wasted, and what to do.
+    """Prints per workspace what was late, refused or wasted, with advice.
 
     Args:
-        target: Which daemon to ask; it asks all the others.
-        json: Print the counts.
+        target: Which daemon to call; it collects the counts of all others.
+        json: Print the counts as JSON.
     """
-    got = client.call(target, "GET", "/operator/report")
-    if isinstance(got, Err):
-        return client.fail(got.err_value, codes.UNAVAILABLE)
-    if got.ok_value.status != 200:
-        return client.fail(client.error_detail(got.ok_value))
+    answer = client.call(target, "GET", "/operator/report")
+    if isinstance(answer, Err):
+        return client.fail(answer.err_value, codes.UNAVAILABLE)
+    if answer.ok_value.status != 200:
+        return client.fail(client.error_detail(answer.ok_value))
     if json:
-        print(got.ok_value.body)
+        print(answer.ok_value.body)
         return codes.OK
-    counts = ledger.Counts.model_validate_json(got.ok_value.body)
+    counts = ledger.Counts.model_validate_json(answer.ok_value.body)
     print(text.render(counts), end="")
     return codes.OK
 
--- a/src/godwittack/command/serve.py
+++ b/src/godwittack/command/serve.py
@@ -17,7 +17,7 @@
     settings: Annotated[str, cyclopts.Parameter(help="YAML settings file")],
 ) -> int:
     """Runs a daemon until SIGTERM, then lets it finish its requests."""
-    # The other commands need nothing of what a daemon imports.
+    # Imported here because the other commands don't need the daemon's modules.
     from godwittack.daemon import process
 
     ended = process.run(settings)
--- a/src/godwittack/command/set_.py
+++ b/src/godwittack/command/set_.py
@@ -18,24 +18,24 @@
     target: client.TargetOption = None,
     json: bool = False,
 ) -> int:
-    """Sets cells of a row; a row that does not exist is made.
+    """Sets cells of a row; creates the row if it does not exist.
 
     Args:
         kind: workspace, model or service.
         name: Row name.
         cells: Cells as `column=value`.
         why: Reason for the audit trail.
-        target: Which daemon to ask.
+        target: Which daemon to call.
         json: Print the daemon's answer as JSON.
     """
     got = client.fetch_table(target)
     if isinstance(got, Err):
         return client.fail(got.err_value, codes.UNAVAILABLE)
     table = got.ok_value
-    wanted: list[model.CellChange] = []
+    requested: list[model.CellChange] = []
     row = table.row(kind, name)
     if row is None:
-        wanted.append(
+        requested.append(
             model.CellChange(
                 kind=kind,
                 name=name,
@@ -50,7 +50,7 @@
             known = ", ".join(model.columns(kind))
             return client.fail(f"{cell}: write column=value; columns: {known}")
         before = None if row is None else getattr(row, column)
-        wanted.append(
+        requested.append(
             model.CellChange(
                 kind=kind,
                 name=name,
@@ -59,10 +59,10 @@
                 after=value,
             )
         )
-    applied = edit.apply(table, wanted)
+    applied = edit.apply(table, requested)
     if isinstance(applied, Err):
         return client.fail(applied.err_value)
-    # Taken from the checked rows, so that values have the cells' own types.
+    # Compares checked rows, in which values have the types of their columns.
     changes = edit.diff(table, applied.ok_value)
     return submission.submit(target, changes, why=why, as_json=json)
 
--- a/src/godwittack/command/settings.py
+++ b/src/godwittack/command/settings.py
@@ -14,13 +14,13 @@
 UNITS_BY_SUFFIX = {
     "_ms": "milliseconds",
     "_bytes": "bytes",
-    "_per_token": "microseconds a token",
+    "_per_token": "microseconds per token",
 }
 
 
 @parser.app.command
 def settings() -> int:
-    """Prints every setting with its default, unit and meaning."""
+    """Prints every setting with its default, unit and description."""
     for name, field in configs.Settings.model_fields.items():
         default = (
             "required"
@@ -28,29 +28,29 @@
             else field.get_default(call_default_factory=True)
         )
         _print(name, default, field.description or "")
-    print("\nNumbers below `decisions:`")
+    print("\nNumbers under `decisions:`")
     _print_fields(policy.Policy)
-    print("\nNumbers below `membership:`")
+    print("\nNumbers under `membership:`")
     _print_fields(view.MemberPolicy)
     return codes.OK
 
 
-def _print(name: str, default: object, meaning: str) -> None:
+def _print(name: str, default: object, description: str) -> None:
     unit = next(
         (u for end, u in UNITS_BY_SUFFIX.items() if name.endswith(end)), ""
     )
     shown = f"{default} {unit}".strip()
-    print(f"{name} (default: {shown})\n    {meaning}")
+    print(f"{name} (default: {shown})\n    {description}")
 
 
-def _print_fields(owner: type) -> None:
-    meanings = _attribute_docs(inspect.getdoc(owner) or "")
-    for field in dataclasses.fields(owner):
-        _print(field.name, field.default, meanings.get(field.name, ""))
+def _print_fields(policy_type: type) -> None:
+    descriptions = _attribute_docs(inspect.getdoc(policy_type) or "")
+    for field in dataclasses.fields(policy_type):
+        _print(field.name, field.default, descriptions.get(field.name, ""))
 
 
 def _attribute_docs(doc: str) -> dict[str, str]:
-    """Returns the meanings from a class's `Attributes:` section."""
+    """Returns field descriptions from a docstring's `Attributes:` section."""
     _, _, section = doc.partition("Attributes:\n")
     found = re.findall(
         r"^    (\w+): (.*(?:\n        .*)*)", section, flags=re.MULTILINE
--- a/src/godwittack/command/show.py
+++ b/src/godwittack/command/show.py
@@ -10,11 +10,11 @@
 
 @parser.table.command
 def show(*, target: client.TargetOption = None, json: bool = False) -> int:
-    """Shows the table in force, a block for each kind of row.
+    """Shows the current table, one block per kind of row.
 
     Args:
-        target: Which daemon to ask.
-        json: Print the stored form.
+        target: Which daemon to call.
+        json: Print the stored form, as JSON.
     """
     got = client.fetch_table(target)
     if isinstance(got, Err):
--- a/src/godwittack/command/status.py
+++ b/src/godwittack/command/status.py
@@ -1,4 +1,4 @@
-"""`godwittack table status`: prints which daemon has which version."""
+"""`godwittack table status`: prints the table version of each daemon."""
 
 from __future__ import annotations
 
@@ -11,33 +11,33 @@
 
 @parser.table.command
 def status(*, target: client.TargetOption = None, json: bool = False) -> int:
-    """Shows which version each daemon has; exits 1 if they differ.
+    """Shows the table version of each daemon; exits 1 if any differs.
 
     Args:
-        target: Which daemon to ask.
+        target: Which daemon to call.
         json: Print the daemon's answer as JSON.
     """
-    got = client.call(target, "GET", "/operator/status")
-    if isinstance(got, Err):
-        return client.fail(got.err_value, codes.UNAVAILABLE)
-    if got.ok_value.status != 200:
-        return client.fail(client.error_detail(got.ok_value))
-    told = json_module.loads(got.ok_value.body)
+    answer = client.call(target, "GET", "/operator/status")
+    if isinstance(answer, Err):
+        return client.fail(answer.err_value, codes.UNAVAILABLE)
+    if answer.ok_value.status != 200:
+        return client.fail(client.error_detail(answer.ok_value))
+    report = json_module.loads(answer.ok_value.body)
     if json:
-        print(got.ok_value.body)
+        print(answer.ok_value.body)
     else:
-        print(f"version {told['table_version']} at the daemon asked")
-        for row in told["daemons"]:
+        print(f"version {report['table_version']} on the called daemon")
+        for row in report["daemons"]:
             print(
                 f"  {row['daemon']}: version {row['table_version']},"
                 f" {row['state']}"
             )
-    behind = [
+    differing = [
         row
-        for row in told["daemons"]
-        if row["table_version"] != told["table_version"]
+        for row in report["daemons"]
+        if row["table_version"] != report["table_version"]
     ]
-    return codes.FAILED if behind else codes.OK
+    return codes.FAILED if differing else codes.OK
 
 
 __all__ = ["status"]
--- a/src/godwittack/command/submission.py
+++ b/src/godwittack/command/submission.py
@@ -1,4 +1,4 @@
-"""Shows the cells of a change, asks for a reason and sends it."""
+"""Prints a change of the table, asks for a reason and submits it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def format_change(change: model.CellChange) -> str:
-    """Returns one changed cell as a line."""
+    """Returns one line that describes a changed cell."""
     if change.column == model.ROW_COLUMN:
         verb = "new row" if change.after is not None else "row removed"
         return f"{change.kind} {change.name}: {verb}"
@@ -30,7 +30,7 @@
     as_json: bool,
     undoes: int = 0,
 ) -> int:
-    """Sends a change and prints what became of it."""
+    """Submits a change, prints the outcome and returns the exit code."""
     if not changes:
         print("nothing changes")
         return codes.OK
@@ -40,7 +40,7 @@
     why = why or _ask_reason()
     if len(why) < 3:
         return client.fail("--why: write a reason of at least 3 letters")
-    got = client.call(
+    answer = client.call(
         target,
         "POST",
         "/operator/table",
@@ -51,17 +51,17 @@
             "commit_id": secrets.token_hex(8),
         },
     )
-    if isinstance(got, Err):
+    if isinstance(answer, Err):
         return client.fail(
-            f"{got.err_value}; not known whether the change stands: see"
+            f"{answer.err_value}; the change may have been committed: check"
             " `godwittack table history` through another daemon",
             codes.UNAVAILABLE,
         )
     if as_json:
-        print(got.ok_value.body)
+        print(answer.ok_value.body)
     else:
-        _print_result(got.ok_value)
-    return _exit_code(got.ok_value)
+        _print_result(answer.ok_value)
+    return _exit_code(answer.ok_value)
 
 
 def _print_result(answer: client.Answer) -> None:
@@ -73,34 +73,37 @@
         _print_commit(json.loads(answer.body))
 
 
-def _print_commit(told: dict) -> None:
-    version, after_ms = told["version"], told["after_ms"]
-    if told["result"] == "accepted":
+def _print_commit(outcome: dict) -> None:
+    version, after_ms = outcome["version"], outcome["after_ms"]
+    if outcome["result"] == "accepted":
         print(
-            f"version {version} is in force at {len(told['confirmed'])}"
+            f"version {version} is in effect on {len(outcome['confirmed'])}"
             f" daemons after {after_ms} ms"
         )
     else:
         print(
-            f"version {version} is stored but not yet in force everywhere;"
-            f" no word from: {', '.join(told['missing'])}"
+            f"version {version} is stored but not yet in effect everywhere;"
+            f" no confirmation from: {', '.join(outcome['missing'])}"
         )
-    if told["lapsed"]:
+    if outcome["lapsed"]:
         print(
-            "these daemons did not answer and take no new work until they"
-            f" have it: {', '.join(told['lapsed'])}"
+            "these daemons did not respond and accept no new requests until"
+            f" they have it: {', '.join(outcome['lapsed'])}"
         )
 
 
-def _print_conflict(told: dict) -> None:
-    print("not changed: somebody else's change came first", file=sys.stderr)
-    for cell in told["cells"]:
+def _print_conflict(conflict: dict) -> None:
+    print(
+        "not changed: another change of these cells was committed first",
+        file=sys.stderr,
+    )
+    for cell in conflict["cells"]:
         print(
             f"  {cell['kind']} {cell['name']}, {cell['column']}: you saw"
             f" {cell['before']}, now it is {cell['after']}",
             file=sys.stderr,
         )
-    for other in told["others"]:
+    for other in conflict["others"]:
         print(
             f"  version {other['version']} by {other['who']}: {other['why']}",
             file=sys.stderr,
@@ -110,7 +113,7 @@
 def _ask_reason() -> str:
     if not sys.stdin.isatty():
         return ""
-    return input("why (goes into the audit trail): ").strip()
+    return input("reason (for the audit trail): ").strip()
 
 
 def _exit_code(answer: client.Answer) -> int:
@@ -120,8 +123,8 @@
         return codes.UNAVAILABLE
     if answer.status != 200:
         return codes.BAD_INPUT
-    told = json.loads(answer.body)
-    return codes.OK if told["result"] == "accepted" else codes.UNAVAILABLE
+    outcome = json.loads(answer.body)
+    return codes.OK if outcome["result"] == "accepted" else codes.UNAVAILABLE
 
 
 __all__ = ["format_change", "submit"]
--- a/src/godwittack/command/undo.py
+++ b/src/godwittack/command/undo.py
@@ -1,4 +1,4 @@
-"""`godwittack table undo`: takes one version's changes back."""
+"""`godwittack table undo`: undoes the changes of one version."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
     target: client.TargetOption = None,
     json: bool = False,
 ) -> int:
-    """Makes a new version in which one earlier change is taken back.
+    """Creates a new version that undoes one earlier change.
 
     Args:
-        version: The version whose cells go back.
+        version: The version whose changes are undone.
         why: Reason for the audit trail.
-        target: Which daemon to ask.
+        target: Which daemon to call.
         json: Print the daemon's answer as JSON.
     """
-    got = history.fetch_entries(target, after=version - 1)
-    if isinstance(got, Err):
-        return client.fail(got.err_value, codes.UNAVAILABLE)
-    if not got.ok_value or got.ok_value[0].version != version:
-        return client.fail(f"no version {version} is in the history")
-    changes = edit.invert(got.ok_value[0].changes)
+    entries = history.fetch_entries(target, after=version - 1)
+    if isinstance(entries, Err):
+        return client.fail(entries.err_value, codes.UNAVAILABLE)
+    if not entries.ok_value or entries.ok_value[0].version != version:
+        return client.fail(f"version {version} is not in the history")
+    changes = edit.invert(entries.ok_value[0].changes)
     return submission.submit(
         target,
         changes,
--- a/src/godwittack/config/__init__.py
+++ b/src/godwittack/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of a daemon."""
+"""Reads and validates a daemon's settings."""
--- a/src/godwittack/config/settings.py
+++ b/src/godwittack/config/settings.py
@@ -1,4 +1,4 @@
-"""Every setting with its default, unit and meaning, checked on reading."""
+"""Defines, loads and checks all settings, with default, unit and meaning."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 ]
 Ms: TypeAlias = Annotated[int, pydantic.Field(ge=1, le=3_600_000)]
 MIN_SECRET_BYTES = 16
-# Taken off the bound on replaced weights: for the way of the news of them,
-# and for the wait of a request at its server.
+# Subtracted from weights_bound_ms: time until all daemons know that weights
+# were replaced, and for which a request waits at its server.
 WEIGHTS_MARGIN_MS = 2_500
 
 
 class Interface(enum.StrEnum):
-    """What the daemon's surroundings speak."""
+    """Protocol of callers, backend servers and the store."""
 
     OWN = "own"
     PLATFORM = "platform"
@@ -56,7 +56,7 @@
 
     name: str = pydantic.Field(description="name of this instance")
     failure_domain: str = pydantic.Field(
-        description="failure domain that this instance stands in"
+        description="failure domain of this instance"
     )
     http_address: Address = pydantic.Field(
         description="IP:port for callers and operators"
@@ -66,7 +66,7 @@
     )
     seeds: tuple[Address, ...] = pydantic.Field(
         default=(),
-        description="peer addresses of other daemons, to find the rest by",
+        description="peer addresses of daemons through which to find others",
     )
     platform_url: str = pydantic.Field(
         description="http://IP:port of the platform's service"
@@ -76,11 +76,11 @@
     )
     cluster_secret: str = pydantic.Field(
         default="",
-        description="that secret itself, where no file can be had",
+        description="that secret itself, if it can't be put into a file",
     )
     interface: Interface = pydantic.Field(
         default=Interface.OWN,
-        description="what callers, servers and the store speak: own, platform",
+        description="protocol of callers, servers and the store: own, platform",
     )
     ready_address: Address = pydantic.Field(
         default="0.0.0.0:0",
@@ -91,41 +91,45 @@
         description="IP:port for callers' lookups; platform interface only",
     )
     metrics_address: Address | None = pydantic.Field(
-        default=None, description="IP:port for metrics besides http_address"
+        default=None,
+        description="further IP:port for metrics, besides http_address",
     )
     failure_domains: dict[str, str] = pydantic.Field(
         default_factory=dict,
-        description="region of each failure domain; none to take any",
+        description="region of each failure domain; empty to accept any",
     )
     key_bound_ms: Ms = pydantic.Field(
         default=5_000,
-        description="ms after which a key taken away must not be served",
+        description="ms after which a revoked key must not be served",
     )
     feed_wait_ms: Ms = pydantic.Field(
-        default=1_000, description="ms that the store holds a call for changes"
+        default=1_000,
+        description="ms that the store waits for changes before it answers",
     )
     mesh_limit: int = pydantic.Field(
         default=16,
         ge=1,
-        description="daemons up to which all serve and receive all news",
+        description="fleet size up to which all daemons serve and get all updates",
     )
     serving_daemons: int = pydantic.Field(
         default=48,
         ge=1,
-        description="daemons beyond mesh_limit that callers are sent to",
+        description="number of daemons that serve callers, above mesh_limit",
     )
     cores: float | None = pydantic.Field(
         default=None,
         gt=0,
-        description="speed of the machine's core against the usual one",
+        description="speed of the machine's core relative to the usual one",
     )
     core_share: float | None = pydantic.Field(
-        default=None, gt=0, description="part of that core given to the daemon"
+        default=None,
+        gt=0,
+        description="share of that core that the daemon may use",
     )
     weights_bound_ms: int = pydantic.Field(
         default=0,
         ge=0,
-        description="ms after which replaced weights serve nothing; 0: never",
+        description="ms after which replaced weights must not serve; 0: never",
     )
     stop_grace_s: float = pydantic.Field(
         default=8.0,
@@ -143,14 +147,14 @@
         default=4 << 20, ge=1024, description="bytes of the longest request"
     )
     body_timeout_ms: Ms = pydantic.Field(
-        default=10_000, description="ms that a request's body may take"
+        default=10_000, description="ms for the arrival of a request's body"
     )
     max_bodies_arriving: int = pydantic.Field(
-        default=256, ge=1, description="request bodies read at one time"
+        default=256, ge=1, description="request bodies read at the same time"
     )
     slow_caller_ms: Ms = pydantic.Field(
         default=30_000,
-        description="ms that a caller may leave a stream unread",
+        description="ms for which a caller may not read its stream",
     )
     connect_timeout_ms: Ms = pydantic.Field(
         default=1_000, description="ms to open a connection to a server"
@@ -159,29 +163,30 @@
         default=1_000, description="ms for load reports, probes and orders"
     )
     platform_timeout_ms: Ms = pydantic.Field(
-        default=500, description="ms for one call of the platform"
+        default=500, description="ms for one call to the platform"
     )
     platform_pause_ms: Ms = pydantic.Field(
-        default=500, description="ms without calls after one got no answer"
+        default=500,
+        description="ms without calls to the platform after an unanswered one",
     )
     peer_timeout_ms: Ms = pydantic.Field(
         default=400, description="ms for one message to another daemon"
     )
     tick_ms: Ms = pydantic.Field(
-        default=100, description="ms between upkeep runs of the core"
+        default=100, description="ms between periodic runs of the core"
     )
     gossip_ms: Ms = pydantic.Field(
         default=500, description="ms between probes of other daemons"
     )
     news_ms: Ms = pydantic.Field(
         default=500,
-        description="ms between news of servers and demand to one daemon",
+        description="ms between updates on servers and demand to one daemon",
     )
     table_poll_ms: Ms = pydantic.Field(
-        default=1_000, description="ms between readings of the table's version"
+        default=1_000, description="ms between reads of the table's version"
     )
     list_poll_ms: Ms = pydantic.Field(
-        default=1_000, description="ms between readings of the instance list"
+        default=1_000, description="ms between reads of the instance list"
     )
     lead_step_ms: Ms = pydantic.Field(
         default=500, description="ms between steps of a weights roll-out"
@@ -194,11 +199,11 @@
     )
     stop_patience_ms: Ms = pydantic.Field(
         default=600_000,
-        description="ms a stop waits for requests in flight at most",
+        description="longest ms that a stop waits for requests in flight",
     )
     record_file: str = pydantic.Field(
         default="",
-        description="file for a recording of all decisions, to find faults",
+        description="file for a recording of all decisions, for debugging",
     )
     decisions: dict[str, int | float] = pydantic.Field(
         default_factory=dict,
@@ -232,11 +237,11 @@
 
     @property
     def capacity_millicores(self) -> int:
-        """Processor time that the machine gives the daemon; 0: not known."""
+        """Processor time that the daemon may use; 0 if not known."""
         return round((self.cores or 0.0) * (self.core_share or 0.0) * 1000)
 
     def policy(self) -> policies.Policy:
-        """Returns the core's numbers."""
+        """Returns the core's policy with the overrides of `decisions`."""
         defaults = dataclasses.replace(
             policies.Policy(),
             old_weights_limit_ms=max(
@@ -248,7 +253,7 @@
         )
 
     def member_policy(self) -> view.MemberPolicy:
-        """Returns the membership's numbers."""
+        """Returns the membership policy with the overrides of `membership`."""
         return dataclasses.replace(
             view.MemberPolicy(),
             **_convert_numbers(self.membership, view.MemberPolicy),
@@ -257,7 +262,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadedSettings:
-    """Settings with the secrets that they point to."""
+    """Settings with the cluster secret."""
 
     settings: Settings
     cluster_secret: bytes
@@ -267,7 +272,7 @@
     """Reads and checks a settings file.
 
     Returns:
-        The settings, or one line that names file, key and what to write.
+        The settings, or one line that names the file, the key and the remedy.
     """
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
--- a/src/godwittack/config/validation.py
+++ b/src/godwittack/config/validation.py
@@ -1,4 +1,4 @@
-"""Tries what settings name, before a daemon depends on it."""
+"""Checks that the addresses in the settings can be used."""
 
 from __future__ import annotations
 
@@ -15,29 +15,29 @@
 
 
 def load_and_check(path: str) -> Result[configs.LoadedSettings, str]:
-    """Loads settings and tries the addresses they name."""
+    """Loads settings and tries to bind the addresses that they name."""
     loaded = configs.load(path)
     if isinstance(loaded, Err):
         return loaded
     settings = loaded.ok_value.settings
     if settings.interface is configs.Interface.PLATFORM:
-        # The platform gives the addresses to this process alone.
+        # The platform reserves the addresses for this process.
         return Ok(loaded.ok_value)
     for key, kind in (
         ("http_address", socket.SOCK_STREAM),
         ("peer_address", socket.SOCK_STREAM),
         ("peer_address", socket.SOCK_DGRAM),
     ):
-        trouble = _bind_error(getattr(settings, key), kind)
-        if trouble:
-            return Err(f"{path}: {key}: {trouble}; write a free IP:port")
+        problem = _bind_error(getattr(settings, key), kind)
+        if problem:
+            return Err(f"{path}: {key}: {problem}; write a free IP:port")
     return Ok(loaded.ok_value)
 
 
 def check_platform(path: str, loaded: configs.LoadedSettings) -> str:
-    """Returns why the platform can't be reached, or nothing."""
-    trouble = _connection_error(loaded.settings.platform_url)
-    return f"{path}: platform_url: {trouble}" if trouble else ""
+    """Returns why the platform can't be reached, or "" if it can."""
+    problem = _connection_error(loaded.settings.platform_url)
+    return f"{path}: platform_url: {problem}" if problem else ""
 
 
 def _bind_error(address: str, kind: socket.SocketKind) -> str:
--- a/src/godwittack/run.py
+++ b/src/godwittack/run.py
@@ -1,4 +1,4 @@
-"""The command line's entry."""
+"""Entry point of the command line."""
 
 from __future__ import annotations
 
--- a/src/godwittack/store/__init__.py
+++ b/src/godwittack/store/__init__.py
@@ -1,1 +1,1 @@
-"""What the platform offers: tables, objects, weights, instances."""
+"""Platform services: tables, objects, weights, the instance list."""
--- a/src/godwittack/store/call.py
+++ b/src/godwittack/store/call.py
@@ -1,4 +1,4 @@
-"""One HTTP call of a store, with every way in which it may fail."""
+"""Makes one HTTP call to a store and returns failures as values."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallFailure:
-    """A call that brought no answer.
+    """A call without an answer.
 
     Attributes:
-        detail: One line for people.
-        may_have_run: Whether a byte may have reached the store.
-        timed_out: Whether its time ran out.
+        detail: One line that describes the failure.
+        may_have_run: Whether any byte may have reached the store.
+        timed_out: Whether the call timed out.
     """
 
     detail: str
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """Status and whole body of an answer."""
+    """Status and complete body of an answer."""
 
     status: int
     body: bytes
@@ -41,7 +41,7 @@
     body: bytes | None,
     timeout_ms: int,
 ) -> Result[Reply, CallFailure]:
-    """Makes one call; redirects are answers like others."""
+    """Makes one call; a redirect is returned as an answer, not followed."""
     try:
         async with session.request(
             method,
--- a/src/godwittack/store/http.py
+++ b/src/godwittack/store/http.py
@@ -1,4 +1,4 @@
-"""The platform's services over HTTP with JSON."""
+"""Client of the platform's services over HTTP with JSON."""
 
 from __future__ import annotations
 
@@ -50,9 +50,10 @@
 class HttpPlatform:
     """Implements all platform protocols on one HTTP address.
 
-    While the platform is down every call would wait for its timeout, and a
-    caller's refusal with it. After a call without an answer, calls fail at
-    once for `pause_ms`, so that a refusal is immediate.
+    While the platform is down, every call would wait for its timeout, and so
+    would the refusal of a caller's request. After a call that timed out or
+    could not connect, calls fail at once for `backoff_ms`, so that the
+    refusal is immediate.
     """
 
     def __init__(
@@ -77,7 +78,7 @@
         conditions: tuple[protocol.Condition, ...],
         writes: tuple[protocol.RowWrite, ...],
     ) -> Result[protocol.TransactionResult, protocol.PlatformError]:
-        """Makes all writes if all conditions hold."""
+        """Makes all writes if all conditions are met."""
         body = {
             "conditions": [
                 {
@@ -96,12 +97,12 @@
                 for w in writes
             ],
         }
-        got = await self._call(
+        result = await self._call(
             "transact", "POST", "/tables/transact", json.dumps(body).encode()
         )
-        if isinstance(got, Err):
-            return got
-        stored = _TransactedJson.model_validate_json(got.ok_value)
+        if isinstance(result, Err):
+            return result
+        stored = _TransactedJson.model_validate_json(result.ok_value)
         rows = tuple(_row(row) for row in stored.rows)
         return Ok(
             protocol.TransactionResult(
@@ -114,56 +115,56 @@
     ) -> Result[protocol.StoredRow, protocol.PlatformError]:
         """Returns one row."""
         path = f"/tables/{row_id.table}/{parse.quote(row_id.key, safe='')}"
-        got = await self._call("read", "GET", path)
-        if isinstance(got, Err):
-            return got
-        return Ok(_row(_RowJson.model_validate_json(got.ok_value)))
+        result = await self._call("read", "GET", path)
+        if isinstance(result, Err):
+            return result
+        return Ok(_row(_RowJson.model_validate_json(result.ok_value)))
 
     async def scan(
         self, table: str, *, after: str, limit: int
     ) -> Result[list[protocol.StoredRow], protocol.PlatformError]:
         """Returns rows in key order."""
         query = parse.urlencode({"after": after, "limit": limit})
-        got = await self._call("scan", "GET", f"/tables/{table}?{query}")
-        if isinstance(got, Err):
-            return got
-        return Ok([_row(r) for r in _ROWS.validate_json(got.ok_value)])
+        result = await self._call("scan", "GET", f"/tables/{table}?{query}")
+        if isinstance(result, Err):
+            return result
+        return Ok([_row(r) for r in _ROWS.validate_json(result.ok_value)])
 
     async def get(
         self, name: str
     ) -> Result[bytes | None, protocol.PlatformError]:
         """Returns an object."""
-        got = await self._call("get", "GET", f"/objects/{name}")
-        if isinstance(got, Err):
-            return got
-        return Ok(got.ok_value or None)
+        result = await self._call("get", "GET", f"/objects/{name}")
+        if isinstance(result, Err):
+            return result
+        return Ok(result.ok_value or None)
 
     async def put(
         self, name: str, data: bytes
     ) -> Result[None, protocol.PlatformError]:
         """Writes an object."""
-        got = await self._call("put", "PUT", f"/objects/{name}", data)
-        if isinstance(got, Err):
-            return got
+        result = await self._call("put", "PUT", f"/objects/{name}", data)
+        if isinstance(result, Err):
+            return result
         return Ok(None)
 
     async def versions(
         self, model: str
     ) -> Result[tuple[str, ...], protocol.PlatformError]:
         """Returns the weights versions of a model."""
-        got = await self._call("versions", "GET", f"/weights/{model}")
-        if isinstance(got, Err):
-            return got
-        return Ok(_VERSIONS.validate_json(got.ok_value))
+        result = await self._call("versions", "GET", f"/weights/{model}")
+        if isinstance(result, Err):
+            return result
+        return Ok(_VERSIONS.validate_json(result.ok_value))
 
     async def instances(
         self,
     ) -> Result[tuple[protocol.Instance, ...], protocol.PlatformError]:
         """Returns the instance list."""
-        got = await self._call("instances", "GET", "/instances")
-        if isinstance(got, Err):
-            return got
-        listed = _INSTANCES.validate_json(got.ok_value)
+        result = await self._call("instances", "GET", "/instances")
+        if isinstance(result, Err):
+            return result
+        listed = _INSTANCES.validate_json(result.ok_value)
         return Ok(tuple(protocol.Instance(**i.model_dump()) for i in listed))
 
     async def _call(
@@ -173,23 +174,23 @@
             return self._error(
                 step, "unreachable a moment ago", may_have_run=False
             )
-        got = await calls.exchange(
+        result = await calls.exchange(
             self._session,
             method,
             self._base_url + path,
             body=body,
             timeout_ms=self._timeout_ms,
         )
-        if isinstance(got, Err):
-            failure = got.err_value
+        if isinstance(result, Err):
+            failure = result.err_value
             if failure.timed_out or not failure.may_have_run:
                 self._start_backoff()
             return self._error(
                 step, failure.detail, may_have_run=failure.may_have_run
             )
-        if got.ok_value.status != 200:
-            return self._error(step, f"status {got.ok_value.status}")
-        return Ok(got.ok_value.body)
+        if result.ok_value.status != 200:
+            return self._error(step, f"status {result.ok_value.status}")
+        return Ok(result.ok_value.body)
 
     def _start_backoff(self) -> None:
         self._backoff_until_ms = self._clock.now_ms() + self._backoff_ms
--- a/src/godwittack/store/protocol.py
+++ b/src/godwittack/store/protocol.py
@@ -1,4 +1,4 @@
-"""The platform's services as the daemon uses them."""
+"""Interfaces of the platform's services that the daemon uses."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class PlatformError:
-    """A call of the platform that brought no answer.
+    """A failed call to the platform.
 
     Attributes:
-        step: What was being done.
+        step: Name of the operation.
         peer: Address of the service.
-        detail: One line for people.
-        may_have_run: Whether a write may have taken effect all the same.
-        history_lost: Whether changes since the version named are no longer
-            told, so that only a snapshot helps.
+        detail: One line that describes the failure.
+        may_have_run: Whether a write may have taken effect nevertheless.
+        history_lost: Whether the service no longer has the changes since the
+            requested version, so that a snapshot must be read.
     """
 
     step: str
@@ -35,13 +35,13 @@
         return f"{self.step} at {self.peer}: {self.detail}"
 
 
-# What a call brings: its answer, or why there is none.
+# Result of a call: the answer, or the error if there is none.
 PlatformResult: TypeAlias = Result[_Value, PlatformError]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RowId:
-    """Names one row of the table service."""
+    """Identifies one row of the table service."""
 
     table: str
     key: str
@@ -49,10 +49,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredRow:
-    """One row; `version` is 0 and `value` empty where none exists.
+    """One row; `version` is 0 and `value` empty if the row does not exist.
 
     Attributes:
-        service_ms: The service's steady clock when it answered a reading.
+        service_ms: Monotonic clock of the service when it answered a read.
     """
 
     row_id: RowId
@@ -63,7 +63,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Condition:
-    """A row must have this version, 0 for must not exist."""
+    """Requires that a row has this version; 0: that it does not exist."""
 
     row_id: RowId
     version: int
@@ -71,7 +71,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RowWrite:
-    """A new value of a row."""
+    """A new value for a row."""
 
     row_id: RowId
     value: str
@@ -79,13 +79,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TransactionResult:
-    """What became of a transaction.
+    """Outcome of a transaction.
 
     Attributes:
-        committed: Whether all conditions held and all writes were made.
-        rows: The rows of the conditions as they stood, when not committed.
-        version: Version of the written rows, where the service tells it.
-        service_ms: The service's steady clock when it answered.
+        committed: Whether all conditions were met and all writes were made.
+        rows: Current rows of the conditions, if not committed.
+        version: Version of the written rows, if the service returns it.
+        service_ms: Monotonic clock of the service when it answered.
     """
 
     committed: bool
@@ -95,21 +95,21 @@
 
 
 class ConditionalRows(Protocol):
-    """Rows that are written only while others stand as expected."""
+    """Rows that are written only if other rows have expected versions."""
 
     async def transact(
         self,
         conditions: tuple[Condition, ...],
         writes: tuple[RowWrite, ...],
     ) -> PlatformResult[TransactionResult]:
-        """Makes all writes if all conditions hold."""
+        """Makes all writes if all conditions are met."""
 
     async def read(self, row_id: RowId) -> PlatformResult[StoredRow]:
         """Returns one row, from a replica that may lag."""
 
 
 class TableService(ConditionalRows, Protocol):
-    """Transactional rows with versions, read in order as well."""
+    """Transactional rows with versions that can be scanned in key order."""
 
     async def scan(
         self, table: str, *, after: str, limit: int
@@ -119,7 +119,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ChangedRow:
-    """A row as it stands, or the removal of one."""
+    """Current state of a row, or its removal."""
 
     key: str
     value: str
@@ -132,10 +132,10 @@
     """Rows of one table.
 
     Attributes:
-        rows: All rows for a snapshot, else those changed, in order.
-        newest_version: Version up to which the rows are told.
-        service_ms: The store's steady clock when it answered.
-        next_key: Where the next page begins; empty for the last one.
+        rows: All rows of a snapshot, or the changed rows in order.
+        newest_version: Version up to which the page has all changes.
+        service_ms: Monotonic clock of the store when it answered.
+        next_key: Key at which the next page begins; empty on the last page.
     """
 
     rows: tuple[ChangedRow, ...]
@@ -145,38 +145,38 @@
 
 
 class RowFeed(Protocol):
-    """Changes of a table's rows, told as they happen."""
+    """Snapshots of a table's rows and a feed of their changes."""
 
     async def page(
         self, table: str, *, from_key: str
     ) -> PlatformResult[FeedPage]:
-        """Returns rows of a table as of one moment, from a key on."""
+        """Returns a page of a snapshot of a table, from a key on."""
 
     async def changes(
         self, table: str, *, after: int, wait_ms: int
     ) -> PlatformResult[FeedPage]:
-        """Returns changes after a version, waiting for one up to a limit."""
+        """Returns changes after a version; waits up to `wait_ms` for one."""
 
 
 class ObjectStore(Protocol):
     """Named objects without transactions."""
 
     async def get(self, name: str) -> PlatformResult[bytes | None]:
-        """Returns an object, or None where there is none."""
+        """Returns an object, or None if it does not exist."""
 
     async def put(self, name: str, data: bytes) -> PlatformResult[None]:
         """Writes an object."""
 
 
 class WeightStore(Protocol):
-    """Versions of weights; the engines load them from it themselves."""
+    """Versions of weights; the engines themselves load the weights."""
 
     async def versions(self, model: str) -> PlatformResult[tuple[str, ...]]:
         """Returns the versions that can be loaded."""
 
 
 class InstanceRole(enum.StrEnum):
-    """What an instance of the platform's list runs."""
+    """What an instance on the platform's list runs."""
 
     ENTRY = "entry"
     ENGINE = "engine"
@@ -189,13 +189,13 @@
 
     Attributes:
         name: Name, unique in the list.
-        role: What runs there.
+        role: What the instance runs.
         address: IP and port; the peer address for entry instances.
-        target: Model or service.
-        leaving: Whether it is about to be stopped.
-        incarnation: Its incarnation, where the list tells it.
-        weights_version: Weights loaded, where the list tells them.
-        slots: Requests it takes at one time, where the list tells it.
+        target: Model or service that the instance serves.
+        leaving: Whether the instance is about to be stopped.
+        incarnation: Incarnation of the process, if listed.
+        weights_version: Version of the loaded weights, if listed.
+        slots: Maximum number of concurrent requests, if listed.
     """
 
     name: str
@@ -210,7 +210,7 @@
 
 
 class InstanceList(Protocol):
-    """Live and leaving instances; lags."""
+    """Live and leaving instances; the list may lag."""
 
     async def instances(self) -> PlatformResult[tuple[Instance, ...]]:
         """Returns all entries."""
--- a/src/godwittack/table/csv_format.py
+++ b/src/godwittack/table/csv_format.py
@@ -1,4 +1,4 @@
-"""The table as CSV that a spreadsheet opens and saves."""
+"""Converts the table to and from CSV, for editing in a spreadsheet."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def to_csv(table: model.Table) -> str:
-    """Returns one line a row; cells that a kind lacks stay empty."""
+    """Returns one line per row; columns that a kind lacks are empty."""
     header = _header()
     buffer = io.StringIO()
     writer = csv.DictWriter(buffer, header, lineterminator="\n", restval="")
@@ -26,7 +26,7 @@
 
 
 def from_csv(text: str, *, version: int) -> Result[model.Table, str]:
-    """Reads and checks a sheet; an empty cell takes its default.
+    """Parses and checks CSV text; an empty cell gets the column's default.
 
     Returns:
         The table, or an error that names the line and the cell.
@@ -54,7 +54,7 @@
             return Err(f"line {number}: {checked.err_value}")
         key = (kind_text, checked.ok_value.name)
         if key in seen:
-            return Err(f"line {number}: {key[0]} {key[1]} stands twice")
+            return Err(f"line {number}: {key[0]} {key[1]} is listed twice")
         seen.add(key)
         rows.append(checked.ok_value)
     return Ok(model.Table.from_rows(version=version, rows=rows))
--- a/src/godwittack/table/edit.py
+++ b/src/godwittack/table/edit.py
@@ -1,4 +1,4 @@
-"""Differences between two tables and cell edits on one."""
+"""Compares tables and applies, checks and inverts cell changes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def diff(before: model.Table, after: model.Table) -> list[model.CellChange]:
-    """Returns the cells that differ, in sheet order."""
+    """Returns the cells that differ, in the order of `Table.rows`."""
     changes: list[model.CellChange] = []
     old_rows = {_row_key(row): row for row in before.rows()}
     new_rows = {_row_key(row): row for row in after.rows()}
@@ -28,10 +28,10 @@
 def apply(
     table: model.Table, changes: Iterable[model.CellChange]
 ) -> Result[model.Table, str]:
-    """Sets the cells of `changes` on `table`, checked as on import.
+    """Sets the cells of `changes` on `table`, with the checks of an import.
 
-    The `before` values are not compared here: whoever commits compares them
-    first, see `conflicts`.
+    The `before` values are not compared here; `find_conflicts` does that and
+    must be called before a commit.
 
     Returns:
         The table with the version raised by one, or a one-line error.
@@ -61,27 +61,27 @@
 def find_conflicts(
     table: model.Table, changes: Iterable[model.CellChange]
 ) -> list[model.CellChange]:
-    """Returns what now stands in cells that `changes` saw otherwise.
+    """Returns the cells that were changed since `changes` was prepared.
 
-    Each entry gives the value the change was made from as `before` and the
+    Each entry has the value that the operator saw as `before` and the current
     value in `table` as `after`.
     """
     found: list[model.CellChange] = []
     for change in changes:
         row = table.row(change.kind, change.name)
-        now = _cell_value(row, change.column)
-        if now != change.before and now != change.after:
-            found.append(dataclasses.replace(change, after=now))
+        current = _cell_value(row, change.column)
+        if current != change.before and current != change.after:
+            found.append(dataclasses.replace(change, after=current))
     return found
 
 
 def invert(changes: Iterable[model.CellChange]) -> list[model.CellChange]:
-    """Returns the changes that take `changes` back."""
+    """Returns the changes that undo `changes`."""
     inverted = [
         dataclasses.replace(change, before=change.after, after=change.before)
         for change in changes
     ]
-    # A row must exist before its cells are set, whichever way it goes.
+    # Row changes come first: a row must exist before its cells are set.
     inverted.sort(key=lambda change: change.column != model.ROW_COLUMN)
     return inverted
 
--- a/src/godwittack/table/forwarding.py
+++ b/src/godwittack/table/forwarding.py
@@ -1,4 +1,4 @@
-"""Routes from hosts and paths to targets, and what else forwarding needs."""
+"""Routes from hosts and paths to targets, with the limits of forwarding."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class WeightedTarget:
-    """One target of a route; weights are relative to the route's others."""
+    """One target of a route; its weight is relative to those of the others."""
 
     target: str
     weight: int = 1
 
 
-# Callers of streams leave when no event has come for the longest of these.
+# The caller of a stream disconnects when no event arrives for the longest of:
+# this minimum, this many times aim_ms, this many times gap_aim_ms.
 MIN_CALLER_TIMEOUT_MS = 2_000
 CALLER_TIMEOUT_AIMS = 4
 CALLER_TIMEOUT_GAP_AIMS = 8
@@ -23,20 +24,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Route:
-    """Requests of one host below one path prefix.
+    """Maps requests for one host and path prefix to targets.
 
     Attributes:
         host: Value of the `Host` header.
-        prefix: Beginning of the path, with a slash at both ends.
-        targets: Where the requests go.
+        prefix: Path prefix, with a slash at both ends.
+        targets: Targets that share the requests, by weight.
         timeout_ms: Longest time until a final answer.
-        aim_ms: Time to the answer, or to a stream's first event, within which
-            it is fully useful.
-        gap_aim_ms: Longest pause between events that is still useful.
-        max_attempts: Servers on which one request may run.
-        priority: Rank among routes; 0 comes first.
+        aim_ms: Target time to the answer, or to a stream's first event; a
+            later one is less useful.
+        gap_aim_ms: Target for the longest pause between events.
+        max_attempts: Maximum number of servers on which one request may run.
+        priority: Priority among routes; 0 is served first.
         repeatable: Whether a request may run more than once.
-        resumable: Whether a stream may go on at another server.
+        resumable: Whether a stream may be continued on another server.
         streaming: Whether the answer is a stream of events.
         anonymous: Whether requests need no API key.
     """
@@ -57,7 +58,7 @@
 
     @property
     def caller_timeout_ms(self) -> int:
-        """Time for which callers of a stream wait for its next event."""
+        """Longest time that the caller of a stream waits for an event."""
         return max(
             MIN_CALLER_TIMEOUT_MS,
             CALLER_TIMEOUT_AIMS * self.aim_ms,
@@ -65,7 +66,7 @@
         )
 
     def select_target(self, request_id: str) -> str:
-        """Returns the target of a request, split by a hash of its id."""
+        """Returns a request's target, chosen by weight and a hash of its id."""
         if len(self.targets) == 1:
             return self.targets[0].target
         total = sum(entry.weight for entry in self.targets)
@@ -79,12 +80,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class CallerLimits:
-    """What callers may send at most, and how long they may take.
+    """Limits on the size and duration of callers' requests.
 
     Attributes:
-        header_timeout_ms: From a request's first byte to the end of its
-            headers; 0 for no limit.
-        idle_timeout_ms: Between an answer and the next request; 0 for none.
+        header_timeout_ms: Longest time from a request's first byte to the end
+            of its headers; 0 for no limit.
+        idle_timeout_ms: Longest time between an answer and the next request
+            of a connection; 0 for no limit.
     """
 
     header_bytes: int = 16_384
@@ -95,10 +97,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class KvStore:
-    """A store of cached prompt state that engines save to and fetch from.
+    """A store in which engines save cached prompt state to fetch it later.
 
     Attributes:
-        address: IP and port, as engines are told.
+        address: IP and port, in the form that is sent to engines.
     """
 
     name: str
@@ -108,11 +110,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class EngineLimits:
-    """What a target's engines can do.
+    """Model and batch size of a target's engines.
 
     Attributes:
-        model: Name of the model that they serve.
-        slots: Requests that one engine batches.
+        model: Name of the model that the engines serve.
+        slots: Maximum number of requests that one engine runs in a batch.
     """
 
     model: str
@@ -121,12 +123,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Forwarding:
-    """Everything of a table version that forwarding by routes needs.
+    """The part of a table version that forwarding by routes uses.
 
     Attributes:
-        config_version: The operators' own number of this version.
-        isolated: Workspaces that share cached state with nobody.
-        priorities: Rank of a workspace, before its route's.
+        config_version: Version number that operators gave this configuration.
+        isolated: Workspaces that share no cached state with others.
+        priorities: Priority of a workspace; compared before that of the route.
     """
 
     config_version: int = 0
@@ -138,11 +140,15 @@
     priorities: dict[str, int] = dataclasses.field(default_factory=dict)
 
     def cache_owner(self, workspace: str) -> str:
-        """Returns whose cached state a workspace uses; empty for all's."""
+        """Returns the owner of the cached state that a workspace may use.
+
+        That is the workspace itself if it is isolated, else "" for the state
+        that all others share.
+        """
         return workspace if workspace in self.isolated else ""
 
     def match(self, host: str, path: str) -> Route | None:
-        """Returns the route with the longest prefix that begins `path`."""
+        """Returns the host's route with the longest prefix of `path`."""
         found: Route | None = None
         for route in self.routes:
             if route.host != host or not path.startswith(route.prefix):
--- a/src/godwittack/table/model.py
+++ b/src/godwittack/table/model.py
@@ -1,4 +1,4 @@
-"""Rows and cells of the operators' table as plain data."""
+"""Data classes for the operators' table: rows, cells, audit entries."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from godwittack.table import forwarding as forwardings
 
 CellValue: TypeAlias = str | int | float
-# Limits from here on limit nothing.
+# A limit of this value or more means unlimited.
 NO_LIMIT = 1_000_000
 
 
 def token_digest(token: str) -> str:
-    """Returns the digest by which a caller's key is known, "" for none."""
+    """Returns the SHA-256 hex digest of a token, or "" for no token."""
     return hashlib.sha256(token.encode()).hexdigest() if token else ""
 
 
 class RowKind(enum.StrEnum):
-    """Which of the three sheets a row belongs to."""
+    """Kind of a table row."""
 
     WORKSPACE = "workspace"
     MODEL = "model"
@@ -28,7 +28,7 @@
 
 
 class Repeatable(enum.StrEnum):
-    """Which calls of a plain service may be sent a second time."""
+    """Which calls of a plain service may be sent more than once."""
 
     READS = "reads"
     ALL = "all"
@@ -36,15 +36,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class WorkspaceRow:
-    """One tenant; its limits hold for all daemons together.
+    """One tenant; its limits apply to the sum over all daemons.
 
     Attributes:
         name: Row name.
         token_sha256: Hex digest of the bearer token of the workspace.
-        weight: Share of a full backend server, relative to other workspaces.
-        max_in_flight: Requests of the workspace that may run at one time.
-        max_requests_per_s: Requests accepted a second.
-        deadline_ms: Time to the first token when the caller names none.
+        weight: Share of a saturated backend server, relative to other
+            workspaces.
+        max_in_flight: Maximum number of requests that run at the same time.
+        max_requests_per_s: Maximum number of requests accepted per second.
+        deadline_ms: Deadline for the first token if the caller sends none.
     """
 
     name: str
@@ -56,28 +57,30 @@
 
     @classmethod
     def unlimited(cls, name: str) -> WorkspaceRow:
-        """Returns a workspace whose requests nothing limits."""
+        """Returns a workspace without limits on its requests."""
         return cls(
             name=name, max_in_flight=NO_LIMIT, max_requests_per_s=NO_LIMIT
         )
 
     @property
     def is_unlimited(self) -> bool:
-        """Whether neither number of requests is limited."""
+        """Whether neither concurrent requests nor their rate is limited."""
         lowest_limit = min(self.max_in_flight, self.max_requests_per_s)
         return lowest_limit >= NO_LIMIT
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ModelRow:
-    """One model and how its placement weighs speed against reuse.
+    """One model and how placement weighs latency against cache reuse.
 
     Attributes:
         name: Row name, the `model` of a request.
         weights_version: Version that replicas are ordered to load.
-        reuse_weight: Cost of a recomputed prompt token beside a waiting one;
-            0 looks at time to first token only, 2 avoids recomputation.
-        max_queue: Requests that one daemon may hold back for this model.
+        reuse_weight: Cost of a recomputed prompt token relative to one that
+            waits; 0 minimizes the time to first token only, 2 avoids
+            recomputation.
+        max_queue: Maximum number of requests that one daemon queues for this
+            model.
     """
 
     name: str
@@ -92,9 +95,10 @@
 
     Attributes:
         name: Row name, the first part of the path under `/svc/`.
-        repeatable: Which calls may be sent twice without harm.
-        max_in_flight: Calls that may run at one time, over all daemons.
-        deadline_ms: Time to the answer when the caller names none.
+        repeatable: Which calls may safely be sent more than once.
+        max_in_flight: Maximum number of calls that run at the same time, over
+            all daemons.
+        deadline_ms: Deadline for the answer if the caller sends none.
     """
 
     name: str
@@ -104,13 +108,13 @@
 
     @classmethod
     def unlimited(cls, name: str) -> ServiceRow:
-        """Returns a service whose calls nothing limits."""
+        """Returns a service without a limit on concurrent calls."""
         return cls(name=name, max_in_flight=NO_LIMIT)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PublishedWeights:
-    """The version of weights that a model's servers should load."""
+    """The weights version that a model's servers should load."""
 
     model: str
     version: str
@@ -126,7 +130,7 @@
 
 
 def row_kind(row: Row) -> RowKind:
-    """Returns the sheet that `row` belongs to."""
+    """Returns the kind of `row`."""
     for kind, row_type in ROW_TYPES.items():
         if isinstance(row, row_type):
             return kind
@@ -134,23 +138,24 @@
 
 
 def columns(kind: RowKind) -> tuple[str, ...]:
-    """Returns the cell names of a kind, without the row's name."""
+    """Returns the column names of a kind, without `name`."""
     fields = dataclasses.fields(ROW_TYPES[kind])
     return tuple(field.name for field in fields if field.name != "name")
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Table:
-    """One version of the table; a change makes a new version.
+    """One version of the table; each change creates a new version.
 
     Attributes:
-        version: Counts up by one a change and never goes down.
+        version: Increases by one with each change and never decreases.
         workspaces: Rows by name.
         models: Rows by name.
         services: Rows by name.
         workspace_by_token: Workspace name by token digest; a workspace may
             have several tokens.
-        forwarding: Routes and their surroundings, where callers come by them.
+        forwarding: Routes and their limits; None if requests name
+            their target without routes.
     """
 
     version: int = 0
@@ -163,7 +168,10 @@
     forwarding: forwardings.Forwarding | None = None
 
     def cache_owner(self, workspace: str) -> str:
-        """Returns whose cached state a workspace uses; empty for all's."""
+        """Returns the owner of the cached state that a workspace may use.
+
+        It is empty for the state that workspaces share.
+        """
         if self.forwarding is None:
             return ""
         return self.forwarding.cache_owner(workspace)
@@ -193,7 +201,7 @@
         return table
 
     def rows(self) -> list[Row]:
-        """Returns all rows in sheet order, sorted by name."""
+        """Returns all rows: workspaces, models, services, each by name."""
         ordered: list[Row] = []
         ordered.extend(self.workspaces[n] for n in sorted(self.workspaces))
         ordered.extend(self.models[n] for n in sorted(self.models))
@@ -215,11 +223,11 @@
     """One cell before and after a change.
 
     Attributes:
-        kind: Sheet of the row.
+        kind: Kind of the row.
         name: Row name.
-        column: Cell name, or `ROW_COLUMN` where a whole row comes or goes.
-        before: Old value; None where the row is new.
-        after: New value; None where the row goes.
+        column: Column name, or `ROW_COLUMN` if a row is added or removed.
+        before: Old value; None if the row is new.
+        after: New value; None if the row is removed.
     """
 
     kind: RowKind
@@ -230,7 +238,7 @@
 
     @property
     def cell(self) -> tuple[RowKind, str, str]:
-        """Identifies the cell, to see whether two changes meet."""
+        """Identifies the cell, to detect changes of the same cell."""
         return (self.kind, self.name, self.column)
 
 
@@ -239,16 +247,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class AuditEntry:
-    """Who changed what, when and why; one entry a version.
+    """Who changed what, when and why; one entry per version.
 
     Attributes:
-        version: Table version that the change made.
+        version: Table version that the change created.
         who: Operator name.
         why: Reason in the operator's words.
-        at_wall_ms: Wall clock of the daemon that committed it.
-        changes: The cells.
-        undoes: Version that this one takes back; 0 for none.
-        commit_id: Nonce of the commit.
+        at_wall_ms: Wall-clock time at the daemon that committed the change.
+        changes: The changed cells.
+        undoes: Version that this change undoes; 0 for none.
+        commit_id: Nonce of the operator's command.
     """
 
     version: int
--- a/src/godwittack/table/schema.py
+++ b/src/godwittack/table/schema.py
@@ -1,4 +1,4 @@
-"""Checks on rows and cells where they enter the program."""
+"""Validates rows and cells, and converts tables to and from JSON."""
 
 from __future__ import annotations
 
@@ -90,7 +90,7 @@
 def check_row(
     kind: model.RowKind, cells: Mapping[str, model.CellValue]
 ) -> Result[model.Row, str]:
-    """Checks one row's cells by type, range and known column."""
+    """Builds a row from its cells; checks column names, types and ranges."""
     try:
         checked = _CHECKS[kind].model_validate(dict(cells))
     except pydantic.ValidationError as error:
--- a/src/godwittack/table/store.py
+++ b/src/godwittack/table/store.py
@@ -1,4 +1,4 @@
-"""The table, its version and its audit trail in the platform."""
+"""Reads and commits the table and its audit trail in the platform."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 TABLE_ROW = protocol.RowId(CONFIG_TABLE, "table")
 COPY_OBJECT_NAME = "table-latest"
 MAX_COMMIT_ATTEMPTS = 8
-# A row version that no row has.
+# No row has this version, so a condition on it always fails.
 NEVER_MATCHING_VERSION = -1
 AUDIT_PAGE_ROWS = 500
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Proposal:
-    """A change that an operator asks for.
+    """A change requested by an operator.
 
     Attributes:
         changes: Cells with the values that the operator saw before.
-        undoes: Version that is taken back; 0 for none.
-        commit_id: Nonce of the operator's command. One asked for again, by
-            a lost reply or through another daemon, is committed once.
+        undoes: Version that the change undoes; 0 for none.
+        commit_id: Nonce of the operator's command. A command that is repeated
+            after a lost reply, or through another daemon, is committed once.
     """
 
     who: str
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Committed:
-    """The change is in the table service."""
+    """The change is stored in the table service."""
 
     table: model.Table
     entry: model.AuditEntry
@@ -54,12 +54,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Conflict:
-    """Somebody else's change of the same cells came first.
+    """The same cells were changed by an earlier commit.
 
     Attributes:
-        cells: Each cell with the value the operator saw and the one that
-            stands now.
-        others: Audit entries that changed them.
+        cells: Each cell with the value that the operator saw and the current
+            one.
+        others: Audit entries of the commits that changed these cells.
     """
 
     cells: tuple[model.CellChange, ...]
@@ -68,7 +68,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Invalid:
-    """The change does not pass the checks."""
+    """The change failed validation."""
 
     detail: str
 
@@ -82,34 +82,34 @@
     def __init__(
         self, service: protocol.TableService, objects: protocol.ObjectStore
     ) -> None:
-        """Keeps the table in `service` and a copy in `objects`."""
+        """Stores the table in `service` and a copy of it in `objects`."""
         self._service = service
         self._objects = objects
 
     async def version(self) -> Result[int, protocol.PlatformError]:
-        """Returns the newest version; the replica read may lag."""
-        got = await self._service.read(VERSION_ROW)
-        if isinstance(got, Err):
-            return got
-        return Ok(int(got.ok_value.value or "0"))
+        """Returns the version, read from a replica that may lag."""
+        result = await self._service.read(VERSION_ROW)
+        if isinstance(result, Err):
+            return result
+        return Ok(int(result.ok_value.value or "0"))
 
     async def table(self) -> Result[model.Table, protocol.PlatformError]:
-        """Returns the table; the replica read may lag."""
-        got = await self._service.read(TABLE_ROW)
-        if isinstance(got, Err):
-            return got
-        return Ok(_parse_table(got.ok_value.value))
+        """Returns the table, read from a replica that may lag."""
+        result = await self._service.read(TABLE_ROW)
+        if isinstance(result, Err):
+            return result
+        return Ok(_parse_table(result.ok_value.value))
 
     async def read_copy(self) -> model.Table | None:
-        """Returns the object store's copy, which may be old, or None."""
-        got = await self._objects.get(COPY_OBJECT_NAME)
-        if isinstance(got, Err) or got.ok_value is None:
+        """Returns the copy in the object store, which may be stale, or None."""
+        result = await self._objects.get(COPY_OBJECT_NAME)
+        if isinstance(result, Err) or result.ok_value is None:
             return None
-        parsed = schema.table_from_json(got.ok_value.decode())
+        parsed = schema.table_from_json(result.ok_value.decode())
         return parsed.ok_value if isinstance(parsed, Ok) else None
 
     async def write_copy(self, table: model.Table) -> None:
-        """Writes the object store's copy; a failure only leaves it old."""
+        """Writes the copy in the object store; failures only leave it stale."""
         await self._objects.put(
             COPY_OBJECT_NAME, schema.table_to_json(table).encode()
         )
@@ -121,29 +121,30 @@
         entries: list[model.AuditEntry] = []
         after = _audit_key(after_version)
         while True:
-            got = await self._service.scan(
+            result = await self._service.scan(
                 AUDIT_TABLE, after=after, limit=AUDIT_PAGE_ROWS
             )
-            if isinstance(got, Err):
-                return got
-            for row in got.ok_value:
+            if isinstance(result, Err):
+                return result
+            for row in result.ok_value:
                 parsed = schema.audit_from_json(row.value)
                 if isinstance(parsed, Ok):
                     entries.append(parsed.ok_value)
                 after = row.row_id.key
-            if len(got.ok_value) < AUDIT_PAGE_ROWS:
+            if len(result.ok_value) < AUDIT_PAGE_ROWS:
                 return Ok(entries)
 
     async def commit(
         self, proposal: Proposal, base: model.Table
     ) -> Result[CommitResult, protocol.PlatformError]:
-        """Commits a change by compare-and-set, and one nonce at most once.
-
-        The transaction holds only where the table row is still the one that
-        the change was merged into, and no row stands for the nonce. A failed
-        condition brings the rows that stand, so that the next try merges into
-        the newest table even where replicas lag, and a commit whose reply was
-        lost, or that another daemon made for the same command, is recognized.
+        """Commits a change by compare-and-set, and each nonce at most once.
+
+        The transaction succeeds only if the table row still has the version
+        that the change was merged into and no row exists for the nonce. A
+        failed condition returns the current rows. So the next attempt merges
+        into the newest table even if replicas lag, and an earlier commit of
+        the same command is recognized, whether its reply was lost or another
+        daemon made it.
         """
         table, row_version = base, await self._row_version(base)
         for _ in range(MAX_COMMIT_ATTEMPTS):
@@ -151,20 +152,22 @@
             if not isinstance(merged, model.Table):
                 return await self._earlier_commit_or(proposal, merged)
             entry = _audit_entry(proposal, table, merged)
-            got = await self._transact(proposal, merged, entry, row_version)
-            if isinstance(got, Err):
-                if not got.err_value.may_have_run:
-                    return got
-                got = await self._transact(proposal, merged, entry, row_version)
-                if isinstance(got, Err):
-                    return got
-            if got.ok_value.committed:
+            result = await self._transact(proposal, merged, entry, row_version)
+            if isinstance(result, Err):
+                if not result.err_value.may_have_run:
+                    return result
+                result = await self._transact(
+                    proposal, merged, entry, row_version
+                )
+                if isinstance(result, Err):
+                    return result
+            if result.ok_value.committed:
                 await self.write_copy(merged)
                 return Ok(Committed(merged, entry))
-            rows = {row.row_id: row for row in got.ok_value.rows}
-            settled = _earlier_commit(rows, proposal)
-            if settled is not None:
-                return Ok(settled)
+            rows = {row.row_id: row for row in result.ok_value.rows}
+            earlier = _earlier_commit(rows, proposal)
+            if earlier is not None:
+                return Ok(earlier)
             table = _parse_table(rows[TABLE_ROW].value)
             row_version = rows[TABLE_ROW].version
         return Err(
@@ -177,11 +180,14 @@
         )
 
     async def _row_version(self, base: model.Table) -> int:
-        got = await self._service.read(TABLE_ROW)
-        if isinstance(got, Ok) and _parse_table(got.ok_value.value) == base:
-            return got.ok_value.version
-        # Not the row that the base came from: the condition must fail, and
-        # its reply brings the one that stands.
+        result = await self._service.read(TABLE_ROW)
+        if (
+            isinstance(result, Ok)
+            and _parse_table(result.ok_value.value) == base
+        ):
+            return result.ok_value.version
+        # The row differs from the base: the condition must fail, so that its
+        # reply returns the current row.
         return NEVER_MATCHING_VERSION
 
     async def _earlier_commit_or(
@@ -189,44 +195,44 @@
         proposal: Proposal,
         refused: Result[CommitResult, protocol.PlatformError],
     ) -> Result[CommitResult, protocol.PlatformError]:
-        """Returns the commit that stands for the nonce, or the refusal.
+        """Returns an earlier commit of the same nonce, or the refusal.
 
-        An operator whose daemon fell silent asks another one. Without this
-        look the change that the first had made would be reported to the
-        operator as somebody else's.
+        An operator whose daemon stops responding sends the command to another
+        daemon. Without this check, a change that the first daemon committed
+        would be reported as a conflict with another operator.
         """
-        # Never true, so that the reply brings the rows as they stand.
-        unmet = protocol.Condition(TABLE_ROW, NEVER_MATCHING_VERSION)
-        made = protocol.Condition(_change_row(proposal), 0)
-        got = await self._service.transact((unmet, made), ())
-        if isinstance(got, Err):
-            return got
-        rows = {row.row_id: row for row in got.ok_value.rows}
-        settled = _earlier_commit(rows, proposal)
-        return refused if settled is None else Ok(settled)
+        # Always fails, so that the reply returns the current rows.
+        never_met = protocol.Condition(TABLE_ROW, NEVER_MATCHING_VERSION)
+        not_committed = protocol.Condition(_change_row(proposal), 0)
+        result = await self._service.transact((never_met, not_committed), ())
+        if isinstance(result, Err):
+            return result
+        rows = {row.row_id: row for row in result.ok_value.rows}
+        earlier = _earlier_commit(rows, proposal)
+        return refused if earlier is None else Ok(earlier)
 
     async def _merge(
         self, proposal: Proposal, table: model.Table
     ) -> model.Table | Result[CommitResult, protocol.PlatformError]:
-        clashes = edit.find_conflicts(table, proposal.changes)
-        if clashes:
-            others = await self._conflicting_entries(clashes)
-            return Ok(Conflict(tuple(clashes), others))
+        conflicting = edit.find_conflicts(table, proposal.changes)
+        if conflicting:
+            others = await self._conflicting_entries(conflicting)
+            return Ok(Conflict(tuple(conflicting), others))
         applied = edit.apply(table, proposal.changes)
         if isinstance(applied, Err):
             return Ok(Invalid(applied.err_value))
         return applied.ok_value
 
     async def _conflicting_entries(
-        self, clashes: Sequence[model.CellChange]
+        self, conflicting: Sequence[model.CellChange]
     ) -> tuple[model.AuditEntry, ...]:
-        got = await self.history(after_version=0)
-        if isinstance(got, Err):
+        result = await self.history(after_version=0)
+        if isinstance(result, Err):
             return ()
         found: list[model.AuditEntry] = []
-        for clash in clashes:
-            for entry in reversed(got.ok_value):
-                if any(c.cell == clash.cell for c in entry.changes):
+        for conflict_cell in conflicting:
+            for entry in reversed(result.ok_value):
+                if any(c.cell == conflict_cell.cell for c in entry.changes):
                     if entry not in found:
                         found.append(entry)
                     break
@@ -277,11 +283,11 @@
 def _earlier_commit(
     rows: dict[protocol.RowId, protocol.StoredRow], proposal: Proposal
 ) -> Committed | None:
-    """Returns the commit that was already made for a proposal's nonce."""
-    made = rows[_change_row(proposal)]
-    if not made.version:
+    """Returns the commit that already exists for a proposal's nonce."""
+    change_row = rows[_change_row(proposal)]
+    if not change_row.version:
         return None
-    parsed = schema.audit_from_json(made.value)
+    parsed = schema.audit_from_json(change_row.value)
     if isinstance(parsed, Err):
         raise ValueError(parsed.err_value)
     return Committed(_parse_table(rows[TABLE_ROW].value), parsed.ok_value)
--- a/tests/features/steps/table_steps.py
+++ b/tests/features/steps/table_steps.py
@@ -211,7 +211,7 @@
     """Checks exit code and sentence."""
     done = context.done
     assert done.returncode == 0, done.stderr + done.stdout
-    assert "is in force at" in done.stdout, done.stdout
+    assert "is in effect on" in done.stdout, done.stdout
 
 
 @when(
