--- a/src/godwittack/command/check.py
+++ b/src/godwittack/command/check.py
@@ -22,7 +22,7 @@
     if isinstance(loaded, Err):
         print(loaded.err_value, file=sys.stderr)
         return codes.BAD_INPUT
-    problem = validation.check_platform(settings, loaded.ok_value)
+    problem = validation.platform_error(settings, loaded.ok_value)
     if problem:
         print(
             f"{problem}; write http://IP:port of the platform's service"
--- a/src/godwittack/command/explain.py
+++ b/src/godwittack/command/explain.py
@@ -70,39 +70,41 @@
 def _request_lines(
     request_id: str, lines: Iterable[tuple[str, str]]
 ) -> list[tuple[str, str]]:
-    """Returns time and text of lines about a request, its servers, content."""
+    """Returns time and text of lines on a request, its servers and content."""
     request_lines: list[tuple[str, str]] = []
     server_lines: list[tuple[str, str, str]] = []
     servers: set[str] = set()
     contents: set[str] = set()
     content_lines: list[tuple[str, str, str]] = []
     for source, line in lines:
-        pairs = dict(KEY_VALUE.findall(line))
-        shown = f"{source}: {line}" if source else line
+        fields = dict(KEY_VALUE.findall(line))
+        text = f"{source}: {line}" if source else line
         if (
-            pairs.get(REQUEST_KEY, "").strip('"').partition("~")[0]
+            fields.get(REQUEST_KEY, "").strip('"').partition("~")[0]
             == request_id
         ):
-            request_lines.append((pairs.get("time", ""), shown))
-            servers.add(pairs.get("server", ""))
-            contents.add(pairs.get("content", ""))
-        elif pairs.get("event") in SERVER_STATE_EVENTS:
-            server_lines.append((pairs.get("time", ""), pairs["server"], shown))
-        elif pairs.get("event") in CONTENT_EVENTS:
+            request_lines.append((fields.get("time", ""), text))
+            servers.add(fields.get("server", ""))
+            contents.add(fields.get("content", ""))
+        elif fields.get("event") in SERVER_STATE_EVENTS:
+            server_lines.append(
+                (fields.get("time", ""), fields["server"], text)
+            )
+        elif fields.get("event") in CONTENT_EVENTS:
             content_lines.append(
-                (pairs.get("time", ""), pairs["content"], shown)
+                (fields.get("time", ""), fields["content"], text)
             )
     if not request_lines:
         return []
     started, ended = min(request_lines)[0], max(request_lines)[0]
     selected = [
-        (time, shown)
-        for time, server, shown in server_lines
+        (time, text)
+        for time, server, text in server_lines
         if server in servers - {""} and started <= time <= ended
     ]
     selected.extend(
-        (time, shown)
-        for time, content, shown in content_lines
+        (time, text)
+        for time, content, text in content_lines
         if content in contents - {""}
     )
     return request_lines + selected
--- a/src/godwittack/command/set_.py
+++ b/src/godwittack/command/set_.py
@@ -28,10 +28,10 @@
         target: Which daemon to call.
         json: Print the daemon's answer as JSON.
     """
-    got = client.fetch_table(target)
-    if isinstance(got, Err):
-        return client.fail(got.err_value, codes.UNAVAILABLE)
-    table = got.ok_value
+    current = client.fetch_table(target)
+    if isinstance(current, Err):
+        return client.fail(current.err_value, codes.UNAVAILABLE)
+    table = current.ok_value
     requested: list[model.CellChange] = []
     row = table.row(kind, name)
     if row is None:
--- a/src/godwittack/config/settings.py
+++ b/src/godwittack/config/settings.py
@@ -26,8 +26,8 @@
 ]
 Ms: TypeAlias = Annotated[int, pydantic.Field(ge=1, le=3_600_000)]
 MIN_SECRET_BYTES = 16
-# Subtracted from weights_bound_ms: time until all daemons know that weights
-# were replaced, and for which a request waits at its server.
+# Subtracted from weights_bound_ms: the time for a publication of weights to
+# reach all daemons, and for a request to wait at its server.
 WEIGHTS_MARGIN_MS = 2_500
 
 
@@ -109,12 +109,12 @@
     mesh_limit: int = pydantic.Field(
         default=16,
         ge=1,
-        description="fleet size up to which all daemons serve and get all updates",
+        description="daemons up to which all serve and receive all updates",
     )
     serving_daemons: int = pydantic.Field(
         default=48,
         ge=1,
-        description="number of daemons that serve callers, above mesh_limit",
+        description="daemons that callers are sent to, if more than mesh_limit",
     )
     cores: float | None = pydantic.Field(
         default=None,
@@ -129,7 +129,7 @@
     weights_bound_ms: int = pydantic.Field(
         default=0,
         ge=0,
-        description="ms after which replaced weights must not serve; 0: never",
+        description="ms that replaced weights may still serve; 0: no limit",
     )
     stop_grace_s: float = pydantic.Field(
         default=8.0,
@@ -154,7 +154,7 @@
     )
     slow_caller_ms: Ms = pydantic.Field(
         default=30_000,
-        description="ms for which a caller may not read its stream",
+        description="ms for which a caller may leave its stream unread",
     )
     connect_timeout_ms: Ms = pydantic.Field(
         default=1_000, description="ms to open a connection to a server"
@@ -282,11 +282,11 @@
     except yaml.YAMLError as error:
         return Err(f"{path}: not YAML: {' '.join(str(error).split())}")
     if not isinstance(raw, dict):
-        return Err(f"{path}: write one `key: value` a line")
+        return Err(f"{path}: write one `key: value` per line")
     try:
         settings = Settings.model_validate(raw)
     except pydantic.ValidationError as error:
-        return Err(f"{path}: {_explain(error)}")
+        return Err(f"{path}: {_describe_error(error)}")
     if settings.cluster_secret:
         return Ok(LoadedSettings(settings, settings.cluster_secret.encode()))
     if not settings.cluster_secret_file:
@@ -304,7 +304,7 @@
     return Ok(LoadedSettings(settings, secret))
 
 
-def _explain(error: pydantic.ValidationError) -> str:
+def _describe_error(error: pydantic.ValidationError) -> str:
     first = error.errors()[0]
     key = ".".join(str(part) for part in first["loc"]) or "settings"
     field = Settings.model_fields.get(str(first["loc"][0]))
@@ -325,24 +325,26 @@
 
 
 def _check_names(
-    value: dict[str, int | float], owner: type
+    numbers: dict[str, int | float], policy_type: type
 ) -> dict[str, int | float]:
-    known = {field.name for field in dataclasses.fields(owner)}
-    for name, number in value.items():
+    known = {field.name for field in dataclasses.fields(policy_type)}
+    for name, number in numbers.items():
         if name not in known:
             raise ValueError(f"no number is named {name!r}")
         if number < 0:
             raise ValueError(f"{name} must not be negative")
-    return value
+    return numbers
 
 
 def _convert_numbers(
-    value: dict[str, int | float], owner: type
+    numbers: dict[str, int | float], policy_type: type
 ) -> dict[str, Any]:
-    types = {field.name: field.type for field in dataclasses.fields(owner)}
+    types = {
+        field.name: field.type for field in dataclasses.fields(policy_type)
+    }
     return {
         name: int(number) if types[name] == "int" else float(number)
-        for name, number in value.items()
+        for name, number in numbers.items()
     }
 
 
--- a/src/godwittack/config/validation.py
+++ b/src/godwittack/config/validation.py
@@ -34,7 +34,7 @@
     return Ok(loaded.ok_value)
 
 
-def check_platform(path: str, loaded: configs.LoadedSettings) -> str:
+def platform_error(path: str, loaded: configs.LoadedSettings) -> str:
     """Returns why the platform can't be reached, or "" if it can."""
     problem = _connection_error(loaded.settings.platform_url)
     return f"{path}: platform_url: {problem}" if problem else ""
@@ -63,4 +63,4 @@
         return f"{url} can't be reached ({error})"
 
 
-__all__ = ["load_and_check", "check_platform"]
+__all__ = ["load_and_check", "platform_error"]
--- a/src/godwittack/daemon/process.py
+++ b/src/godwittack/daemon/process.py
@@ -60,7 +60,7 @@
 def _run(path: str, loaded: configs.LoadedSettings) -> None:
     from godwittack.daemon import serve
 
-    trouble = validation.check_platform(path, loaded)
+    trouble = validation.platform_error(path, loaded)
     if trouble:
         # The platform has outages, and a daemon must start during one.
         print(f"{trouble}; starting without it", file=sys.stderr)
--- a/src/godwittack/store/http.py
+++ b/src/godwittack/store/http.py
@@ -27,7 +27,7 @@
     now_ms: int = 0
 
 
-class _TransactedJson(pydantic.BaseModel):
+class _TransactionJson(pydantic.BaseModel):
     committed: bool
     rows: list[_RowJson] = []
     now_ms: int = 0
@@ -102,7 +102,7 @@
         )
         if isinstance(result, Err):
             return result
-        stored = _TransactedJson.model_validate_json(result.ok_value)
+        stored = _TransactionJson.model_validate_json(result.ok_value)
         rows = tuple(_row(row) for row in stored.rows)
         return Ok(
             protocol.TransactionResult(
--- a/src/godwittack/table/edit.py
+++ b/src/godwittack/table/edit.py
@@ -63,8 +63,9 @@
 ) -> list[model.CellChange]:
     """Returns the cells that were changed since `changes` was prepared.
 
-    Each entry has the value that the operator saw as `before` and the current
-    value in `table` as `after`.
+    Cells that already have the requested value are left out. Each entry has
+    the value that the operator saw as `before` and the current value in
+    `table` as `after`.
     """
     found: list[model.CellChange] = []
     for change in changes:
@@ -140,4 +141,4 @@
     return changes
 
 
-__all__ = ["apply", "find_conflicts", "diff", "invert"]
+__all__ = ["apply", "diff", "find_conflicts", "invert"]
--- a/src/godwittack/table/forwarding.py
+++ b/src/godwittack/table/forwarding.py
@@ -149,13 +149,13 @@
 
     def match(self, host: str, path: str) -> Route | None:
         """Returns the host's route with the longest prefix of `path`."""
-        found: Route | None = None
+        best: Route | None = None
         for route in self.routes:
             if route.host != host or not path.startswith(route.prefix):
                 continue
-            if found is None or len(route.prefix) > len(found.prefix):
-                found = route
-        return found
+            if best is None or len(route.prefix) > len(best.prefix):
+                best = route
+        return best
 
 
 __all__ = [
--- a/src/godwittack/table/model.py
+++ b/src/godwittack/table/model.py
@@ -154,8 +154,8 @@
         services: Rows by name.
         workspace_by_token: Workspace name by token digest; a workspace may
             have several tokens.
-        forwarding: Routes and their limits; None if requests name
-            their target without routes.
+        forwarding: Routes and their limits; None if requests name their
+            target without routes.
     """
 
     version: int = 0
--- a/src/godwittack/table/schema.py
+++ b/src/godwittack/table/schema.py
@@ -94,7 +94,7 @@
     try:
         checked = _CHECKS[kind].model_validate(dict(cells))
     except pydantic.ValidationError as error:
-        return Err(_explain(kind, str(cells.get("name", "?")), error))
+        return Err(_describe_error(kind, str(cells.get("name", "?")), error))
     return Ok(model.ROW_TYPES[kind](**checked.model_dump()))
 
 
@@ -187,8 +187,8 @@
         return Ok([_change(c) for c in adapter.validate_python(raw)])
     except pydantic.ValidationError as error:
         first = error.errors()[0]
-        place = ".".join(str(part) for part in first["loc"])
-        return Err(f"change {place}: {first['msg']}")
+        path = ".".join(str(part) for part in first["loc"])
+        return Err(f"change {path}: {first['msg']}")
 
 
 def _change(stored: _ChangeJson) -> model.CellChange:
@@ -206,7 +206,7 @@
     return {name: getattr(row, name) for name in names}
 
 
-def _explain(
+def _describe_error(
     kind: model.RowKind, name: str, error: pydantic.ValidationError
 ) -> str:
     first = error.errors()[0]
--- a/src/godwittack/table/store.py
+++ b/src/godwittack/table/store.py
@@ -150,7 +150,7 @@
         for _ in range(MAX_COMMIT_ATTEMPTS):
             merged = await self._merge(proposal, table)
             if not isinstance(merged, model.Table):
-                return await self._earlier_commit_or(proposal, merged)
+                return await self._resolve_refusal(proposal, merged)
             entry = _audit_entry(proposal, table, merged)
             result = await self._transact(proposal, merged, entry, row_version)
             if isinstance(result, Err):
@@ -190,7 +190,7 @@
         # reply returns the current row.
         return NEVER_MATCHING_VERSION
 
-    async def _earlier_commit_or(
+    async def _resolve_refusal(
         self,
         proposal: Proposal,
         refused: Result[CommitResult, protocol.PlatformError],
