--- a/src/godwittack/command/show.py
+++ b/src/godwittack/command/show.py
@@ -16,10 +16,10 @@
         target: Which daemon to call.
         json: Print the stored form, as JSON.
     """
-    got = client.fetch_table(target)
-    if isinstance(got, Err):
-        return client.fail(got.err_value, codes.UNAVAILABLE)
-    table = got.ok_value
+    current = client.fetch_table(target)
+    if isinstance(current, Err):
+        return client.fail(current.err_value, codes.UNAVAILABLE)
+    table = current.ok_value
     if json:
         print(schema.table_to_json(table))
         return codes.OK
