--- a/src/godwittack/command/explain.py
+++ b/src/godwittack/command/explain.py
@@ -46,8 +46,8 @@
     selected = sorted(_request_lines(request_id, list(_read_lines(logs))))
     if not selected:
         print(
-            f"{request_id}: not found in these logs; it may have reached"
-            " another daemon, or its lines were left out under load (see"
+            f"{request_id}: no line in these logs has this id; the request may"
+            " have reached another daemon, or its lines were left out under load (see"
             " event=log_lines_left_out)",
             file=sys.stderr,
         )
