--- a/src/godwittack/command/explain.py
+++ b/src/godwittack/command/explain.py
@@ -47,8 +47,8 @@
     if not selected:
         print(
             f"{request_id}: no line in these logs has this id; the request may"
-            " have reached another daemon, or its lines were left out under load"
-            " (see event=log_lines_left_out)",
+            " have reached another daemon, or its lines were left out under"
+            " load (see event=log_lines_left_out)",
             file=sys.stderr,
         )
         return codes.BAD_INPUT
