--- a/src/godwittack/claim/batch.py
+++ b/src/godwittack/claim/batch.py
@@ -20,7 +20,9 @@
 class _Pending:
     condition: protocol.Condition
     write: protocol.RowWrite
-    done: asyncio.Future[Result[protocol.Transacted, protocol.PlatformError]]
+    done: asyncio.Future[
+        Result[protocol.TransactionResult, protocol.PlatformError]
+    ]
 
 
 class WriteBatcher:
@@ -39,10 +41,10 @@
 
     async def write(
         self, condition: protocol.Condition, write: protocol.RowWrite
-    ) -> Result[protocol.Transacted, protocol.PlatformError]:
+    ) -> Result[protocol.TransactionResult, protocol.PlatformError]:
         """Makes one conditional write, possibly in a batch with others."""
         future: asyncio.Future[
-            Result[protocol.Transacted, protocol.PlatformError]
+            Result[protocol.TransactionResult, protocol.PlatformError]
         ] = asyncio.get_running_loop().create_future()
         self._queue.append(_Pending(condition, write, future))
         if self._flusher is None or self._flusher.done():
@@ -73,13 +75,17 @@
                 if row.version == pending.condition.version:
                     remaining.append(pending)
                 else:
-                    _resolve(pending, Ok(protocol.Transacted(False, (row,))))
+                    _resolve(
+                        pending, Ok(protocol.TransactionResult(False, (row,)))
+                    )
             if len(remaining) == len(batch):
                 # No condition fails now, yet nothing was committed: the rows
                 # changed and changed back. The callers retry.
                 for pending in remaining:
                     row = rows[pending.condition.row_id]
-                    _resolve(pending, Ok(protocol.Transacted(False, (row,))))
+                    _resolve(
+                        pending, Ok(protocol.TransactionResult(False, (row,)))
+                    )
                 return
             batch = remaining
 
@@ -97,7 +103,7 @@
 
 def _resolve(
     pending: _Pending,
-    result: Result[protocol.Transacted, protocol.PlatformError],
+    result: Result[protocol.TransactionResult, protocol.PlatformError],
 ) -> None:
     if not pending.done.done():
         pending.done.set_result(result)
--- a/src/godwittack/command/check.py
+++ b/src/godwittack/command/check.py
@@ -9,7 +9,7 @@
 from result import Err
 
 from godwittack.command import codes, parser
-from godwittack.config import trouble as troubles
+from godwittack.config import validation
 
 
 @parser.app.command
@@ -18,19 +18,19 @@
     settings: Annotated[str, cyclopts.Parameter(help="YAML settings file")],
 ) -> int:
     """Checks a settings file, its addresses and the platform."""
-    loaded = troubles.load_checked(settings)
+    loaded = validation.load_and_check(settings)
     if isinstance(loaded, Err):
         print(loaded.err_value, file=sys.stderr)
         return codes.BAD_INPUT
-    trouble = troubles.platform_trouble(settings, loaded.ok_value)
-    if trouble:
+    problem = validation.platform_error(settings, loaded.ok_value)
+    if problem:
         print(
-            f"{trouble}; write http://IP:port of the platform's service (in an"
-            " outage of it `serve` starts all the same)",
+            f"{problem}; write http://IP:port of the platform's service"
+            " (`serve` starts even if it is down)",
             file=sys.stderr,
         )
         return codes.BAD_INPUT
-    print(f"{settings}: good, for instance {loaded.ok_value.settings.name}")
+    print(f"{settings}: valid, for instance {loaded.ok_value.settings.name}")
     return codes.OK
 
 
--- a/src/godwittack/command/explain.py
+++ b/src/godwittack/command/explain.py
@@ -1,4 +1,4 @@
-"""`godwittack explain`: tells one request's story from log lines."""
+"""`godwittack explain`: collects the log lines of one request."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-PAIR = re.compile(r'(\w+)=("[^"]*"|\S*)')
-REQUEST = "request"
-# Belief lines that concern a server, told beside a request that used it.
-SERVER_EVENTS = frozenset(
+KEY_VALUE = re.compile(r'(\w+)=("[^"]*"|\S*)')
+REQUEST_KEY = "request"
+# Lines about a server's state, shown for requests that used the server.
+SERVER_STATE_EVENTS = frozenset(
     {
         "server_crashed",
         "server_ejected",
@@ -28,7 +28,7 @@
         "server_state",
     }
 )
-# Lines that concern what a request asks, however long before it.
+# Lines about a request's content, shown however long before the request.
 CONTENT_EVENTS = frozenset({"quarantined", "crashes_cleared"})
 
 
@@ -43,64 +43,71 @@
     ],
 ) -> int:
     """Prints what happened to one request, in order, over all daemons."""
-    told = sorted(_story(request_id, list(_lines(logs))))
-    if not told:
+    selected = sorted(_request_lines(request_id, list(_read_lines(logs))))
+    if not selected:
         print(
-            f"{request_id}: no line of these logs names it; it may have reached"
-            " another daemon, or been left out under load (see"
-            " event=log_lines_left_out)",
+            f"{request_id}: no line in these logs has this id; the request may"
+            " have reached another daemon, or its lines were left out under"
+            " load (see event=log_lines_left_out)",
             file=sys.stderr,
         )
         return codes.BAD_INPUT
-    for _, line in told:
+    for _, line in selected:
         print(line)
     return codes.OK
 
 
-def _lines(logs: tuple[str, ...]) -> Iterator[tuple[str, str]]:
-    """Yields the log's name and each line."""
+def _read_lines(logs: tuple[str, ...]) -> Iterator[tuple[str, str]]:
+    """Yields each line with the name of its log."""
     if not logs:
         yield from (("", line.rstrip("\n")) for line in sys.stdin)
     for name in logs:
         path = pathlib.Path(name)
-        with path.open(encoding="utf-8", errors="replace") as opened:
-            yield from ((path.stem, line.rstrip("\n")) for line in opened)
+        with path.open(encoding="utf-8", errors="replace") as log_file:
+            yield from ((path.stem, line.rstrip("\n")) for line in log_file)
 
 
-def _story(
+def _request_lines(
     request_id: str, lines: Iterable[tuple[str, str]]
 ) -> list[tuple[str, str]]:
-    """Returns the lines of a request, its content and the servers it used."""
-    own: list[tuple[str, str]] = []
-    others: list[tuple[str, str, str]] = []
+    """Returns time and text of lines on a request, its servers and content."""
+    request_lines: list[tuple[str, str]] = []
+    server_lines: list[tuple[str, str, str]] = []
     servers: set[str] = set()
     contents: set[str] = set()
-    of_contents: list[tuple[str, str, str]] = []
+    content_lines: list[tuple[str, str, str]] = []
     for source, line in lines:
-        pairs = dict(PAIR.findall(line))
-        shown = f"{source}: {line}" if source else line
-        if pairs.get(REQUEST, "").strip('"').partition("~")[0] == request_id:
-            own.append((pairs.get("time", ""), shown))
-            servers.add(pairs.get("server", ""))
-            contents.add(pairs.get("content", ""))
-        elif pairs.get("event") in SERVER_EVENTS:
-            others.append((pairs.get("time", ""), pairs["server"], shown))
-        elif pairs.get("event") in CONTENT_EVENTS:
-            of_contents.append((pairs.get("time", ""), pairs["content"], shown))
-    if not own:
+        fields = dict(KEY_VALUE.findall(line))
+        text = f"{source}: {line}" if source else line
+        if (
+            fields.get(REQUEST_KEY, "").strip('"').partition("~")[0]
+            == request_id
+        ):
+            request_lines.append((fields.get("time", ""), text))
+            servers.add(fields.get("server", ""))
+            contents.add(fields.get("content", ""))
+        elif fields.get("event") in SERVER_STATE_EVENTS:
+            server_lines.append(
+                (fields.get("time", ""), fields["server"], text)
+            )
+        elif fields.get("event") in CONTENT_EVENTS:
+            content_lines.append(
+                (fields.get("time", ""), fields["content"], text)
+            )
+    if not request_lines:
         return []
-    begin, end = min(own)[0], max(own)[0]
-    told = [
-        (time, shown)
-        for time, server, shown in others
-        if server in servers - {""} and begin <= time <= end
+    started, ended = min(request_lines)[0], max(request_lines)[0]
+    selected = [
+        (time, text)
+        for time, server, text in server_lines
+        if server in servers - {""} and started <= time <= ended
     ]
-    told.extend(
-        (time, shown)
-        for time, content, shown in of_contents
+    selected.extend(
+        (time, text)
+        for time, content, text in content_lines
         if content in contents - {""}
     )
-    return own + told
+    return request_lines + selected
 
 
 __all__ = ["explain"]
--- a/src/godwittack/command/show.py
+++ b/src/godwittack/command/show.py
@@ -10,16 +10,16 @@
 
 @parser.table.command
 def show(*, target: client.TargetOption = None, json: bool = False) -> int:
-    """Shows the table in force, a block for each kind of row.
+    """Shows the current table, one block per kind of row.
 
     Args:
-        target: Which daemon to ask.
-        json: Print the stored form.
+        target: Which daemon to call.
+        json: Print the stored form, as JSON.
     """
-    got = client.table(target)
-    if isinstance(got, Err):
-        return client.fail(got.err_value, codes.UNAVAILABLE)
-    table = got.ok_value
+    current = client.fetch_table(target)
+    if isinstance(current, Err):
+        return client.fail(current.err_value, codes.UNAVAILABLE)
+    table = current.ok_value
     if json:
         print(schema.table_to_json(table))
         return codes.OK
--- a/src/godwittack/config/settings.py
+++ b/src/godwittack/config/settings.py
@@ -1,4 +1,4 @@
-"""Every setting with its default, unit and meaning, checked on reading."""
+"""Defines, loads and checks all settings, with default, unit and meaning."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 ]
 Ms: TypeAlias = Annotated[int, pydantic.Field(ge=1, le=3_600_000)]
 MIN_SECRET_BYTES = 16
-# Taken off the bound on replaced weights: for the way of the news of them,
-# and for the wait of a request at its server.
+# Subtracted from weights_bound_ms: the time for a publication of weights to
+# reach all daemons, and for a request to wait at its server.
 WEIGHTS_MARGIN_MS = 2_500
 
 
 class Interface(enum.StrEnum):
-    """What the daemon's surroundings speak."""
+    """Protocol of callers, backend servers and the store."""
 
     OWN = "own"
     PLATFORM = "platform"
@@ -56,7 +56,7 @@
 
     name: str = pydantic.Field(description="name of this instance")
     failure_domain: str = pydantic.Field(
-        description="failure domain that this instance stands in"
+        description="failure domain of this instance"
     )
     http_address: Address = pydantic.Field(
         description="IP:port for callers and operators"
@@ -66,7 +66,7 @@
     )
     seeds: tuple[Address, ...] = pydantic.Field(
         default=(),
-        description="peer addresses of other daemons, to find the rest by",
+        description="peer addresses of daemons through which to find others",
     )
     platform_url: str = pydantic.Field(
         description="http://IP:port of the platform's service"
@@ -76,11 +76,11 @@
     )
     cluster_secret: str = pydantic.Field(
         default="",
-        description="that secret itself, where no file can be had",
+        description="that secret itself, if it can't be put into a file",
     )
     interface: Interface = pydantic.Field(
         default=Interface.OWN,
-        description="what callers, servers and the store speak: own, platform",
+        description="protocol of callers, servers and the store: own, platform",
     )
     ready_address: Address = pydantic.Field(
         default="0.0.0.0:0",
@@ -91,41 +91,45 @@
         description="IP:port for callers' lookups; platform interface only",
     )
     metrics_address: Address | None = pydantic.Field(
-        default=None, description="IP:port for metrics besides http_address"
+        default=None,
+        description="further IP:port for metrics, besides http_address",
     )
     failure_domains: dict[str, str] = pydantic.Field(
         default_factory=dict,
-        description="region of each failure domain; none to take any",
+        description="region of each failure domain; empty to accept any",
     )
     key_bound_ms: Ms = pydantic.Field(
         default=5_000,
-        description="ms after which a key taken away must not be served",
+        description="ms after which a revoked key must not be served",
     )
     feed_wait_ms: Ms = pydantic.Field(
-        default=1_000, description="ms that the store holds a call for changes"
+        default=1_000,
+        description="ms that the store waits for changes before it answers",
     )
     mesh_limit: int = pydantic.Field(
         default=16,
         ge=1,
-        description="daemons up to which all serve and receive all news",
+        description="daemons up to which all serve and receive all updates",
     )
     serving_daemons: int = pydantic.Field(
         default=48,
         ge=1,
-        description="daemons beyond mesh_limit that callers are sent to",
+        description="daemons that callers are sent to, if more than mesh_limit",
     )
     cores: float | None = pydantic.Field(
         default=None,
         gt=0,
-        description="speed of the machine's core against the usual one",
+        description="speed of the machine's core relative to the usual one",
     )
     core_share: float | None = pydantic.Field(
-        default=None, gt=0, description="part of that core given to the daemon"
+        default=None,
+        gt=0,
+        description="share of that core that the daemon may use",
     )
     weights_bound_ms: int = pydantic.Field(
         default=0,
         ge=0,
-        description="ms after which replaced weights serve nothing; 0: never",
+        description="ms that replaced weights may still serve; 0: no limit",
     )
     stop_grace_s: float = pydantic.Field(
         default=8.0,
@@ -143,14 +147,14 @@
         default=4 << 20, ge=1024, description="bytes of the longest request"
     )
     body_timeout_ms: Ms = pydantic.Field(
-        default=10_000, description="ms that a request's body may take"
+        default=10_000, description="ms for the arrival of a request's body"
     )
     max_bodies_arriving: int = pydantic.Field(
-        default=256, ge=1, description="request bodies read at one time"
+        default=256, ge=1, description="request bodies read at the same time"
     )
     slow_caller_ms: Ms = pydantic.Field(
         default=30_000,
-        description="ms that a caller may leave a stream unread",
+        description="ms for which a caller may leave its stream unread",
     )
     connect_timeout_ms: Ms = pydantic.Field(
         default=1_000, description="ms to open a connection to a server"
@@ -159,29 +163,30 @@
         default=1_000, description="ms for load reports, probes and orders"
     )
     platform_timeout_ms: Ms = pydantic.Field(
-        default=500, description="ms for one call of the platform"
+        default=500, description="ms for one call to the platform"
     )
     platform_pause_ms: Ms = pydantic.Field(
-        default=500, description="ms without calls after one got no answer"
+        default=500,
+        description="ms without calls to the platform after an unanswered one",
     )
     peer_timeout_ms: Ms = pydantic.Field(
         default=400, description="ms for one message to another daemon"
     )
     tick_ms: Ms = pydantic.Field(
-        default=100, description="ms between upkeep runs of the core"
+        default=100, description="ms between periodic runs of the core"
     )
     gossip_ms: Ms = pydantic.Field(
         default=500, description="ms between probes of other daemons"
     )
     news_ms: Ms = pydantic.Field(
         default=500,
-        description="ms between news of servers and demand to one daemon",
+        description="ms between updates on servers and demand to one daemon",
     )
     table_poll_ms: Ms = pydantic.Field(
-        default=1_000, description="ms between readings of the table's version"
+        default=1_000, description="ms between reads of the table's version"
     )
     list_poll_ms: Ms = pydantic.Field(
-        default=1_000, description="ms between readings of the instance list"
+        default=1_000, description="ms between reads of the instance list"
     )
     lead_step_ms: Ms = pydantic.Field(
         default=500, description="ms between steps of a weights roll-out"
@@ -194,11 +199,11 @@
     )
     stop_patience_ms: Ms = pydantic.Field(
         default=600_000,
-        description="ms a stop waits for requests in flight at most",
+        description="longest ms that a stop waits for requests in flight",
     )
     record_file: str = pydantic.Field(
         default="",
-        description="file for a recording of all decisions, to find faults",
+        description="file for a recording of all decisions, for debugging",
     )
     decisions: dict[str, int | float] = pydantic.Field(
         default_factory=dict,
@@ -211,62 +216,63 @@
 
     @pydantic.field_validator("decisions")
     @classmethod
-    def _known_decisions(
+    def _check_decisions(
         cls, value: dict[str, int | float]
     ) -> dict[str, int | float]:
         return _check_names(value, policies.Policy)
 
     @pydantic.field_validator("membership")
     @classmethod
-    def _known_membership(
+    def _check_membership(
         cls, value: dict[str, int | float]
     ) -> dict[str, int | float]:
         return _check_names(value, view.MemberPolicy)
 
     @pydantic.field_validator("platform_url")
     @classmethod
-    def _http_url(cls, value: str) -> str:
+    def _check_platform_url(cls, value: str) -> str:
         if not value.startswith(("http://", "https://")):
             raise ValueError("write http://IP:port")
         return value
 
     @property
     def capacity_millicores(self) -> int:
-        """Processor time that the machine gives the daemon; 0: not known."""
+        """Processor time that the daemon may use; 0 if not known."""
         return round((self.cores or 0.0) * (self.core_share or 0.0) * 1000)
 
     def policy(self) -> policies.Policy:
-        """Returns the core's numbers."""
-        bounded = dataclasses.replace(
+        """Returns the core's policy with the overrides of `decisions`."""
+        defaults = dataclasses.replace(
             policies.Policy(),
             old_weights_limit_ms=max(
                 0, self.weights_bound_ms - WEIGHTS_MARGIN_MS
             ),
         )
         return dataclasses.replace(
-            bounded, **_typed(self.decisions, policies.Policy)
+            defaults, **_convert_numbers(self.decisions, policies.Policy)
         )
 
     def member_policy(self) -> view.MemberPolicy:
-        """Returns the membership's numbers."""
+        """Returns the membership policy with the overrides of `membership`."""
         return dataclasses.replace(
-            view.MemberPolicy(), **_typed(self.membership, view.MemberPolicy)
+            view.MemberPolicy(),
+            **_convert_numbers(self.membership, view.MemberPolicy),
         )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Loaded:
-    """Settings with the secrets that they point to."""
+class LoadedSettings:
+    """Settings with the cluster secret."""
 
     settings: Settings
     cluster_secret: bytes
 
 
-def load(path: str) -> Result[Loaded, str]:
+def load(path: str) -> Result[LoadedSettings, str]:
     """Reads and checks a settings file.
 
     Returns:
-        The settings, or one line that names file, key and what to write.
+        The settings, or one line that names the file, the key and the remedy.
     """
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
@@ -276,13 +282,13 @@
     except yaml.YAMLError as error:
         return Err(f"{path}: not YAML: {' '.join(str(error).split())}")
     if not isinstance(raw, dict):
-        return Err(f"{path}: write one `key: value` a line")
+        return Err(f"{path}: write one `key: value` per line")
     try:
         settings = Settings.model_validate(raw)
     except pydantic.ValidationError as error:
-        return Err(f"{path}: {_explain(error)}")
+        return Err(f"{path}: {_describe_error(error)}")
     if settings.cluster_secret:
-        return Ok(Loaded(settings, settings.cluster_secret.encode()))
+        return Ok(LoadedSettings(settings, settings.cluster_secret.encode()))
     if not settings.cluster_secret_file:
         return Err(f"{path}: cluster_secret_file: missing; write its path")
     secret_path = pathlib.Path(path).parent / settings.cluster_secret_file
@@ -295,15 +301,15 @@
             f"{path}: cluster_secret_file: write at least"
             f" {MIN_SECRET_BYTES} bytes into it"
         )
-    return Ok(Loaded(settings, secret))
+    return Ok(LoadedSettings(settings, secret))
 
 
-def _explain(error: pydantic.ValidationError) -> str:
+def _describe_error(error: pydantic.ValidationError) -> str:
     first = error.errors()[0]
     key = ".".join(str(part) for part in first["loc"]) or "settings"
     field = Settings.model_fields.get(str(first["loc"][0]))
     if first["type"] == "extra_forbidden":
-        close = _closest(key)
+        close = _closest_setting(key)
         hint = f"did you mean {close}?" if close else "see godwittack settings"
         return f"{key}: no such setting; {hint}"
     if first["type"] == "missing":
@@ -313,29 +319,33 @@
     return f"{key}: {first['msg']}{meaning}"
 
 
-def _closest(key: str) -> str:
+def _closest_setting(key: str) -> str:
     found = difflib.get_close_matches(key, Settings.model_fields, n=1)
     return found[0] if found else ""
 
 
 def _check_names(
-    value: dict[str, int | float], owner: type
+    numbers: dict[str, int | float], policy_type: type
 ) -> dict[str, int | float]:
-    known = {field.name for field in dataclasses.fields(owner)}
-    for name, number in value.items():
+    known = {field.name for field in dataclasses.fields(policy_type)}
+    for name, number in numbers.items():
         if name not in known:
             raise ValueError(f"no number is named {name!r}")
         if number < 0:
             raise ValueError(f"{name} must not be negative")
-    return value
+    return numbers
 
 
-def _typed(value: dict[str, int | float], owner: type) -> dict[str, Any]:
-    types = {field.name: field.type for field in dataclasses.fields(owner)}
+def _convert_numbers(
+    numbers: dict[str, int | float], policy_type: type
+) -> dict[str, Any]:
+    types = {
+        field.name: field.type for field in dataclasses.fields(policy_type)
+    }
     return {
         name: int(number) if types[name] == "int" else float(number)
-        for name, number in value.items()
+        for name, number in numbers.items()
     }
 
 
-__all__ = ["Interface", "Loaded", "Operator", "Settings", "load"]
+__all__ = ["Interface", "LoadedSettings", "Operator", "Settings", "load"]
--- a/src/godwittack/config/trouble.py
+++ b/src/godwittack/config/validation.py
@@ -1,4 +1,4 @@
-"""Tries what settings name, before a daemon depends on it."""
+"""Checks that the addresses in the settings can be used."""
 
 from __future__ import annotations
 
@@ -14,33 +14,33 @@
 PLATFORM_TIMEOUT_S = 2.0
 
 
-def load_checked(path: str) -> Result[configs.Loaded, str]:
-    """Loads settings and tries the addresses they name."""
+def load_and_check(path: str) -> Result[configs.LoadedSettings, str]:
+    """Loads settings and tries to bind the addresses that they name."""
     loaded = configs.load(path)
     if isinstance(loaded, Err):
         return loaded
     settings = loaded.ok_value.settings
     if settings.interface is configs.Interface.PLATFORM:
-        # The platform gives the addresses to this process alone.
+        # The platform reserves the addresses for this process.
         return Ok(loaded.ok_value)
     for key, kind in (
         ("http_address", socket.SOCK_STREAM),
         ("peer_address", socket.SOCK_STREAM),
         ("peer_address", socket.SOCK_DGRAM),
     ):
-        trouble = _cannot_bind(getattr(settings, key), kind)
-        if trouble:
-            return Err(f"{path}: {key}: {trouble}; write a free IP:port")
+        problem = _bind_error(getattr(settings, key), kind)
+        if problem:
+            return Err(f"{path}: {key}: {problem}; write a free IP:port")
     return Ok(loaded.ok_value)
 
 
-def platform_trouble(path: str, loaded: configs.Loaded) -> str:
-    """Returns why the platform can't be reached, or nothing."""
-    trouble = _cannot_reach(loaded.settings.platform_url)
-    return f"{path}: platform_url: {trouble}" if trouble else ""
+def platform_error(path: str, loaded: configs.LoadedSettings) -> str:
+    """Returns why the platform can't be reached, or "" if it can."""
+    problem = _connection_error(loaded.settings.platform_url)
+    return f"{path}: platform_url: {problem}" if problem else ""
 
 
-def _cannot_bind(address: str, kind: socket.SocketKind) -> str:
+def _bind_error(address: str, kind: socket.SocketKind) -> str:
     host, port = addresses.split(address)
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     with socket.socket(family, kind) as probe:
@@ -53,7 +53,7 @@
     return ""
 
 
-def _cannot_reach(url: str) -> str:
+def _connection_error(url: str) -> str:
     try:
         with urllib.request.urlopen(
             url + "/instances", timeout=PLATFORM_TIMEOUT_S
@@ -63,4 +63,4 @@
         return f"{url} can't be reached ({error})"
 
 
-__all__ = ["load_checked", "platform_trouble"]
+__all__ = ["load_and_check", "platform_error"]
--- a/src/godwittack/daemon/base.py
+++ b/src/godwittack/daemon/base.py
@@ -56,7 +56,7 @@
     seeds: tuple[str, ...]
 
     @classmethod
-    def from_config(cls, loaded: configs.Loaded) -> Components:
+    def from_config(cls, loaded: configs.LoadedSettings) -> Components:
         """Builds the components of a process that has just started."""
         settings = loaded.settings
         clock = SystemClock()
--- a/src/godwittack/daemon/platform_daemon.py
+++ b/src/godwittack/daemon/platform_daemon.py
@@ -69,7 +69,7 @@
 
     def __init__(
         self,
-        loaded: configs.Loaded,
+        loaded: configs.LoadedSettings,
         session: aiohttp.ClientSession,
         write_line: Callable[[str], None],
         delay: loop_delay.ReadDelay,
@@ -433,7 +433,7 @@
 
 
 async def serve(
-    loaded: configs.Loaded,
+    loaded: configs.LoadedSettings,
     *,
     write_line: Callable[[str], None],
     delay: loop_delay.ReadDelay,
--- a/src/godwittack/daemon/published_weights.py
+++ b/src/godwittack/daemon/published_weights.py
@@ -33,7 +33,7 @@
         self,
         rows: Mapping[str, protocol.ChangedRow],
         decode: Callable[
-            [protocol.ChangedRow], Result[model.NamedWeights | None, str]
+            [protocol.ChangedRow], Result[model.PublishedWeights | None, str]
         ],
     ) -> None:
         """Applies changed rows; ignores versions older than the known one."""
--- a/src/godwittack/store/call.py
+++ b/src/godwittack/store/call.py
@@ -1,4 +1,4 @@
-"""One HTTP call of a store, with every way in which it may fail."""
+"""Makes one HTTP call to a store and returns failures as values."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Failure:
-    """A call that brought no answer.
+class CallFailure:
+    """A call without an answer.
 
     Attributes:
-        detail: One line for people.
-        sent: Whether a byte may have reached the store.
-        timed_out: Whether its time ran out.
+        detail: One line that describes the failure.
+        may_have_run: Whether any byte may have reached the store.
+        timed_out: Whether the call timed out.
     """
 
     detail: str
-    sent: bool = True
+    may_have_run: bool = True
     timed_out: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """Status and whole body of an answer."""
+    """Status and complete body of an answer."""
 
     status: int
     body: bytes
@@ -39,25 +39,25 @@
     url: str,
     *,
     body: bytes | None,
-    limit_ms: int,
-) -> Result[Reply, Failure]:
-    """Makes one call; redirects are answers like others."""
+    timeout_ms: int,
+) -> Result[Reply, CallFailure]:
+    """Makes one call; a redirect is returned as an answer, not followed."""
     try:
         async with session.request(
             method,
             url,
             data=body,
             headers=JSON_TYPE if body else {},
-            timeout=aiohttp.ClientTimeout(total=limit_ms / 1000),
+            timeout=aiohttp.ClientTimeout(total=timeout_ms / 1000),
             allow_redirects=False,
         ) as response:
             return Ok(Reply(response.status, await response.read()))
     except TimeoutError:
-        return Err(Failure("no answer in time", timed_out=True))
+        return Err(CallFailure("no answer in time", timed_out=True))
     except aiohttp.ClientConnectorError as error:
-        return Err(Failure(str(error), sent=False))
+        return Err(CallFailure(str(error), may_have_run=False))
     except (aiohttp.ClientError, OSError) as error:
-        return Err(Failure(str(error) or type(error).__name__))
+        return Err(CallFailure(str(error) or type(error).__name__))
 
 
-__all__ = ["Failure", "Reply", "exchange"]
+__all__ = ["CallFailure", "Reply", "exchange"]
--- a/src/godwittack/table/edit.py
+++ b/src/godwittack/table/edit.py
@@ -1,4 +1,4 @@
-"""Differences between two tables and cell edits on one."""
+"""Compares tables and applies, checks and inverts cell changes."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 def diff(before: model.Table, after: model.Table) -> list[model.CellChange]:
-    """Returns the cells that differ, in sheet order."""
+    """Returns the cells that differ, in the order of `Table.rows`."""
     changes: list[model.CellChange] = []
-    old_rows = {_key(row): row for row in before.rows()}
-    new_rows = {_key(row): row for row in after.rows()}
+    old_rows = {_row_key(row): row for row in before.rows()}
+    new_rows = {_row_key(row): row for row in after.rows()}
     for key in [*old_rows, *(k for k in new_rows if k not in old_rows)]:
         changes.extend(
             _diff_row(key[0], key[1], old_rows.get(key), new_rows.get(key))
@@ -28,15 +28,15 @@
 def apply(
     table: model.Table, changes: Iterable[model.CellChange]
 ) -> Result[model.Table, str]:
-    """Sets the cells of `changes` on `table`, checked as on import.
+    """Sets the cells of `changes` on `table`, with the checks of an import.
 
-    The `before` values are not compared here: whoever commits compares them
-    first, see `conflicts`.
+    The `before` values are not compared here; `find_conflicts` does that and
+    must be called before a commit.
 
     Returns:
         The table with the version raised by one, or a one-line error.
     """
-    cells = {_key(row): _cells(row) for row in table.rows()}
+    cells = {_row_key(row): _cells(row) for row in table.rows()}
     for change in changes:
         key = (change.kind, change.name)
         if change.column == model.ROW_COLUMN:
@@ -58,57 +58,58 @@
     return Ok(model.Table.from_rows(version=table.version + 1, rows=rows))
 
 
-def conflicts(
+def find_conflicts(
     table: model.Table, changes: Iterable[model.CellChange]
 ) -> list[model.CellChange]:
-    """Returns what now stands in cells that `changes` saw otherwise.
+    """Returns the cells that were changed since `changes` was prepared.
 
-    Each entry gives the value the change was made from as `before` and the
-    value in `table` as `after`.
+    Cells that already have the requested value are left out. Each entry has
+    the value that the operator saw as `before` and the current value in
+    `table` as `after`.
     """
     found: list[model.CellChange] = []
     for change in changes:
         row = table.row(change.kind, change.name)
-        now = _value_now(row, change.column)
-        if now != change.before and now != change.after:
-            found.append(dataclasses.replace(change, after=now))
+        current = _cell_value(row, change.column)
+        if current != change.before and current != change.after:
+            found.append(dataclasses.replace(change, after=current))
     return found
 
 
 def invert(changes: Iterable[model.CellChange]) -> list[model.CellChange]:
-    """Returns the changes that take `changes` back."""
+    """Returns the changes that undo `changes`."""
     inverted = [
         dataclasses.replace(change, before=change.after, after=change.before)
         for change in changes
     ]
-    # A row must exist before its cells are set, whichever way it goes.
+    # Row changes come first: a row must exist before its cells are set.
     inverted.sort(key=lambda change: change.column != model.ROW_COLUMN)
     return inverted
 
 
-def _key(row: model.Row) -> tuple[model.RowKind, str]:
+def _row_key(row: model.Row) -> tuple[model.RowKind, str]:
     return (model.row_kind(row), row.name)
 
 
 def _cells(row: model.Row) -> dict[str, model.CellValue]:
     return {
-        field.name: _plain(getattr(row, field.name))
+        field.name: _plain_value(getattr(row, field.name))
         for field in dataclasses.fields(row)
     }
 
 
-def _plain(value: model.CellValue) -> model.CellValue:
+def _plain_value(value: model.CellValue) -> model.CellValue:
     if isinstance(value, model.Repeatable):
         return value.value
     return value
 
 
-def _value_now(row: model.Row | None, column: str) -> model.CellValue | None:
+def _cell_value(row: model.Row | None, column: str) -> model.CellValue | None:
     if row is None:
         return None
     if column == model.ROW_COLUMN:
         return row.name
-    return _plain(getattr(row, column))
+    return _plain_value(getattr(row, column))
 
 
 def _diff_row(
@@ -129,8 +130,8 @@
             )
         )
     for column in model.columns(kind):
-        old = _value_now(before, column)
-        new = _value_now(after, column)
+        old = _cell_value(before, column)
+        new = _cell_value(after, column)
         if old != new:
             changes.append(
                 model.CellChange(
@@ -140,4 +141,4 @@
     return changes
 
 
-__all__ = ["apply", "conflicts", "diff", "invert"]
+__all__ = ["apply", "diff", "find_conflicts", "invert"]
