--- a/src/godwittack/command/report.py
+++ b/src/godwittack/command/report.py
@@ -5,7 +5,7 @@
 from result import Err
 
 from godwittack.command import client, codes, parser
-from godwittack.report import ledger, text
+from godwittack.report import counters, text
 
 
 @parser.app.command
@@ -24,7 +24,7 @@
     if json:
         print(got.ok_value.body)
         return codes.OK
-    counts = ledger.Counts.model_validate_json(got.ok_value.body)
+    counts = counters.Counts.model_validate_json(got.ok_value.body)
     print(text.render(counts), end="")
     return codes.OK
 
--- a/src/godwittack/daemon/base.py
+++ b/src/godwittack/daemon/base.py
@@ -17,7 +17,7 @@
 from godwittack.member import view
 from godwittack.metric import meters
 from godwittack.peer import datagram, exchange, server
-from godwittack.report import ledger
+from godwittack.report import counters
 
 if TYPE_CHECKING:
     from collections.abc import Coroutine
@@ -47,7 +47,7 @@
     clock: SystemClock
     rng: random.Random
     core: router.Router
-    counts: ledger.Ledger
+    counts: counters.Ledger
     meters: meters.Meters
     members: view.View
     peers: exchange.PeerClient
@@ -76,7 +76,7 @@
             clock=clock,
             rng=rng,
             core=core,
-            counts=ledger.Ledger(daemon=me.member_id, clock=clock),
+            counts=counters.Ledger(daemon=me.member_id, clock=clock),
             meters=measures,
             members=view.View(
                 me=me,
--- a/src/godwittack/daemon/gossip.py
+++ b/src/godwittack/daemon/gossip.py
@@ -19,7 +19,7 @@
     from godwittack.daemon import runtime as runtimes
     from godwittack.daemon import tables
     from godwittack.peer import wire
-    from godwittack.report import ledger
+    from godwittack.report import counters
 
 
 LEAVE_MS = 3_000
@@ -55,7 +55,7 @@
         client: Prober,
         probes: Prober,
         news: newses.News,
-        counts: ledger.Ledger,
+        counts: counters.Ledger,
         seeds: tuple[str, ...],
     ) -> None:
         """Gossips for the member `members.me`.
--- a/src/godwittack/daemon/listening.py
+++ b/src/godwittack/daemon/listening.py
@@ -7,7 +7,7 @@
 from aiohttp import web
 
 from godwittack import address as addresses
-from godwittack.entry import patience
+from godwittack.entry import connection_timeouts
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -30,7 +30,7 @@
         """Listens to nothing yet; `delay` tells how late the loop may read."""
         self._clock = clock
         self._delay = delay
-        self._servers: list[patience.PatientServer] = []
+        self._servers: list[connection_timeouts.PatientServer] = []
         self._sites: list[web.TCPSite] = []
 
     async def listen(
@@ -43,7 +43,7 @@
         Raises:
             OSError: The address is in use.
         """
-        server = patience.PatientServer(
+        server = connection_timeouts.PatientServer(
             handler,
             clock=self._clock,
             max_line_bytes=MAX_LINE_BYTES,
--- a/src/godwittack/daemon/observer.py
+++ b/src/godwittack/daemon/observer.py
@@ -10,7 +10,7 @@
     from godwittack.core import effects
     from godwittack.daemon import stories
     from godwittack.metric import meters
-    from godwittack.report import ledger
+    from godwittack.report import counters
 
 
 class Observer(Protocol):
@@ -26,7 +26,7 @@
     def __init__(
         self,
         *,
-        counts: ledger.Ledger,
+        counts: counters.Ledger,
         measures: meters.Meters,
         told: stories.Stories | None = None,
     ) -> None:
--- a/src/godwittack/daemon/serve.py
+++ b/src/godwittack/daemon/serve.py
@@ -25,10 +25,10 @@
     tables,
     watch,
 )
-from godwittack.entry import calls, operate, status, token
+from godwittack.entry import calls, operator_api, status, token
 from godwittack.lead import lease as leases
 from godwittack.member import serving_lease
-from godwittack.report import ledger
+from godwittack.report import counters
 from godwittack.session import record
 from godwittack.store import http as platform_http
 from godwittack.table import store as table_store
@@ -226,7 +226,7 @@
         loaded: configs.Loaded,
         store: table_store.TableStore,
         platform: platform_http.HttpPlatform,
-        counts: ledger.Ledger,
+        counts: counters.Ledger,
     ) -> web.Application:
         settings = loaded.settings
         face = calls.CallFace(
@@ -240,7 +240,7 @@
             members=self.gossiper.members,
             meters=self._meters,
         )
-        operators = operate.OperatorFace(
+        operators = operator_api.OperatorFace(
             runtime=self.runtime,
             settings=settings,
             gossiper=self.gossiper,
--- a/src/godwittack/entry/forward.py
+++ b/src/godwittack/entry/forward.py
@@ -10,7 +10,7 @@
 from result import Err
 
 from godwittack.core import effects, inputs
-from godwittack.entry import parse, patience
+from godwittack.entry import connection_timeouts, parse
 from godwittack.table import forwarding
 
 if TYPE_CHECKING:
@@ -117,7 +117,7 @@
                     self._runtime.clock.now_ms(),
                     request_id,
                     asked,
-                    patience.waited_ms(request),
+                    connection_timeouts.waited_ms(request),
                 )
             )
             return await self._deliver(request, caller)
--- a/src/godwittack/entry/operate.py
+++ b/src/godwittack/entry/operator_api.py
@@ -14,7 +14,7 @@
 
 from godwittack.daemon import change as changes
 from godwittack.entry import parse, refusal, weights
-from godwittack.report import ledger
+from godwittack.report import counters
 from godwittack.table import schema, sheet, store
 
 if TYPE_CHECKING:
@@ -51,7 +51,7 @@
     committer: changes.Committer
     tables: store.TableStore
     weights: platform.WeightStore
-    counts: ledger.Ledger
+    counts: counters.Ledger
 
     def routes(self) -> list[web.RouteDef]:
         """Returns the handlers, each behind the operator's token."""
@@ -173,7 +173,7 @@
                 total.unreachable.append(member.member_id)
                 continue
             total.add(
-                ledger.Counts.model_validate_json(reply.ok_value.report_json)
+                counters.Counts.model_validate_json(reply.ok_value.report_json)
             )
         return web.json_response(text=total.model_dump_json())
 
--- a/src/godwittack/report/text.py
+++ b/src/godwittack/report/text.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from godwittack.report import ledger
+from godwittack.report import counters
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -31,27 +31,27 @@
 }
 
 
-def render(counts: ledger.Counts) -> str:
+def render(counts: counters.Counts) -> str:
     """Returns the report as lines of sentences, then numbers."""
     return "\n".join(_lines(counts)) + "\n"
 
 
-def first_token_ms(counts: ledger.WorkspaceCounts, part: float) -> int | None:
+def first_token_ms(counts: counters.WorkspaceCounts, part: float) -> int | None:
     """Returns the bound below which `part` of the first tokens came."""
     total = sum(counts.first_token_counts)
     if not total:
         return None
     seen = 0
     for count, bound in zip(
-        counts.first_token_counts, ledger.BOUNDS_MS, strict=False
+        counts.first_token_counts, counters.BOUNDS_MS, strict=False
     ):
         seen += count
         if seen >= part * total:
             return bound
-    return ledger.BOUNDS_MS[-1]
+    return counters.BOUNDS_MS[-1]
 
 
-def _lines(counts: ledger.Counts) -> Iterator[str]:
+def _lines(counts: counters.Counts) -> Iterator[str]:
     minutes = max(1, round(counts.window_s / 60))
     yield (
         f"The last {minutes} min on {len(counts.daemons)} daemons"
@@ -69,7 +69,7 @@
         yield from _workspace(name, counts.workspaces[name])
 
 
-def _workspace(name: str, counts: ledger.WorkspaceCounts) -> Iterator[str]:
+def _workspace(name: str, counts: counters.WorkspaceCounts) -> Iterator[str]:
     refused = sum(counts.refused.values())
     asked = counts.finished + counts.broken + refused
     yield f"{name}: {asked} requests, {counts.finished} answered."
@@ -78,7 +78,7 @@
     yield from _wasted(counts)
 
 
-def _late(counts: ledger.WorkspaceCounts) -> Iterator[str]:
+def _late(counts: counters.WorkspaceCounts) -> Iterator[str]:
     if counts.late:
         yield (
             f"  Late: {counts.late} answers began after their deadline and"
@@ -101,7 +101,7 @@
         )
 
 
-def _refused(counts: ledger.WorkspaceCounts, refused: int) -> Iterator[str]:
+def _refused(counts: counters.WorkspaceCounts, refused: int) -> Iterator[str]:
     if not refused:
         yield "  Refused: none."
     else:
@@ -118,7 +118,7 @@
         yield f"  Retried: {counts.retried} times on another backend server."
 
 
-def _wasted(counts: ledger.WorkspaceCounts) -> Iterator[str]:
+def _wasted(counts: counters.WorkspaceCounts) -> Iterator[str]:
     if not counts.prompt_tokens:
         return
     hit = 100 * counts.cached_tokens / counts.prompt_tokens
--- a/tests/cases/fuzz.py
+++ b/tests/cases/fuzz.py
@@ -11,7 +11,7 @@
 
 from godwittack.backend import connection, sse
 from godwittack.clock import SystemClock
-from godwittack.entry import patience
+from godwittack.entry import connection_timeouts
 
 EXAMPLES = 150
 MAX_LINE_BYTES = 1 << 16
@@ -187,7 +187,7 @@
         await request.read()
         return web.Response(text="served")
 
-    server = patience.PatientServer(
+    server = connection_timeouts.PatientServer(
         handle, clock=SystemClock(), max_line_bytes=MAX_LINE_BYTES
     )
     runner = web.ServerRunner(server, shutdown_timeout=0.1)
--- a/tests/cases/patience.py
+++ b/tests/cases/patience.py
@@ -9,7 +9,7 @@
 from aiohttp import web
 
 from godwittack.clock import ManualClock
-from godwittack.entry import patience
+from godwittack.entry import connection_timeouts
 from godwittack.table import forwarding
 
 LIMITS = forwarding.CallerLimits(header_timeout_ms=1_000, idle_timeout_ms=5_000)
@@ -29,7 +29,7 @@
         await may_answer.wait()
         return web.Response(text="whole")
 
-    server = patience.PatientServer(
+    server = connection_timeouts.PatientServer(
         handle, clock=clock, max_line_bytes=MAX_LINE_BYTES
     )
     runner = web.ServerRunner(server, shutdown_timeout=0.1)
--- a/tests/sim/fleet.py
+++ b/tests/sim/fleet.py
@@ -21,7 +21,7 @@
     watch,
 )
 from godwittack.member import serving_lease, view
-from godwittack.report import ledger
+from godwittack.report import counters
 from godwittack.store import protocol as platform
 from godwittack.table import model, store
 from sim import fakes, loop, ways
@@ -91,7 +91,7 @@
             keeper=self.keeper,
             client=peers,
             probes=peers,
-            counts=ledger.Ledger(daemon=name, clock=self.clock),
+            counts=counters.Ledger(daemon=name, clock=self.clock),
             seeds=tuple(fleet.seeds),
         )
         streams = watch.Streams()
