--- a/deploy/daemon.py
+++ b/deploy/daemon.py
@@ -13,7 +13,7 @@
 
 from godwittack.daemon import process
 
-BAD_SETTINGS = 2
+EXIT_BAD_SETTINGS = 2
 
 
 def main() -> None:
@@ -21,7 +21,7 @@
     ended = process.run(sys.argv[1])
     if ended.is_err():
         print(ended.err_value, file=sys.stderr)
-        sys.exit(BAD_SETTINGS)
+        sys.exit(EXIT_BAD_SETTINGS)
 
 
 if __name__ == "__main__":
--- a/src/godwittack/command/replay.py
+++ b/src/godwittack/command/replay.py
@@ -23,7 +23,7 @@
             lines = path.read_text(encoding="utf-8").splitlines()
         except OSError as error:
             return client.fail(f"{name}: {error.strerror}")
-        changed = record.difference(name, lines)
+        changed = record.replay_diff(name, lines)
         if not changed:
             print(f"{name}: same")
             continue
--- a/src/godwittack/daemon/base.py
+++ b/src/godwittack/daemon/base.py
@@ -47,7 +47,7 @@
     clock: SystemClock
     rng: random.Random
     core: router.Router
-    counts: counters.Ledger
+    counts: counters.EventCounters
     meters: meters.Meters
     members: view.View
     peers: exchange.PeerClient
@@ -76,7 +76,7 @@
             clock=clock,
             rng=rng,
             core=core,
-            counts=counters.Ledger(daemon=me.member_id, clock=clock),
+            counts=counters.EventCounters(daemon=me.member_id, clock=clock),
             meters=measures,
             members=view.View(
                 me=me,
--- a/src/godwittack/daemon/edge.py
+++ b/src/godwittack/daemon/edge.py
@@ -221,15 +221,15 @@
             audience=self._serving,
         )
         self._peer_server = parts.peer_server(self._gossiper)
-        self._face = forward.ForwardFace(
+        self._face = forward.ForwardHandler(
             runtime=self.runtime,
             settings=settings,
-            wire=callers.CallerFormat(),
+            caller_format=callers.CallerFormat(),
         )
-        self._directory = directory.DirectoryFace(
+        self._directory = directory.DirectoryHandlers(
             members=members,
             world=core.world,
-            wire=resolving.DirectoryFormat(),
+            directory_format=resolving.DirectoryFormat(),
             serving=self._serving,
         )
         self._store_readers = assignment.CachedAssignment(
@@ -318,7 +318,10 @@
         logging.info("event=stopping in_flight=%d", self._in_flight())
         self._face.stopping = self._directory.stopping = True
         await self._gossiper.stop()
-        kept_ms = started_ms + directory.KEEP_FACTOR * directory.ADDRESS_KEEP_MS
+        kept_ms = (
+            started_ms
+            + directory.ADDRESS_KEEP_FACTOR * directory.ADDRESS_KEEP_MS
+        )
         while self._clock.now_ms() < min(kept_ms, ends_ms):
             await asyncio.sleep(0.05)
         await self._listeners.stop()
--- a/src/godwittack/daemon/gossip.py
+++ b/src/godwittack/daemon/gossip.py
@@ -55,7 +55,7 @@
         client: Prober,
         probes: Prober,
         news: newses.News,
-        counts: counters.Ledger,
+        counts: counters.EventCounters,
         seeds: tuple[str, ...],
     ) -> None:
         """Gossips for the member `members.me`.
@@ -197,7 +197,7 @@
 
     def report(self) -> peer_pb2.ReportReply:
         """Returns this daemon's counts."""
-        counts = self._counts.counts()
+        counts = self._counts.totals()
         return peer_pb2.ReportReply(report_json=counts.model_dump_json())
 
     def _probe_unknown_seeds(self) -> None:
--- a/src/godwittack/daemon/listening.py
+++ b/src/godwittack/daemon/listening.py
@@ -30,7 +30,7 @@
         """Listens to nothing yet; `delay` tells how late the loop may read."""
         self._clock = clock
         self._delay = delay
-        self._servers: list[connection_timeouts.PatientServer] = []
+        self._servers: list[connection_timeouts.TimeoutServer] = []
         self._sites: list[web.TCPSite] = []
 
     async def listen(
@@ -43,7 +43,7 @@
         Raises:
             OSError: The address is in use.
         """
-        server = connection_timeouts.PatientServer(
+        server = connection_timeouts.TimeoutServer(
             handler,
             clock=self._clock,
             max_line_bytes=MAX_LINE_BYTES,
@@ -60,7 +60,7 @@
     def end_slow(self, limits: forwarding.CallerLimits) -> None:
         """Closes connections whose callers are slower than the limits."""
         for server in self._servers:
-            server.end_slow(limits)
+            server.close_overdue(limits)
 
     async def stop(self) -> None:
         """Accepts no more connections."""
--- a/src/godwittack/daemon/observer.py
+++ b/src/godwittack/daemon/observer.py
@@ -26,7 +26,7 @@
     def __init__(
         self,
         *,
-        counts: counters.Ledger,
+        counts: counters.EventCounters,
         measures: meters.Meters,
         told: stories.Stories | None = None,
     ) -> None:
@@ -43,7 +43,7 @@
 
     def event(self, event: effects.Event) -> None:
         """Takes in one event."""
-        self._counts.event(event)
+        self._counts.record(event)
         self._measures.event(event)
         if self._told is None:
             logging.info("%s", line(event))
--- a/src/godwittack/daemon/runtime.py
+++ b/src/godwittack/daemon/runtime.py
@@ -87,7 +87,7 @@
         """Hands one input to the core and carries out its effects."""
         made = self.core.step(told)
         if self.recorder is not None:
-            self.recorder.stepped(told, made)
+            self.recorder.record_step(told, made)
         for effect in made:
             self._carry_out(effect)
 
--- a/src/godwittack/daemon/serve.py
+++ b/src/godwittack/daemon/serve.py
@@ -226,21 +226,21 @@
         loaded: configs.Loaded,
         store: table_store.TableStore,
         platform: platform_http.HttpPlatform,
-        counts: counters.Ledger,
+        counts: counters.EventCounters,
     ) -> web.Application:
         settings = loaded.settings
-        face = calls.CallFace(
+        face = calls.CallHandlers(
             runtime=self.runtime,
             settings=settings,
             signer=token.TokenSigner(loaded.cluster_secret),
         )
-        state = status.StatusFace(
+        state = status.StatusHandlers(
             runtime=self.runtime,
             settings=settings,
             members=self.gossiper.members,
             meters=self._meters,
         )
-        operators = operator_api.OperatorFace(
+        operators = operator_api.OperatorHandlers(
             runtime=self.runtime,
             settings=settings,
             gossiper=self.gossiper,
@@ -254,7 +254,7 @@
             ),
             tables=store,
             weights=platform,
-            counts=counts,
+            counters=counts,
         )
         app = web.Application(client_max_size=settings.max_body_bytes)
         app.router.add_routes(
--- a/src/godwittack/entry/calls.py
+++ b/src/godwittack/entry/calls.py
@@ -19,28 +19,28 @@
     from godwittack.daemon import runtime as runtimes
 
 RESUME_HEADER = "x-resume-token"
-BUSY_RETRY_S = 1
+BUSY_RETRY_AFTER_S = 1
 
 
 @dataclasses.dataclass(slots=True)
-class CallFace:
+class CallHandlers:
     """HTTP handlers for callers."""
 
     runtime: runtimes.Runtime
     settings: configs.Settings
     signer: token.TokenSigner
-    _arriving: int = 0
+    _bodies_arriving: int = 0
 
     async def generate(self, request: web.Request) -> web.StreamResponse:
         """Serves `/v1/chat/completions` and `/v1/completions`."""
-        body = await self._body(request)
+        body = await self._read_body(request)
         if isinstance(body, web.Response):
             return body
         digest = parse.bearer_digest(request)
-        workspace = self._workspace(digest)
-        asked = parse.generation(request, body, workspace=workspace)
+        workspace = self._workspace_for(digest)
+        asked = parse.parse_generation(request, body, workspace=workspace)
         if isinstance(asked, Err):
-            return refusal.bad_request(asked.err_value)
+            return refusal.error_response(asked.err_value)
         headers = (
             *parse.forwarded_headers(request),
             parse.level_header(asked.ok_value),
@@ -52,16 +52,18 @@
 
     async def call_service(self, request: web.Request) -> web.StreamResponse:
         """Serves `/svc/{service}/...`."""
-        body = await self._body(request)
+        body = await self._read_body(request)
         if isinstance(body, web.Response):
             return body
         service = request.match_info["service"]
         # The path is taken as it came: decoding and encoding it again could
         # name another resource.
         path = request.raw_path[len(f"/svc/{service}") :] or "/"
-        asked = parse.plain(request, body, service=service, path=path)
+        asked = parse.parse_service_call(
+            request, body, service=service, path=path
+        )
         if isinstance(asked, Err):
-            return refusal.bad_request(asked.err_value)
+            return refusal.error_response(asked.err_value)
         call = backend.Call(
             method=request.method,
             path=path,
@@ -72,10 +74,10 @@
 
     async def resume(self, request: web.Request) -> web.StreamResponse:
         """Serves `/v1/resume`: the rest of a stream begun anywhere."""
-        point = self.signer.check(request.headers.get(RESUME_HEADER, ""))
+        point = self.signer.verify(request.headers.get(RESUME_HEADER, ""))
         after = request.headers.get("last-event-id", "0")
         if point is None or not after.isdigit():
-            return refusal.bad_request(
+            return refusal.error_response(
                 "send X-Resume-Token as received, and Last-Event-ID",
                 status=403,
                 reason=effects.Reason.BAD_RESUME.value,
@@ -94,7 +96,7 @@
                 after=int(after),
             )
         )
-        return await self._answer(request, request_id, caller)
+        return await self._respond(request, request_id, caller)
 
     async def _serve(
         self, request: web.Request, asked: work.Work, call: backend.Call
@@ -106,9 +108,9 @@
                 self.runtime.clock.now_ms(), request_id, asked
             )
         )
-        return await self._answer(request, request_id, caller)
+        return await self._respond(request, request_id, caller)
 
-    async def _answer(
+    async def _respond(
         self,
         request: web.Request,
         request_id: str,
@@ -118,19 +120,19 @@
         try:
             return await self._deliver(request, echoed_id, caller)
         except (asyncio.CancelledError, ConnectionResetError):
-            self._gone(request_id)
+            self._submit_caller_gone(request_id)
             raise
         except TimeoutError:
             # The caller has not read for long. It can resume; keeping the
             # connection would keep its buffers.
-            self._gone(request_id)
+            self._submit_caller_gone(request_id)
             if request.transport is not None:
                 request.transport.abort()
             raise
         finally:
             self.runtime.close_caller(request_id)
 
-    def _gone(self, request_id: str) -> None:
+    def _submit_caller_gone(self, request_id: str) -> None:
         self.runtime.submit(
             inputs.CallerGone(self.runtime.clock.now_ms(), request_id)
         )
@@ -141,15 +143,17 @@
         first = await caller.get()
         match first:
             case effects.Refuse():
-                return refusal.response(first, echoed_id=echoed_id)
+                return refusal.refusal_response(first, echoed_id=echoed_id)
             case effects.Reply():
-                return _whole(first, echoed_id)
+                return _complete_response(first, echoed_id)
             case effects.BeginStream():
-                return await self._stream(request, echoed_id, first, caller)
+                return await self._relay_stream(
+                    request, echoed_id, first, caller
+                )
             case _:
                 raise RuntimeError(f"not the start of an answer: {first}")
 
-    async def _stream(
+    async def _relay_stream(
         self,
         request: web.Request,
         echoed_id: str,
@@ -176,7 +180,7 @@
                     ):
                         await response.write(data)
                 case effects.BreakStream() as broken:
-                    await response.write(refusal.stream_event(broken))
+                    await response.write(refusal.error_event(broken))
                     # Closing in order would let the stream look whole to a
                     # caller that does not read the error.
                     if request.transport is not None:
@@ -187,14 +191,14 @@
                     await response.write_eof()
                     return response
 
-    async def _body(self, request: web.Request) -> bytes | web.Response:
-        if self._arriving >= self.settings.max_bodies_arriving:
-            busy = refusal.bad_request(
+    async def _read_body(self, request: web.Request) -> bytes | web.Response:
+        if self._bodies_arriving >= self.settings.max_bodies_arriving:
+            busy = refusal.error_response(
                 "too many requests are arriving", status=503, reason="busy"
             )
-            busy.headers["retry-after"] = str(BUSY_RETRY_S)
+            busy.headers["retry-after"] = str(BUSY_RETRY_AFTER_S)
             return busy
-        self._arriving += 1
+        self._bodies_arriving += 1
         try:
             got = await parse.read_body(
                 request,
@@ -202,22 +206,22 @@
                 timeout_ms=self.settings.body_timeout_ms,
             )
         finally:
-            self._arriving -= 1
+            self._bodies_arriving -= 1
         if isinstance(got, Err):
             status, detail = got.err_value
-            refused = refusal.bad_request(
+            refused = refusal.error_response(
                 detail, status=status, reason="bad_body"
             )
             refused.force_close()
             return refused
         return got.ok_value
 
-    def _workspace(self, token_digest: str) -> str:
+    def _workspace_for(self, token_digest: str) -> str:
         table = self.runtime.core.world.table
         return table.workspace_by_token.get(token_digest, "")
 
 
-def _whole(reply: effects.Reply, echoed_id: str) -> web.Response:
+def _complete_response(reply: effects.Reply, echoed_id: str) -> web.Response:
     response = web.Response(status=reply.answer.status, body=reply.answer.body)
     response.headers.popall("content-type", None)
     for header in reply.answer.headers:
@@ -230,4 +234,4 @@
     return response
 
 
-__all__ = ["CallFace"]
+__all__ = ["CallHandlers"]
--- a/src/godwittack/entry/connection_timeouts.py
+++ b/src/godwittack/entry/connection_timeouts.py
@@ -23,7 +23,7 @@
 
 
 # Rounds of the loop from a new connection to what its caller has sent at once.
-ROUNDS_TO_READ = 2
+ACCEPT_TO_READ_ROUNDS = 2
 
 
 def waited_ms(request: web.BaseRequest) -> int:
@@ -33,7 +33,7 @@
     return connection.waited_ms()
 
 
-class PatientServer(web.Server):
+class TimeoutServer(web.Server):
     """An HTTP server that ends connections by the table's limits."""
 
     def __init__(
@@ -52,7 +52,7 @@
             max_line_bytes: Longest line of a request's head that is read.
             delay: How late the loop may read; None for on time.
         """
-        super().__init__(self._answer, handler_cancellation=True)
+        super().__init__(self._handle, handler_cancellation=True)
         self._serve = handler
         self._clock = clock
         self._max_line_bytes = max_line_bytes
@@ -68,14 +68,14 @@
             delay=self._delay,
         )
 
-    def end_slow(self, limits: forwarding.CallerLimits) -> int:
+    def close_overdue(self, limits: forwarding.CallerLimits) -> int:
         """Closes connections past a limit; returns how many."""
         now_ms = self._clock.now_ms()
         slow = [
             found
             for found in self.connections
             if isinstance(found, _Connection)
-            and found.is_slow(limits, now_ms=now_ms)
+            and found.is_overdue(limits, now_ms=now_ms)
         ]
         for found in slow:
             found.close()
@@ -83,14 +83,14 @@
                 found.transport.close()
         return len(slow)
 
-    async def _answer(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         connection = request.protocol
         assert isinstance(connection, _Connection)
-        connection.began()
+        connection.request_started()
         try:
             return await self._serve(request)
         finally:
-            connection.ended()
+            connection.request_finished()
 
 
 class _Connection(web.RequestHandler):
@@ -137,7 +137,10 @@
         """Notes when a request's first bytes came."""
         if self._first_byte_ms < 0:
             self._first_byte_ms = self._clock.now_ms()
-            if self._delay.rounds > self._accepted_in_round + ROUNDS_TO_READ:
+            if (
+                self._delay.rounds
+                > self._accepted_in_round + ACCEPT_TO_READ_ROUNDS
+            ):
                 waited_ms = self._delay.read_ms()
                 self._sent_by_ms = self._first_byte_ms - waited_ms
         super().data_received(data)
@@ -149,17 +152,19 @@
             return 0
         return max(0, self._clock.now_ms() - self._sent_by_ms)
 
-    def began(self) -> None:
+    def request_started(self) -> None:
         """Notes that a request's headers were read."""
         self._in_handler = True
 
-    def ended(self) -> None:
+    def request_finished(self) -> None:
         """Notes that a request was answered."""
         self._in_handler = False
         self._first_byte_ms = -1
         self._idle_since_ms = self._clock.now_ms()
 
-    def is_slow(self, limits: forwarding.CallerLimits, *, now_ms: int) -> bool:
+    def is_overdue(
+        self, limits: forwarding.CallerLimits, *, now_ms: int
+    ) -> bool:
         """Returns whether the caller has taken longer than it may."""
         if self._in_handler:
             return False
@@ -170,4 +175,4 @@
         return 0 < limit_ms <= now_ms - self._idle_since_ms
 
 
-__all__ = ["PatientServer", "waited_ms"]
+__all__ = ["TimeoutServer", "waited_ms"]
--- a/src/godwittack/entry/directory.py
+++ b/src/godwittack/entry/directory.py
@@ -15,25 +15,25 @@
 
 # Daemons in the caller's own failure domain from which those of others are
 # left out: with one alone, its loss would leave callers without an address.
-ENOUGH_NEAR = 2
+MIN_NEAR_DAEMONS = 2
 MAX_ADDRESSES = 64
 # Callers may keep an address for three times the time they are told; a daemon
 # that leaves serves on for as long.
 ADDRESS_KEEP_MS = 1_000
-KEEP_FACTOR = 3
+ADDRESS_KEEP_FACTOR = 3
 
 
 class DirectoryFormat(Protocol):
     """How callers ask for addresses, and what they are answered."""
 
-    def caller_domain(self, request: web.BaseRequest) -> str | None:
+    def caller_failure_domain(self, request: web.BaseRequest) -> str | None:
         """Returns a caller's failure domain; None for another question."""
 
-    def answer(self, addresses: list[str], *, keep_ms: int) -> web.Response:
+    def response(self, addresses: list[str], *, keep_ms: int) -> web.Response:
         """Returns addresses and how long they may be kept."""
 
 
-class DirectoryFace:
+class DirectoryHandlers:
     """HTTP handlers of the directory and of readiness.
 
     Attributes:
@@ -45,7 +45,7 @@
         *,
         members: view.View,
         world: entities.World,
-        wire: DirectoryFormat,
+        directory_format: DirectoryFormat,
         serving: servings.ServingSetSelector,
     ) -> None:
         """Names the daemons that serve.
@@ -53,18 +53,18 @@
         Args:
             members: The view of all daemons.
             world: What this daemon knows.
-            wire: How callers ask.
+            directory_format: How callers ask.
             serving: Chooses who serves in a large fleet.
         """
         self._serving = serving
         self.stopping = False
         self._members = members
         self._world = world
-        self._wire = wire
+        self._format = directory_format
 
     async def resolve(self, request: web.BaseRequest) -> web.Response:
         """Answers which addresses a caller should use."""
-        domain = self._wire.caller_domain(request)
+        domain = self._format.caller_failure_domain(request)
         if domain is None:
             return web.json_response({"error": "not_found"}, status=404)
         members: Sequence[view.Member] = self._serving.current().serving
@@ -74,8 +74,8 @@
             members = [m for m in members if m.member_id != own]
         if not members:
             return web.json_response({"error": "no_address"}, status=503)
-        found = choose(members, failure_domain=domain)
-        return self._wire.answer(found, keep_ms=ADDRESS_KEEP_MS)
+        found = select_addresses(members, failure_domain=domain)
+        return self._format.response(found, keep_ms=ADDRESS_KEEP_MS)
 
     async def ready(self, request: web.BaseRequest) -> web.Response:
         """Says whether this daemon takes callers."""
@@ -88,7 +88,9 @@
         )
 
 
-def choose(members: Sequence[view.Member], *, failure_domain: str) -> list[str]:
+def select_addresses(
+    members: Sequence[view.Member], *, failure_domain: str
+) -> list[str]:
     """Returns addresses for a caller, the nearest first.
 
     Args:
@@ -97,14 +99,14 @@
     """
     near = [m for m in members if m.failure_domain == failure_domain]
     far = [m for m in members if m.failure_domain != failure_domain]
-    chosen = near if len(near) >= ENOUGH_NEAR else [*near, *far]
+    chosen = near if len(near) >= MIN_NEAR_DAEMONS else [*near, *far]
     return [member.http_address for member in chosen[:MAX_ADDRESSES]]
 
 
 __all__ = [
     "ADDRESS_KEEP_MS",
-    "KEEP_FACTOR",
-    "DirectoryFace",
+    "ADDRESS_KEEP_FACTOR",
+    "DirectoryHandlers",
     "DirectoryFormat",
-    "choose",
+    "select_addresses",
 ]
--- a/src/godwittack/entry/forward.py
+++ b/src/godwittack/entry/forward.py
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Arrived:
+class ParsedRequest:
     """A request as the core sees it, and as it is sent on."""
 
     work: work.Work
@@ -37,21 +37,21 @@
 class CallerFormat(Protocol):
     """How callers' requests are read, and what they are answered."""
 
-    def read(
-        self, request: web.BaseRequest, body: bytes, known: model.Table
-    ) -> Result[Arrived, str]:
+    def parse_request(
+        self, request: web.BaseRequest, body: bytes, table: model.Table
+    ) -> Result[ParsedRequest, str]:
         """Reads a request, or says what is wrong with it."""
 
-    def refusal(
+    def refusal_response(
         self, refused: effects.Refuse, call: backend.Call
     ) -> web.Response:
         """Returns the answer to a request that brings no other."""
 
-    def bad_request(self, detail: str, *, status: int) -> web.Response:
+    def error_response(self, detail: str, *, status: int) -> web.Response:
         """Returns the answer to a request that could not be read."""
 
 
-class ForwardFace:
+class ForwardHandler:
     """HTTP handler for callers' requests.
 
     Attributes:
@@ -63,13 +63,13 @@
         *,
         runtime: runtimes.Runtime,
         settings: configs.Settings,
-        wire: CallerFormat,
+        caller_format: CallerFormat,
     ) -> None:
-        """Hands requests read by `wire` to `runtime`."""
+        """Hands requests read by `caller_format` to `runtime`."""
         self.stopping = False
         self._runtime = runtime
         self._settings = settings
-        self._wire = wire
+        self._format = caller_format
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Serves one request."""
@@ -84,7 +84,7 @@
         if table.forwarding is not None:
             limits = table.forwarding.limits
         if _header_bytes(request) > limits.header_bytes:
-            return self._closing(
+            return self._error_and_close(
                 f"the headers are longer than {limits.header_bytes} bytes",
                 status=STATUS_HEADERS_TOO_LARGE,
             )
@@ -95,14 +95,14 @@
         )
         if isinstance(body, Err):
             status, detail = body.err_value
-            return self._closing(detail, status=status)
-        arrived = self._wire.read(request, body.ok_value, table)
+            return self._error_and_close(detail, status=status)
+        arrived = self._format.parse_request(request, body.ok_value, table)
         if isinstance(arrived, Err):
-            return self._wire.bad_request(arrived.err_value, status=400)
+            return self._format.error_response(arrived.err_value, status=400)
         return await self._serve(request, arrived.ok_value)
 
     async def _serve(
-        self, request: web.BaseRequest, arrived: Arrived
+        self, request: web.BaseRequest, arrived: ParsedRequest
     ) -> web.StreamResponse:
         asked, call = arrived.work, arrived.call
         fingerprint = parse.fingerprint(
@@ -122,11 +122,11 @@
             )
             return await self._deliver(request, caller)
         except (asyncio.CancelledError, ConnectionError):
-            self._gone(request_id)
+            self._submit_caller_gone(request_id)
             raise
         except TimeoutError:
             # The caller has not read for long; its buffers are given up.
-            self._gone(request_id)
+            self._submit_caller_gone(request_id)
             _abort(request)
             raise
         finally:
@@ -137,15 +137,15 @@
     ) -> web.StreamResponse:
         match await caller.get():
             case effects.Refuse() as refused:
-                return self._wire.refusal(refused, caller.call)
+                return self._format.refusal_response(refused, caller.call)
             case effects.Reply() as reply:
-                return _whole(reply)
+                return _complete_response(reply)
             case effects.BeginStream(head=head) if head is not None:
-                return await self._stream(request, head, caller)
+                return await self._relay_stream(request, head, caller)
             case other:
                 raise RuntimeError(f"not the start of an answer: {other}")
 
-    async def _stream(
+    async def _relay_stream(
         self,
         request: web.BaseRequest,
         head: work.Head,
@@ -177,18 +177,18 @@
                     _close(request)
                     return response
 
-    def _gone(self, request_id: str) -> None:
+    def _submit_caller_gone(self, request_id: str) -> None:
         self._runtime.submit(
             inputs.CallerGone(self._runtime.clock.now_ms(), request_id)
         )
 
-    def _closing(self, detail: str, *, status: int) -> web.Response:
-        response = self._wire.bad_request(detail, status=status)
+    def _error_and_close(self, detail: str, *, status: int) -> web.Response:
+        response = self._format.error_response(detail, status=status)
         response.force_close()
         return response
 
 
-def _whole(reply: effects.Reply) -> web.Response:
+def _complete_response(reply: effects.Reply) -> web.Response:
     response = web.Response(status=reply.answer.status, body=reply.answer.body)
     response.headers.popall("content-type", None)
     for header in reply.answer.headers:
@@ -210,4 +210,4 @@
         request.transport.abort()
 
 
-__all__ = ["Arrived", "CallerFormat", "ForwardFace"]
+__all__ = ["ParsedRequest", "CallerFormat", "ForwardHandler"]
--- a/src/godwittack/entry/operator_api.py
+++ b/src/godwittack/entry/operator_api.py
@@ -41,7 +41,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class OperatorFace:
+class OperatorHandlers:
     """HTTP handlers for operators."""
 
     runtime: runtimes.Runtime
@@ -51,20 +51,20 @@
     committer: changes.Committer
     tables: store.TableStore
     weights: platform.WeightStore
-    counts: counters.Ledger
+    counters: counters.EventCounters
 
     def routes(self) -> list[web.RouteDef]:
         """Returns the handlers, each behind the operator's token."""
-        guard = self._guard
+        guard = self._require_operator
         return [
-            web.get("/operator/table", guard(self.show)),
-            web.post("/operator/table", guard(self.change)),
+            web.get("/operator/table", guard(self.get_table)),
+            web.post("/operator/table", guard(self.change_table)),
             web.get("/operator/history", guard(self.history)),
             web.get("/operator/status", guard(self.status)),
             web.get("/operator/report", guard(self.report)),
         ]
 
-    async def show(self, request: web.Request, who: str) -> web.Response:
+    async def get_table(self, request: web.Request, who: str) -> web.Response:
         """Returns the table as CSV, or as stored."""
         del who
         table = self.runtime.core.world.table
@@ -79,26 +79,28 @@
             text=sheet.to_csv(table), content_type="text/csv", headers=headers
         )
 
-    async def change(self, request: web.Request, who: str) -> web.Response:
+    async def change_table(
+        self, request: web.Request, who: str
+    ) -> web.Response:
         """Commits a change and waits until it is in force."""
         body = await parse.read_body(
             request, max_bytes=MAX_CHANGE_BYTES, timeout_ms=CHANGE_TIMEOUT_MS
         )
         if isinstance(body, Err):
             status, detail = body.err_value
-            return refusal.bad_request(detail, status=status)
+            return refusal.error_response(detail, status=status)
         try:
             asked = _ChangeRequest.model_validate_json(body.ok_value)
         except pydantic.ValidationError as error:
             first = error.errors()[0]
             place = ".".join(str(part) for part in first["loc"])
-            return refusal.bad_request(f"{place}: {first['msg']}")
+            return refusal.error_response(f"{place}: {first['msg']}")
         parsed = schema.changes_from_list(asked.changes)
         if isinstance(parsed, Err):
-            return refusal.bad_request(parsed.err_value)
-        wrong = await weights.trouble(self.weights, parsed.ok_value)
+            return refusal.error_response(parsed.err_value)
+        wrong = await weights.check_versions(self.weights, parsed.ok_value)
         if wrong is not None:
-            return refusal.bad_request(wrong.detail, status=wrong.status)
+            return refusal.error_response(wrong.detail, status=wrong.status)
         proposal = store.Proposal(
             who=who,
             why=asked.why,
@@ -116,10 +118,10 @@
         del who
         after = request.query.get("after", "0")
         if not after.isdigit():
-            return refusal.bad_request("after: write a version number")
+            return refusal.error_response("after: write a version number")
         got = await self.tables.history(after_version=int(after))
         if isinstance(got, Err):
-            return _unavailable(got.err_value)
+            return _unavailable_response(got.err_value)
         body = "[" + ",".join(schema.audit_to_json(e) for e in got.ok_value)
         return web.Response(text=body + "]", content_type="application/json")
 
@@ -158,7 +160,7 @@
     async def report(self, request: web.Request, who: str) -> web.Response:
         """Returns the counts of all daemons added up."""
         del request, who
-        total = self.counts.counts()
+        total = self.counters.totals()
         own = self.gossiper.members.me.member_id
         others = [
             member
@@ -180,10 +182,10 @@
     async def _commit(self, proposal: store.Proposal) -> web.Response:
         got = await self.committer.commit(proposal)
         if isinstance(got, Err):
-            return _unavailable(got.err_value)
+            return _unavailable_response(got.err_value)
         match got.ok_value:
             case store.Invalid(detail):
-                return refusal.bad_request(detail, reason="invalid_change")
+                return refusal.error_response(detail, reason="invalid_change")
             case store.Conflict() as conflict:
                 return web.json_response(
                     {
@@ -210,7 +212,7 @@
             case _:
                 raise RuntimeError(f"unknown result {got.ok_value}")
 
-    def _guard(
+    def _require_operator(
         self, handler: Callable[[web.Request, str], Awaitable[web.Response]]
     ) -> Callable[[web.Request], Awaitable[web.Response]]:
         async def guarded(request: web.Request) -> web.Response:
@@ -218,7 +220,7 @@
             for operator in self.settings.operators:
                 if hmac.compare_digest(operator.token_sha256, digest):
                     return await handler(request, operator.name)
-            return refusal.bad_request(
+            return refusal.error_response(
                 "no operator has this bearer token",
                 status=401,
                 reason="unauthenticated",
@@ -227,7 +229,7 @@
         return guarded
 
 
-def _unavailable(error: platform.PlatformError) -> web.Response:
+def _unavailable_response(error: platform.PlatformError) -> web.Response:
     outcome = "unknown" if error.may_have_run else "not_run"
     return web.json_response(
         {"result": "unavailable", "outcome": outcome, "detail": str(error)},
@@ -236,4 +238,4 @@
     )
 
 
-__all__ = ["OperatorFace"]
+__all__ = ["OperatorHandlers"]
--- a/src/godwittack/entry/parse.py
+++ b/src/godwittack/entry/parse.py
@@ -24,7 +24,7 @@
 DEADLINE_HEADER = "x-deadline-ms"
 # Headers that say who may use which state. They are set by the daemon alone:
 # a caller that could send them would read another workspace's cache.
-OWN_HEADERS = frozenset(
+RESERVED_HEADERS = frozenset(
     {
         "authorization",
         "content-length",
@@ -100,7 +100,7 @@
     return digest.hexdigest()
 
 
-def generation(
+def parse_generation(
     request: web.Request, body: bytes, *, workspace: str
 ) -> Result[work.Work, str]:
     """Parses a chat completion or completion."""
@@ -112,7 +112,7 @@
         return Err(f"{place or 'body'}: {first['msg']}")
     if asked.messages is None and asked.prompt is None:
         return Err("write messages or prompt")
-    deadline = _deadline(request)
+    deadline = _parse_deadline(request)
     if isinstance(deadline, Err):
         return deadline
     limit = asked.max_completion_tokens or asked.max_tokens or 0
@@ -125,7 +125,7 @@
             levels=levels.chain(
                 workspace=workspace,
                 target=asked.model,
-                parts=_parts(asked),
+                parts=_prompt_parts(asked),
             ),
             max_tokens=limit,
             streaming=asked.stream,
@@ -135,11 +135,11 @@
     )
 
 
-def plain(
+def parse_service_call(
     request: web.Request, body: bytes, *, service: str, path: str
 ) -> Result[work.Work, str]:
     """Parses a call of a plain service."""
-    deadline = _deadline(request)
+    deadline = _parse_deadline(request)
     if isinstance(deadline, Err):
         return deadline
     key = request.headers.get("idempotency-key", "")
@@ -165,7 +165,7 @@
         part.strip().lower()
         for part in request.headers.get("connection", "").split(",")
     }
-    dropped = backend_headers.HOP_BY_HOP | OWN_HEADERS | named
+    dropped = backend_headers.HOP_BY_HOP | RESERVED_HEADERS | named
     return tuple(
         work.Header(name, value)
         for name, value in request.headers.items()
@@ -179,7 +179,7 @@
     return work.Header("x-cache-levels", value)
 
 
-def _parts(asked: _Generation) -> Iterable[bytes]:
+def _prompt_parts(asked: _Generation) -> Iterable[bytes]:
     if asked.messages is not None:
         return [
             json.dumps(m.model_dump(), sort_keys=True).encode()
@@ -198,7 +198,7 @@
     return parts
 
 
-def _deadline(request: web.Request) -> Result[int, str]:
+def _parse_deadline(request: web.Request) -> Result[int, str]:
     text = request.headers.get(DEADLINE_HEADER, "")
     if not text:
         return Ok(0)
@@ -211,8 +211,8 @@
     "bearer_digest",
     "fingerprint",
     "forwarded_headers",
-    "generation",
+    "parse_generation",
     "level_header",
-    "plain",
+    "parse_service_call",
     "read_body",
 ]
--- a/src/godwittack/entry/refusal.py
+++ b/src/godwittack/entry/refusal.py
@@ -10,7 +10,9 @@
 from godwittack.core import effects
 
 
-def response(refusal: effects.Refuse, *, echoed_id: str) -> web.Response:
+def refusal_response(
+    refusal: effects.Refuse, *, echoed_id: str
+) -> web.Response:
     """Returns a refusal as JSON with a `Retry-After` header."""
     headers = {"x-request-id": echoed_id}
     if refusal.retry_after_ms:
@@ -19,7 +21,7 @@
     if refusal.status == 401:
         headers["www-authenticate"] = "Bearer"
     return web.json_response(
-        _body(
+        _error_body(
             outcome=refusal.outcome.value,
             reason=refusal.reason.value,
             detail=refusal.detail,
@@ -30,12 +32,12 @@
     )
 
 
-def bad_request(
+def error_response(
     detail: str, *, status: int = 400, reason: str = "bad_request"
 ) -> web.Response:
     """Returns an error found before the request reached the core."""
     return web.json_response(
-        _body(
+        _error_body(
             outcome=effects.Outcome.NOT_RUN.value,
             reason=reason,
             detail=detail,
@@ -45,9 +47,9 @@
     )
 
 
-def stream_event(broken: effects.BreakStream) -> bytes:
+def error_event(broken: effects.BreakStream) -> bytes:
     """Returns the event that ends a stream which is not complete."""
-    body = _body(
+    body = _error_body(
         outcome=effects.Outcome.UNKNOWN.value,
         reason=broken.reason.value,
         detail=broken.detail,
@@ -56,7 +58,7 @@
     return b"event: error\ndata: " + json.dumps(body).encode() + b"\n\n"
 
 
-def _body(
+def _error_body(
     *, outcome: str, reason: str, detail: str, retry_after_ms: int
 ) -> dict[str, object]:
     # The `error` object is the OpenAI form, which client libraries show.
@@ -69,4 +71,4 @@
     }
 
 
-__all__ = ["bad_request", "response", "stream_event"]
+__all__ = ["error_response", "refusal_response", "error_event"]
--- a/src/godwittack/entry/status.py
+++ b/src/godwittack/entry/status.py
@@ -17,7 +17,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class StatusFace:
+class StatusHandlers:
     """HTTP handlers that need no backend server."""
 
     runtime: runtimes.Runtime
@@ -30,14 +30,14 @@
         table = self.runtime.core.world.table
         workspace = table.workspace_by_token.get(parse.bearer_digest(request))
         if workspace is None:
-            return refusal.bad_request(
+            return refusal.error_response(
                 "no workspace has this bearer token",
                 status=401,
                 reason="unauthenticated",
             )
         asked = request.query.get("workspace", workspace)
         if asked != workspace:
-            return refusal.bad_request(
+            return refusal.error_response(
                 "the token belongs to another workspace",
                 status=403,
                 reason="forbidden",
@@ -61,7 +61,7 @@
         """Lists the models, in the OpenAI form."""
         table = self.runtime.core.world.table
         if parse.bearer_digest(request) not in table.workspace_by_token:
-            return refusal.bad_request(
+            return refusal.error_response(
                 "no workspace has this bearer token",
                 status=401,
                 reason="unauthenticated",
@@ -113,4 +113,4 @@
         )
 
 
-__all__ = ["StatusFace"]
+__all__ = ["StatusHandlers"]
--- a/src/godwittack/entry/token.py
+++ b/src/godwittack/entry/token.py
@@ -11,7 +11,7 @@
 
 from godwittack.core import work
 
-_LABEL = b"godwittack resume token"
+_KEY_LABEL = b"godwittack resume token"
 
 
 class _TokenJson(pydantic.BaseModel):
@@ -37,7 +37,9 @@
 
     def __init__(self, cluster_secret: bytes) -> None:
         """Derives the key, so that it is no peer proof as well."""
-        self._key = hmac.new(cluster_secret, _LABEL, hashlib.sha256).digest()
+        self._key = hmac.new(
+            cluster_secret, _KEY_LABEL, hashlib.sha256
+        ).digest()
 
     def sign(self, point: ResumePoint) -> str:
         """Returns the token of a stream."""
@@ -52,7 +54,7 @@
         payload = stored.model_dump_json().encode()
         return f"{_encode(payload)}.{_encode(self._mac(payload))}"
 
-    def check(self, token: str) -> ResumePoint | None:
+    def verify(self, token: str) -> ResumePoint | None:
         """Returns what a token says, or None for a forged one."""
         first, _, second = token.partition(".")
         try:
--- a/src/godwittack/entry/weights.py
+++ b/src/godwittack/entry/weights.py
@@ -14,20 +14,20 @@
 
     from godwittack.store import protocol as platform
 
-COLUMN = "weights_version"
+WEIGHTS_COLUMN = "weights_version"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WeightsTrouble:
+class WeightsRejection:
     """Why a change of weights is refused, and the HTTP status for it."""
 
     status: int
     detail: str
 
 
-async def trouble(
+async def check_versions(
     weights: platform.WeightStore, changes: Iterable[model.CellChange]
-) -> WeightsTrouble | None:
+) -> WeightsRejection | None:
     """Returns what is wrong with the versions asked for, or None.
 
     A version that nobody has would be found out by the engines only: each
@@ -35,23 +35,23 @@
     """
     for change in changes:
         wanted = change.after
-        if change.column != COLUMN or not wanted:
+        if change.column != WEIGHTS_COLUMN or not wanted:
             continue
         got = await weights.versions(change.name)
         if isinstance(got, Err):
-            return WeightsTrouble(
+            return WeightsRejection(
                 503,
-                f"model {change.name}, {COLUMN}: the weight store can't be"
-                f" asked ({got.err_value}); try again when it answers",
+                f"model {change.name}, {WEIGHTS_COLUMN}: the weight store"
+                f" can't be asked ({got.err_value}); try again when it answers",
             )
         if str(wanted) not in got.ok_value:
             known = ", ".join(got.ok_value) or "none"
-            return WeightsTrouble(
+            return WeightsRejection(
                 400,
-                f"model {change.name}, {COLUMN}: the weight store has no"
-                f" version {wanted}; it has {known}",
+                f"model {change.name}, {WEIGHTS_COLUMN}: the weight store has"
+                f" no version {wanted}; it has {known}",
             )
     return None
 
 
-__all__ = ["WeightsTrouble", "trouble"]
+__all__ = ["WeightsRejection", "check_versions"]
--- a/src/godwittack/platform/callers.py
+++ b/src/godwittack/platform/callers.py
@@ -19,16 +19,16 @@
     from godwittack.core import effects
 
 # Set anew towards the server; `Host` is handed on, since the server sees it.
-_DROPPED = names.SYSTEM_HEADERS | {"expect"}
+_NOT_FORWARDED = names.SYSTEM_HEADERS | {"expect"}
 MAX_DEADLINE_MS = 3_600_000
 
 
 class CallerFormat:
     """Implements `CallerFormat` of `entry/forward.py`."""
 
-    def read(
-        self, request: web.BaseRequest, body: bytes, known: model.Table
-    ) -> Result[forward.Arrived, str]:
+    def parse_request(
+        self, request: web.BaseRequest, body: bytes, table: model.Table
+    ) -> Result[forward.ParsedRequest, str]:
         """Reads a request's headers."""
         request_id = request.headers.get(names.REQUEST_ID, "")
         key = request.headers.get(names.API_KEY, "")
@@ -47,8 +47,8 @@
             return Err(f"{names.LAST_EVENT_ID} or {names.DEADLINE}: no number")
         digest = model.token_digest(key)
         path = request.raw_path
-        owner = known.cache_owner(known.workspace_by_token.get(digest, ""))
-        tokens = request.headers.get(names.TOKENS, "").partition(",")
+        owner = table.cache_owner(table.workspace_by_token.get(digest, ""))
+        tokens = request.headers.get(names.TOKEN_COUNTS, "").partition(",")
         prompt_tokens = backend_headers.number(tokens[0]) or 0
         asked = work.Work(
             kind=work.WorkKind.PLAIN,
@@ -66,13 +66,13 @@
         call = backend.Call(
             method=request.method,
             path=path,
-            headers=_forwarded(request),
+            headers=_forwarded_headers(request),
             body=body,
             request_id=request_id,
         )
-        return Ok(forward.Arrived(asked, call))
+        return Ok(forward.ParsedRequest(asked, call))
 
-    def refusal(
+    def refusal_response(
         self, refused: effects.Refuse, call: backend.Call
     ) -> web.Response:
         """Returns the answer to a request that brings no other."""
@@ -87,7 +87,7 @@
             )
         return response
 
-    def bad_request(self, detail: str, *, status: int) -> web.Response:
+    def error_response(self, detail: str, *, status: int) -> web.Response:
         """Returns the answer to a request that could not be read."""
         return web.json_response(
             {"error": "bad_request", "detail": detail}, status=status
@@ -110,14 +110,14 @@
     return tuple(found)
 
 
-def _forwarded(request: web.BaseRequest) -> tuple[work.Header, ...]:
+def _forwarded_headers(request: web.BaseRequest) -> tuple[work.Header, ...]:
     return backend_headers.end_to_end(
         (
             work.Header(name.decode("latin-1"), value.decode("latin-1"))
             for name, value in request.raw_headers
         ),
         connection=request.headers.get("Connection", ""),
-        dropped=_DROPPED,
+        dropped=_NOT_FORWARDED,
     )
 
 
--- a/src/godwittack/platform/instances.py
+++ b/src/godwittack/platform/instances.py
@@ -12,22 +12,22 @@
 from godwittack.platform import wire
 from godwittack.store import protocol
 
-MOST_SLOTS = 100_000
+MAX_SLOTS = 100_000
 
 
-class _Server(wire.StrictWire):
+class _Server(wire.StrictWireModel):
     service: str = pydantic.Field(min_length=1)
     address: Annotated[str, pydantic.AfterValidator(addresses.checked)]
     zone: str = pydantic.Field(min_length=1)
     # Of the server's software, not of its weights.
     version: str
     state: Literal["ready", "draining"]
-    slots: int = pydantic.Field(ge=1, le=MOST_SLOTS)
+    slots: int = pydantic.Field(ge=1, le=MAX_SLOTS)
     sequence: wire.Count
-    cold_remaining_ms: wire.Amount
-    models: tuple[wire.WeightsOf, ...] = ()
+    cold_remaining_ms: wire.NonNegativeFloat
+    models: tuple[wire.LoadedModel, ...] = ()
     # Unix milliseconds of its start, left out where servers don't tell it.
-    born: wire.Positive = 0
+    born: wire.PositiveInt = 0
 
 
 def instance_from_row(
@@ -37,7 +37,7 @@
     try:
         entry = _Server.model_validate_json(row.value)
     except pydantic.ValidationError as error:
-        return Err(wire.why(error))
+        return Err(wire.first_error(error))
     role = protocol.InstanceRole
     return Ok(
         protocol.Instance(
--- a/src/godwittack/platform/names.py
+++ b/src/godwittack/platform/names.py
@@ -11,7 +11,7 @@
 LAST_EVENT_ID: Final = "Last-Event-Id"
 MODEL: Final = "X-Godwittack-Model"
 # Prompt tokens and the most tokens to generate, not what was used.
-TOKENS: Final = "X-Godwittack-Token-Usage"
+TOKEN_COUNTS: Final = "X-Godwittack-Token-Usage"
 # The prompt's levels in order, each as ID:TOKENS; no hash of a prefix.
 LEVELS: Final = "X-Godwittack-Prefix-Hash"
 
@@ -23,13 +23,13 @@
 PRIORITY: Final = "X-Godwittack-Request-Priority"
 KV_FETCH_FROM: Final = "X-Godwittack-Kv-Fetch-From"
 KV_SAVE_TO: Final = "X-Godwittack-Kv-Save-To"
-_SET_ANEW = (API_KEY, DEADLINE, LAST_EVENT_ID, WORKSPACE, PRIORITY)
+_SET_PER_ATTEMPT = (API_KEY, DEADLINE, LAST_EVENT_ID, WORKSPACE, PRIORITY)
 _EXPECTED = (EXPECTED_INSTANCE, EXPECTED_WEIGHTS)
 _CACHED = (CACHE_SCOPE, KV_FETCH_FROM, KV_SAVE_TO, "Kv-From")
 # Never set here, and not to be taken from a caller.
 _UNUSED = tuple(f"X-Godwittack-{n}" for n in ("Hold", "Pin-Ms", "Kv-Backup"))
 SYSTEM_HEADERS: Final = frozenset(
-    name.lower() for name in (*_SET_ANEW, *_EXPECTED, *_CACHED, *_UNUSED)
+    name.lower() for name in (*_SET_PER_ATTEMPT, *_EXPECTED, *_CACHED, *_UNUSED)
 )
 
 # Headers of answers.
@@ -50,7 +50,7 @@
 REPORT_PATH: Final = "/report"
 ORDER_PATH: Final = "/order"
 EVENTS_PATH: Final = "/kv-events"
-EVENTS_WAIT: Final = "Wait-Ms"
+EVENTS_WAIT_HEADER: Final = "Wait-Ms"
 
 # Calls to the store.
 ROWS_TX: Final = "/rows-tx"
--- a/src/godwittack/platform/rows.py
+++ b/src/godwittack/platform/rows.py
@@ -20,14 +20,14 @@
     import aiohttp
 
 # The most that the store returns at a time.
-PAGE_ROWS = 500
+MAX_PAGE_ROWS = 500
 STATUS_HISTORY_LOST = 410
 STATUS_CONDITION_FAILED = 412
 # The call did nothing, by the store's own word.
-STATUSES_NOT_DONE = frozenset({400, 403, 429, 503})
+STATUSES_NOT_EXECUTED = frozenset({400, 403, 429, 503})
 
 
-class _Row(wire.Wire):
+class _Row(wire.WireModel):
     # Part of a table in which transactions run one after another; unused.
     part: str = ""
     table: str = ""
@@ -37,7 +37,7 @@
     deleted: bool = False
 
 
-class _Rows(wire.Wire):
+class _Rows(wire.WireModel):
     rows: tuple[_Row, ...] = ()
     # Newest version of the whole store, not of these rows.
     row_version: int = 0
@@ -65,11 +65,12 @@
         """Makes all writes if all conditions hold."""
         body = {
             "precondition": [
-                {**_named(c.row_id), "row-version": c.version}
+                {**_row_ref(c.row_id), "row-version": c.version}
                 for c in conditions
             ],
             "writes": [
-                {**_named(w.row_id), "value": _encoded(w.value)} for w in writes
+                {**_row_ref(w.row_id), "value": _encode_value(w.value)}
+                for w in writes
             ],
             "remove": [],
         }
@@ -79,7 +80,7 @@
         if isinstance(got, Err):
             return got
         status, answer = got.ok_value
-        rows = tuple(_stored(row, answer.now_ms) for row in answer.rows)
+        rows = tuple(_stored_row(row, answer.now_ms) for row in answer.rows)
         return Ok(
             protocol.Transacted(
                 status != STATUS_CONDITION_FAILED,
@@ -93,23 +94,25 @@
         self, row_id: protocol.RowId
     ) -> protocol.Got[protocol.StoredRow]:
         """Returns one row."""
-        got = await self._range("read", row_id.table, row_id.key, limit=1)
+        got = await self._read_range("read", row_id.table, row_id.key, limit=1)
         if isinstance(got, Err):
             return got
         page = got.ok_value
         for row in page.rows:
             if row.key == row_id.key:
-                return Ok(_stored(row, page.now_ms))
+                return Ok(_stored_row(row, page.now_ms))
         return Ok(protocol.StoredRow(row_id, "", 0, page.now_ms))
 
     async def page(
         self, table: str, *, from_key: str
     ) -> protocol.Got[protocol.FeedPage]:
         """Returns rows of a table, from a key on."""
-        got = await self._range("scan", table, from_key, limit=PAGE_ROWS)
+        got = await self._read_range(
+            "scan", table, from_key, limit=MAX_PAGE_ROWS
+        )
         return got if isinstance(got, Err) else Ok(_page(got.ok_value))
 
-    async def _range(
+    async def _read_range(
         self, step: str, table: str, from_key: str, *, limit: int
     ) -> protocol.Got[_Rows]:
         query = {"table": table, "part": "", "limit": str(limit)}
@@ -158,7 +161,7 @@
         try:
             return Ok((status, _Rows.model_validate_json(got.ok_value.body)))
         except pydantic.ValidationError as error:
-            return self._error(step, wire.why(error))
+            return self._error(step, wire.first_error(error))
 
     def _error(
         self, step: str, detail: str, *, status: int = 0
@@ -168,21 +171,21 @@
                 step=step,
                 peer=self._address,
                 detail=detail,
-                may_have_run=status not in STATUSES_NOT_DONE,
+                may_have_run=status not in STATUSES_NOT_EXECUTED,
                 history_lost=status == STATUS_HISTORY_LOST,
             )
         )
 
 
-def _named(row_id: protocol.RowId) -> dict[str, str | int]:
+def _row_ref(row_id: protocol.RowId) -> dict[str, str | int]:
     return {"table": row_id.table, "part": "", "key": row_id.key}
 
 
-def _encoded(value: str) -> str:
+def _encode_value(value: str) -> str:
     return base64.b64encode(value.encode()).decode()
 
 
-def _decoded(value: str) -> str:
+def _decode_value(value: str) -> str:
     """Returns a row's text, empty where its bytes are no text.
 
     An error would lose the whole page for one row of another writer.
@@ -193,17 +196,17 @@
         return ""
 
 
-def _stored(row: _Row, now_ms: int) -> protocol.StoredRow:
+def _stored_row(row: _Row, now_ms: int) -> protocol.StoredRow:
     row_id = protocol.RowId(row.table, row.key)
     version = 0 if row.deleted else row.row_version
-    return protocol.StoredRow(row_id, _decoded(row.value), version, now_ms)
+    return protocol.StoredRow(row_id, _decode_value(row.value), version, now_ms)
 
 
 def _page(page: _Rows) -> protocol.FeedPage:
     rows = tuple(
         protocol.ChangedRow(
             key=row.key,
-            value=_decoded(row.value),
+            value=_decode_value(row.value),
             version=row.row_version,
             deleted=row.deleted,
         )
--- a/src/godwittack/platform/servers.py
+++ b/src/godwittack/platform/servers.py
@@ -26,10 +26,10 @@
 )
 
 
-class _Report(wire.StrictWire):
+class _Report(wire.StrictWireModel):
     # Unix milliseconds of its start, left out where servers don't tell it.
-    born: wire.Positive = 0
-    models: tuple[wire.WeightsOf, ...] = ()
+    born: wire.PositiveInt = 0
+    models: tuple[wire.LoadedModel, ...] = ()
     queue_depth: int = 0
     running: int = 0
     # Orders accepted since the server started.
@@ -39,9 +39,9 @@
     state: object = ""
 
 
-class _Events(wire.StrictWire):
+class _Events(wire.StrictWireModel):
     # Unix milliseconds of its start, left out where servers don't tell it.
-    born: wire.Positive = 0
+    born: wire.PositiveInt = 0
     # Changes with each restart of the server.
     boot_epoch: int
     next: int
@@ -80,7 +80,7 @@
             lines.append(f"{names.KV_FETCH_FROM}: {dispatch.kv_fetch_from}")
         if dispatch.kv_save_to:
             lines.append(f"{names.KV_SAVE_TO}: {dispatch.kv_save_to}")
-        return _head(lines)
+        return _encode_head(lines)
 
     def is_answer_to(
         self, reply: connection.Reply, call: protocol.Call
@@ -108,7 +108,7 @@
     def load_call(self, address: str, server_id: str) -> routed.ControlCall:
         """Returns the call for a server's report of its state."""
         expected = f"{names.EXPECTED_INSTANCE}: {server_id}"
-        head = _control(f"GET {names.REPORT_PATH}", address, expected)
+        head = _control_head(f"GET {names.REPORT_PATH}", address, expected)
         return routed.ControlCall(step="report", head=head)
 
     def read_load(self, body: bytes, server_id: str) -> protocol.EngineLoad:
@@ -130,10 +130,10 @@
     ) -> routed.ControlCall:
         """Returns the call for cache events."""
         line = f"GET {names.EVENTS_PATH}?since={after}"
-        wait = f"{names.EVENTS_WAIT}: {EVENTS_WAIT_MS}"
+        wait = f"{names.EVENTS_WAIT_HEADER}: {EVENTS_WAIT_MS}"
         return routed.ControlCall(
             step="cache events",
-            head=_control(line, address, wait),
+            head=_control_head(line, address, wait),
             wait_ms=EVENTS_WAIT_MS,
         )
 
@@ -184,7 +184,7 @@
             # The number of orders accepted so far, not a state.
             fields["precondition"] = order.orders_taken
         body = json.dumps(fields).encode()
-        head = _control(
+        head = _control_head(
             f"POST {names.ORDER_PATH}",
             address,
             "Content-Type: application/json",
@@ -194,11 +194,11 @@
         return routed.ControlCall(step="order", head=head, body=body)
 
 
-def _control(line: str, address: str, *headers: str) -> bytes:
-    return _head([f"{line} HTTP/1.1", f"Host: {address}", *headers])
+def _control_head(line: str, address: str, *headers: str) -> bytes:
+    return _encode_head([f"{line} HTTP/1.1", f"Host: {address}", *headers])
 
 
-def _head(lines: list[str]) -> bytes:
+def _encode_head(lines: list[str]) -> bytes:
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
 
 
--- a/src/godwittack/platform/table.py
+++ b/src/godwittack/platform/table.py
@@ -17,15 +17,15 @@
 
 
 # Before a version is named, servers have this one.
-FIRST_WEIGHTS = "1"
+DEFAULT_WEIGHTS_VERSION = "1"
 
 
-class _Split(wire.Wire):
+class _Split(wire.WireModel):
     service: str
     weight: int = 1
 
 
-class _Route(wire.Wire):
+class _Route(wire.WireModel):
     name: str
     host: str
     prefix: str
@@ -42,16 +42,16 @@
     resumable: bool = False
 
 
-class _Model(wire.Wire):
+class _Model(wire.WireModel):
     name: str
 
 
-class _Engine(wire.Wire):
+class _Engine(wire.WireModel):
     slots: int = 16
     models: tuple[_Model, ...] = ()
 
 
-class _Service(wire.Wire):
+class _Service(wire.WireModel):
     name: str
     engine: _Engine | None = None
     # Set where the service is a store of cached state, not a server.
@@ -59,21 +59,21 @@
     zone: str = ""
 
 
-class _Tenant(wire.Wire):
+class _Tenant(wire.WireModel):
     name: str
     api_keys: tuple[str, ...] = ()
     priority: int | None = None
     isolated: bool = False
 
 
-class _Limits(wire.Wire):
+class _Limits(wire.WireModel):
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4 << 20
     header_timeout_ms: int = 0
     idle_timeout_ms: int = 0
 
 
-class _Config(wire.Wire):
+class _Config(wire.WireModel):
     version: int
     routes: tuple[_Route, ...] = ()
     services: tuple[_Service, ...] = ()
@@ -81,9 +81,9 @@
     limits: _Limits = _Limits()
 
 
-class _Weights(wire.StrictWire):
+class _Weights(wire.StrictWireModel):
     model: str
-    version: wire.Positive
+    version: wire.PositiveInt
 
 
 def weights_from_row(
@@ -95,7 +95,7 @@
     try:
         named = _Weights.model_validate_json(row.value)
     except pydantic.ValidationError as error:
-        return Err(wire.why(error))
+        return Err(wire.first_error(error))
     if row.key != names.WEIGHTS_KEY_PREFIX + named.model:
         return Err(f"it names {named.model}")
     return Ok(model.NamedWeights(named.model, str(named.version)))
@@ -124,11 +124,13 @@
     try:
         config = _Config.model_validate_json(row.value)
     except pydantic.ValidationError as error:
-        return Err(wire.why(error))
+        return Err(wire.first_error(error))
     table = model.Table(version=version, forwarding=_forwarding(config))
     for service in config.services:
         if service.engine is not None and service.engine.models:
-            held = weights.get(service.engine.models[0].name, FIRST_WEIGHTS)
+            held = weights.get(
+                service.engine.models[0].name, DEFAULT_WEIGHTS_VERSION
+            )
             table.models[service.name] = model.ModelRow(
                 name=service.name, weights_version=held
             )
--- a/src/godwittack/platform/wire.py
+++ b/src/godwittack/platform/wire.py
@@ -8,13 +8,13 @@
 
 from godwittack.backend import headers
 
-_MOST = 10**headers.MOST_DIGITS
-Count = Annotated[int, pydantic.Field(ge=0, le=_MOST)]
-Positive = Annotated[int, pydantic.Field(ge=1, le=_MOST)]
-Amount = Annotated[float, pydantic.Field(ge=0, le=_MOST)]
+_MAX_NUMBER = 10**headers.MOST_DIGITS
+Count = Annotated[int, pydantic.Field(ge=0, le=_MAX_NUMBER)]
+PositiveInt = Annotated[int, pydantic.Field(ge=1, le=_MAX_NUMBER)]
+NonNegativeFloat = Annotated[float, pydantic.Field(ge=0, le=_MAX_NUMBER)]
 
 
-class Wire(pydantic.BaseModel):
+class WireModel(pydantic.BaseModel):
     """Base of what is read; fields that are not named here are left out."""
 
     model_config = pydantic.ConfigDict(
@@ -22,24 +22,31 @@
     )
 
 
-class StrictWire(Wire):
+class StrictWireModel(WireModel):
     """Base of what servers say: text is no number, as others may write it."""
 
     model_config = pydantic.ConfigDict(strict=True)
 
 
-class WeightsOf(StrictWire):
+class LoadedModel(StrictWireModel):
     """A model with the version of the weights that are loaded."""
 
     name: str = pydantic.Field(min_length=1)
-    version: Positive
+    version: PositiveInt
 
 
-def why(error: pydantic.ValidationError) -> str:
+def first_error(error: pydantic.ValidationError) -> str:
     """Returns what is wrong first, in one line."""
     first = error.errors()[0]
     return ".".join(str(p) for p in first["loc"]) + f": {first['msg']}"
 
 
-__all__ = ["Amount", "Count", "Positive", "StrictWire", "WeightsOf", "Wire"]
-__all__ += ["why"]
+__all__ = [
+    "NonNegativeFloat",
+    "Count",
+    "PositiveInt",
+    "StrictWireModel",
+    "LoadedModel",
+    "WireModel",
+]
+__all__ += ["first_error"]
--- a/src/godwittack/report/counters.py
+++ b/src/godwittack/report/counters.py
@@ -13,9 +13,22 @@
     from godwittack.core import effects
 
 WINDOW_MS = 60_000
-WINDOWS = 60
+WINDOW_COUNT = 60
 # Upper bounds of the first-token histogram, in milliseconds.
-BOUNDS_MS = (10, 25, 50, 100, 200, 400, 630, 1000, 2000, 5000, 10_000, 60_000)
+FIRST_TOKEN_BOUNDS_MS = (
+    10,
+    25,
+    50,
+    100,
+    200,
+    400,
+    630,
+    1000,
+    2000,
+    5000,
+    10_000,
+    60_000,
+)
 
 
 class WorkspaceCounts(pydantic.BaseModel):
@@ -32,7 +45,7 @@
         cached_tokens: Of these, taken from an engine's cache.
         wasted_tokens: Of these, computed although an earlier request had
             brought the same prefix.
-        first_token_counts: Histogram over `BOUNDS_MS`, one more for above.
+        first_token_counts: Histogram over `FIRST_TOKEN_BOUNDS_MS`, one more for above.
     """
 
     finished: int = 0
@@ -44,7 +57,7 @@
     prompt_tokens: int = 0
     cached_tokens: int = 0
     wasted_tokens: int = 0
-    first_token_counts: list[int] = [0] * (len(BOUNDS_MS) + 1)
+    first_token_counts: list[int] = [0] * (len(FIRST_TOKEN_BOUNDS_MS) + 1)
 
     def add(self, other: WorkspaceCounts) -> None:
         """Adds another's counts."""
@@ -97,7 +110,7 @@
     )
 
 
-class Ledger:
+class EventCounters:
     """Counts a daemon's events by the minute."""
 
     def __init__(self, *, daemon: str, clock: Clock) -> None:
@@ -106,31 +119,33 @@
         self._clock = clock
         self._started_ms = clock.now_ms()
         self._windows: collections.deque[_Window] = collections.deque(
-            maxlen=WINDOWS
+            maxlen=WINDOW_COUNT
         )
 
-    def event(self, event: effects.Event) -> None:
+    def record(self, event: effects.Event) -> None:
         """Counts one event of the core."""
-        if event.name not in _COUNTED:
+        if event.name not in _COUNTED_EVENTS:
             return
         fields = {field.key: field.value for field in event.fields}
         name = str(fields.get("workspace", "")) or "(no workspace)"
-        counts = self._window().workspaces.setdefault(name, WorkspaceCounts())
+        counts = self._current_window().workspaces.setdefault(
+            name, WorkspaceCounts()
+        )
         _count(counts, event.name, fields)
 
-    def counts(self) -> Counts:
+    def totals(self) -> Counts:
         """Returns the counts of the last hour."""
         now_ms = self._clock.now_ms()
         total = Counts(daemons=[self._daemon])
         total.window_s = (
-            min(WINDOWS * WINDOW_MS, now_ms - self._started_ms) // 1000
+            min(WINDOW_COUNT * WINDOW_MS, now_ms - self._started_ms) // 1000
         )
         for window in self._windows:
-            if now_ms - window.from_ms < WINDOWS * WINDOW_MS:
+            if now_ms - window.from_ms < WINDOW_COUNT * WINDOW_MS:
                 total.add(Counts(workspaces=window.workspaces))
         return total
 
-    def _window(self) -> _Window:
+    def _current_window(self) -> _Window:
         now_ms = self._clock.now_ms()
         if not self._windows or (
             now_ms - self._windows[-1].from_ms >= WINDOW_MS
@@ -139,7 +154,7 @@
         return self._windows[-1]
 
 
-_COUNTED = frozenset(
+_COUNTED_EVENTS = frozenset(
     {"finished", "refused", "stream_broken", "first_token", "retried", "usage"}
 )
 
@@ -161,18 +176,25 @@
         case "retried":
             counts.retried += 1
         case "first_token":
-            counts.first_token_counts[_slot(int(fields["after_ms"]))] += 1
+            counts.first_token_counts[
+                _bucket_index(int(fields["after_ms"]))
+            ] += 1
         case "usage":
             counts.prompt_tokens += int(fields["prompt_tokens"])
             counts.cached_tokens += int(fields["cached_tokens"])
             counts.wasted_tokens += int(fields["wasted_tokens"])
 
 
-def _slot(value_ms: int) -> int:
-    for slot, bound_ms in enumerate(BOUNDS_MS):
+def _bucket_index(value_ms: int) -> int:
+    for slot, bound_ms in enumerate(FIRST_TOKEN_BOUNDS_MS):
         if value_ms <= bound_ms:
             return slot
-    return len(BOUNDS_MS)
+    return len(FIRST_TOKEN_BOUNDS_MS)
 
 
-__all__ = ["BOUNDS_MS", "Counts", "Ledger", "WorkspaceCounts"]
+__all__ = [
+    "FIRST_TOKEN_BOUNDS_MS",
+    "Counts",
+    "EventCounters",
+    "WorkspaceCounts",
+]
--- a/src/godwittack/report/text.py
+++ b/src/godwittack/report/text.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-ADVICE: dict[str, str] = {
+ADVICE_BY_REASON: dict[str, str] = {
     "unauthenticated": (
         "the caller's token is in no workspace row; compare token_sha256"
     ),
@@ -36,19 +36,21 @@
     return "\n".join(_lines(counts)) + "\n"
 
 
-def first_token_ms(counts: counters.WorkspaceCounts, part: float) -> int | None:
-    """Returns the bound below which `part` of the first tokens came."""
+def first_token_quantile_ms(
+    counts: counters.WorkspaceCounts, quantile: float
+) -> int | None:
+    """Returns the bound below which `quantile` of the first tokens came."""
     total = sum(counts.first_token_counts)
     if not total:
         return None
     seen = 0
     for count, bound in zip(
-        counts.first_token_counts, counters.BOUNDS_MS, strict=False
+        counts.first_token_counts, counters.FIRST_TOKEN_BOUNDS_MS, strict=False
     ):
         seen += count
-        if seen >= part * total:
+        if seen >= quantile * total:
             return bound
-    return counters.BOUNDS_MS[-1]
+    return counters.FIRST_TOKEN_BOUNDS_MS[-1]
 
 
 def _lines(counts: counters.Counts) -> Iterator[str]:
@@ -87,8 +89,8 @@
         )
     else:
         yield "  Late: none."
-    usual = first_token_ms(counts, 0.5)
-    tail = first_token_ms(counts, 0.95)
+    usual = first_token_quantile_ms(counts, 0.5)
+    tail = first_token_quantile_ms(counts, 0.95)
     if usual is not None:
         yield (
             f"  The first token came within {usual} ms for half of them and"
@@ -112,7 +114,7 @@
             f" be sent again, and {unknown} may have run."
         )
     for reason, count in sorted(counts.refused.items()):
-        advice = ADVICE.get(reason, "see the log")
+        advice = ADVICE_BY_REASON.get(reason, "see the log")
         yield f"    {count} x {reason}: {advice}."
     if counts.retried:
         yield f"  Retried: {counts.retried} times on another backend server."
@@ -132,4 +134,4 @@
         yield "    Raise reuse_weight of the model, or add backend servers."
 
 
-__all__ = ["ADVICE", "first_token_ms", "render"]
+__all__ = ["ADVICE_BY_REASON", "first_token_quantile_ms", "render"]
--- a/src/godwittack/session/codec.py
+++ b/src/godwittack/session/codec.py
@@ -14,9 +14,9 @@
 
 # Each byte becomes one character, so that text in a recording stays readable
 # and any other content survives as well.
-_BYTES_AS = "latin-1"
+_BYTES_ENCODING = "latin-1"
 
-_KINDS: dict[str, type] = {
+_MESSAGE_TYPES: dict[str, type] = {
     kind.__name__: kind
     for kind in (
         *typing.get_args(inputs.Input),
@@ -26,7 +26,7 @@
 
 
 # Fields that only requests by routes use: left out of a session without any.
-_ROUTED_FIELDS: dict[type, tuple[str, ...]] = {
+_OMITTED_IF_DEFAULT: dict[type, tuple[str, ...]] = {
     work.Work: ("host", "path", "route", "resume_after"),
     effects.Dispatch: ("ends_at_ms",),
     inputs.MembersChanged: ("known",),
@@ -44,16 +44,16 @@
 def _converter() -> cattrs.Converter:
     converter = cattrs.Converter()
     converter.register_unstructure_hook(
-        bytes, lambda data: data.decode(_BYTES_AS)
+        bytes, lambda data: data.decode(_BYTES_ENCODING)
     )
     converter.register_structure_hook(
-        bytes, lambda text, _: text.encode(_BYTES_AS)
+        bytes, lambda text, _: text.encode(_BYTES_ENCODING)
     )
     converter.register_structure_hook(str | int | float, lambda value, _: value)
     converter.register_structure_hook(
         str | int | float | None, lambda value, _: value
     )
-    for kind, names in _ROUTED_FIELDS.items():
+    for kind, names in _OMITTED_IF_DEFAULT.items():
         left_out: typing.Any = {
             name: gen.override(omit_if_default=True) for name in names
         }
@@ -61,39 +61,41 @@
             kind, converter, **left_out
         )
         converter.register_unstructure_hook(kind, hook)
-    converter.register_unstructure_hook(model.Table, _table_out)
-    converter.register_structure_hook(model.Table, _table_in)
+    converter.register_unstructure_hook(model.Table, _unstructure_table)
+    converter.register_structure_hook(model.Table, _structure_table)
     return converter
 
 
-def _table_out(table: model.Table) -> dict[str, object]:
+def _unstructure_table(table: model.Table) -> dict[str, object]:
     rows = [
-        {"kind": model.row_kind(row).value, **_CELLS.unstructure(row)}
+        {"kind": model.row_kind(row).value, **_ROW_CONVERTER.unstructure(row)}
         for row in table.rows()
     ]
     stored: dict[str, object] = {"version": table.version, "rows": rows}
     if table.forwarding is not None:
         stored["tokens"] = table.workspace_by_token
-        stored["forwarding"] = _CELLS.unstructure(table.forwarding)
+        stored["forwarding"] = _ROW_CONVERTER.unstructure(table.forwarding)
     return stored
 
 
-def _table_in(stored: dict[str, typing.Any], _: type) -> model.Table:
+def _structure_table(stored: dict[str, typing.Any], _: type) -> model.Table:
     rows: list[model.Row] = []
     for cells in stored["rows"]:
         kind = model.RowKind(cells["kind"])
         values = {k: v for k, v in cells.items() if k != "kind"}
-        rows.append(_CELLS.structure(values, model.ROW_TYPES[kind]))
+        rows.append(_ROW_CONVERTER.structure(values, model.ROW_TYPES[kind]))
     table = model.Table.from_rows(version=stored["version"], rows=rows)
     if "forwarding" not in stored:
         return table
     table.workspace_by_token.update(stored["tokens"])
-    routes = _CELLS.structure(stored["forwarding"], forwarding.Forwarding)
+    routes = _ROW_CONVERTER.structure(
+        stored["forwarding"], forwarding.Forwarding
+    )
     return dataclasses.replace(table, forwarding=routes)
 
 
-_CELLS = cattrs.Converter()
-_CELLS.register_unstructure_hook_func(
+_ROW_CONVERTER = cattrs.Converter()
+_ROW_CONVERTER.register_unstructure_hook_func(
     lambda kind: typing.get_origin(kind) is frozenset, sorted
 )
 _CONVERTER = _converter()
@@ -109,8 +111,8 @@
 def decode(line: str) -> inputs.Input | effects.Effect:
     """Reads a line that `encode` made."""
     told = json.loads(line)
-    kind = _KINDS[told.pop("type")]
-    for name, default in _empty(kind).items():
+    kind = _MESSAGE_TYPES[told.pop("type")]
+    for name, default in _omitted_values(kind).items():
         told.setdefault(name, default)
     return _CONVERTER.structure(told, kind)
 
@@ -125,7 +127,7 @@
     return _CONVERTER.structure(json.loads(line), policy.Policy)
 
 
-def _empty(kind: type) -> dict[str, object]:
+def _omitted_values(kind: type) -> dict[str, object]:
     """Returns what an omitted field stood for."""
     hints = typing.get_type_hints(kind)
     found: dict[str, object] = {}
--- a/src/godwittack/session/record.py
+++ b/src/godwittack/session/record.py
@@ -12,9 +12,9 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-INPUT_MARK = "> "
-EFFECT_MARK = "< "
-COMMENT_MARK = "#"
+INPUT_PREFIX = "> "
+EFFECT_PREFIX = "< "
+COMMENT_PREFIX = "#"
 
 
 class Sink(Protocol):
@@ -30,16 +30,18 @@
     def __init__(self, core: router.Router, sink: Sink) -> None:
         """Writes the head of the recording."""
         self._sink = sink
-        sink.write(head(core) + "\n")
+        sink.write(header_line(core) + "\n")
 
-    def stepped(self, told: inputs.Input, made: list[effects.Effect]) -> None:
+    def record_step(
+        self, told: inputs.Input, made: list[effects.Effect]
+    ) -> None:
         """Writes one input with its effects."""
-        self._sink.write(f"{INPUT_MARK}{codec.encode(told)}\n")
+        self._sink.write(f"{INPUT_PREFIX}{codec.encode(told)}\n")
         for effect in made:
-            self._sink.write(f"{EFFECT_MARK}{codec.encode(effect)}\n")
+            self._sink.write(f"{EFFECT_PREFIX}{codec.encode(effect)}\n")
 
 
-def head(core: router.Router) -> str:
+def header_line(core: router.Router) -> str:
     """Returns the line that a recording starts with."""
     numbers = codec.encode_policy(core.world.policy)
     return json.dumps(
@@ -57,20 +59,20 @@
     made: list[str] = []
     for raw in lines:
         line = raw.rstrip("\n")
-        if line.startswith(COMMENT_MARK) or not line:
+        if line.startswith(COMMENT_PREFIX) or not line:
             made.append(line)
         elif core is None:
-            core = _core_of(line)
-            made.append(head(core))
-        elif line.startswith(INPUT_MARK):
+            core = _router_from_header(line)
+            made.append(header_line(core))
+        elif line.startswith(INPUT_PREFIX):
             made.append(line)
-            told = codec.decode(line[len(INPUT_MARK) :])
+            told = codec.decode(line[len(INPUT_PREFIX) :])
             for effect in core.step(told):  # type: ignore[arg-type]
-                made.append(EFFECT_MARK + codec.encode(effect))
+                made.append(EFFECT_PREFIX + codec.encode(effect))
     return made
 
 
-def difference(name: str, lines: list[str]) -> list[str]:
+def replay_diff(name: str, lines: list[str]) -> list[str]:
     """Returns a unified diff between a recording and its replay."""
     before = [line.rstrip("\n") for line in lines]
     after = replay(lines)
@@ -81,10 +83,10 @@
     )
 
 
-def _core_of(line: str) -> router.Router:
+def _router_from_header(line: str) -> router.Router:
     told = json.loads(line)
     numbers = codec.decode_policy(json.dumps(told["policy"]))
     return router.Router.from_config(daemon=told["daemon"], policy=numbers)
 
 
-__all__ = ["Recorder", "difference", "head", "replay"]
+__all__ = ["Recorder", "replay_diff", "header_line", "replay"]
--- a/tests/cases/fuzz.py
+++ b/tests/cases/fuzz.py
@@ -187,7 +187,7 @@
         await request.read()
         return web.Response(text="served")
 
-    server = connection_timeouts.PatientServer(
+    server = connection_timeouts.TimeoutServer(
         handle, clock=SystemClock(), max_line_bytes=MAX_LINE_BYTES
     )
     runner = web.ServerRunner(server, shutdown_timeout=0.1)
--- a/tests/cases/patience.py
+++ b/tests/cases/patience.py
@@ -29,7 +29,7 @@
         await may_answer.wait()
         return web.Response(text="whole")
 
-    server = connection_timeouts.PatientServer(
+    server = connection_timeouts.TimeoutServer(
         handle, clock=clock, max_line_bytes=MAX_LINE_BYTES
     )
     runner = web.ServerRunner(server, shutdown_timeout=0.1)
@@ -62,9 +62,9 @@
         test.writer.write(REQUEST[:20])
         await asyncio.sleep(0.05)
         test.clock.advance(by_ms=LIMITS.header_timeout_ms - 1)
-        assert test.server.end_slow(LIMITS) == 0
+        assert test.server.close_overdue(LIMITS) == 0
         test.clock.advance(by_ms=1)
-        assert test.server.end_slow(LIMITS) == 1
+        assert test.server.close_overdue(LIMITS) == 1
         assert await test.reader.read() == b""
 
 
@@ -79,9 +79,9 @@
         test.writer.write(REQUEST + b"abc")
         assert b"whole" in await test.reader.readuntil(b"whole")
         test.clock.advance(by_ms=LIMITS.idle_timeout_ms - 1)
-        assert test.server.end_slow(LIMITS) == 0
+        assert test.server.close_overdue(LIMITS) == 0
         test.clock.advance(by_ms=1)
-        assert test.server.end_slow(LIMITS) == 1
+        assert test.server.close_overdue(LIMITS) == 1
         assert await test.reader.read() == b""
 
 
@@ -95,7 +95,7 @@
         test.writer.write(REQUEST + b"abc")
         await asyncio.sleep(0.05)
         test.clock.advance(by_ms=2 * LIMITS.idle_timeout_ms)
-        assert test.server.end_slow(LIMITS) == 0
+        assert test.server.close_overdue(LIMITS) == 0
         test.may_answer.set()
         assert b"whole" in await test.reader.readuntil(b"whole")
 
@@ -104,7 +104,7 @@
     """A table without limits of time, or none yet, closes nothing."""
     async with connected() as test:
         test.clock.advance(by_ms=1 << 30)
-        assert test.server.end_slow(forwarding.CallerLimits()) == 0
+        assert test.server.close_overdue(forwarding.CallerLimits()) == 0
 
 
 async def a_compressed_body_is_passed_on_as_it_came():
--- a/tests/cases/routed_core.py
+++ b/tests/cases/routed_core.py
@@ -129,7 +129,7 @@
     def _step(self, told) -> list[effects.Effect]:
         self.made = self.router.step(told)
         if self.recorder is not None:
-            self.recorder.stepped(told, self.made)
+            self.recorder.record_step(told, self.made)
         return self.made
 
     def confirm(self, *, for_ms: int = ALLOWED_MS) -> None:
--- a/tests/cases/serving.py
+++ b/tests/cases/serving.py
@@ -52,7 +52,7 @@
         assert len(part) == POLICY.serving // len(DOMAINS), (domain, len(part))
         least = min(m.capacity_millicores for m in part)
         assert least >= max(m.capacity_millicores for m in others)
-        near = directory.choose(chosen.serving, failure_domain=domain)
+        near = directory.select_addresses(chosen.serving, failure_domain=domain)
         assert set(near) == {m.http_address for m in part}
     assert not _ids(chosen.serving) & _ids(chosen.standby)
 
@@ -109,7 +109,7 @@
     fleet = [m for m in _fleet(300) if m.failure_domain != "a"]
     chosen = serving.choose(fleet, POLICY)
     assert len(chosen.serving) >= POLICY.serving
-    named = directory.choose(chosen.serving, failure_domain="a")
+    named = directory.select_addresses(chosen.serving, failure_domain="a")
     assert set(named) == {m.http_address for m in chosen.serving}
 
 
@@ -164,7 +164,7 @@
     fleet = [*_fleet(), *(_member(n, failure_domain="") for n in (500, 501))]
     chosen = serving.choose(fleet, POLICY)
     assert {"edge-500", "edge-501"} <= _ids(chosen.serving)
-    assert directory.choose(chosen.serving, failure_domain="nowhere")
+    assert directory.select_addresses(chosen.serving, failure_domain="nowhere")
 
 
 def lasting_lag_alone_counts_as_overload() -> None:
--- a/tests/features/steps/state_steps.py
+++ b/tests/features/steps/state_steps.py
@@ -137,7 +137,7 @@
 @then("the decisions are the same byte for byte")
 def same_bytes(context):
     """Compares recording and replay."""
-    changed = record.difference(context.session_name, context.recording)
+    changed = record.replay_diff(context.session_name, context.recording)
     assert not changed, "\n".join(changed)
 
 
--- a/tests/sim/fleet.py
+++ b/tests/sim/fleet.py
@@ -91,7 +91,7 @@
             keeper=self.keeper,
             client=peers,
             probes=peers,
-            counts=counters.Ledger(daemon=name, clock=self.clock),
+            counts=counters.EventCounters(daemon=name, clock=self.clock),
             seeds=tuple(fleet.seeds),
         )
         streams = watch.Streams()
--- a/tests/sim/recordings.py
+++ b/tests/sim/recordings.py
@@ -45,7 +45,7 @@
     def tell(self, told: inputs.Input) -> list[effects.Effect]:
         """Gives the core one input."""
         made = self.core.step(told)
-        self.recorder.stepped(told, made)
+        self.recorder.record_step(told, made)
         self.made.extend(made)
         return made
 
