--- a/deploy/daemon.py
+++ b/deploy/daemon.py
@@ -1,7 +1,7 @@
 """Runs a daemon from a checkout: `python3 deploy/daemon.py SETTINGS`.
 
-Not by the command line's parser, which is a quarter of the processor time of
-a start.
+Bypasses the command line parser, which takes a quarter of the processor time
+of a start.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 
 def main() -> None:
-    """Runs until stopped; exits with 2 where the settings are wrong."""
-    ended = process.run(sys.argv[1])
-    if ended.is_err():
-        print(ended.err_value, file=sys.stderr)
+    """Runs until stopped; exits with 2 if the settings are invalid."""
+    result = process.run(sys.argv[1])
+    if result.is_err():
+        print(result.err_value, file=sys.stderr)
         sys.exit(EXIT_BAD_SETTINGS)
 
 
--- a/src/godwittack/entry/__init__.py
+++ b/src/godwittack/entry/__init__.py
@@ -1,1 +1,1 @@
-"""Callers' and operators' side over HTTP."""
+"""HTTP endpoints for callers and operators."""
--- a/src/godwittack/entry/calls.py
+++ b/src/godwittack/entry/calls.py
@@ -1,4 +1,4 @@
-"""Serves callers: generations, plain services, resumed streams."""
+"""Serves callers: generations, service calls and resumed streams."""
 
 from __future__ import annotations
 
@@ -38,17 +38,17 @@
             return body
         digest = parse.bearer_digest(request)
         workspace = self._workspace_for(digest)
-        asked = parse.parse_generation(request, body, workspace=workspace)
-        if isinstance(asked, Err):
-            return refusal.error_response(asked.err_value)
+        parsed = parse.parse_generation(request, body, workspace=workspace)
+        if isinstance(parsed, Err):
+            return refusal.error_response(parsed.err_value)
         headers = (
             *parse.forwarded_headers(request),
-            parse.level_header(asked.ok_value),
+            parse.level_header(parsed.ok_value),
         )
         call = backend.Call(
             method="POST", path=request.path, headers=headers, body=body
         )
-        return await self._serve(request, asked.ok_value, call)
+        return await self._serve(request, parsed.ok_value, call)
 
     async def call_service(self, request: web.Request) -> web.StreamResponse:
         """Serves `/svc/{service}/...`."""
@@ -56,27 +56,29 @@
         if isinstance(body, web.Response):
             return body
         service = request.match_info["service"]
-        # The path is taken as it came: decoding and encoding it again could
-        # name another resource.
+        # The path is forwarded as received: decoding and re-encoding it could
+        # change which resource it identifies.
         path = request.raw_path[len(f"/svc/{service}") :] or "/"
-        asked = parse.parse_service_call(
+        parsed = parse.parse_service_call(
             request, body, service=service, path=path
         )
-        if isinstance(asked, Err):
-            return refusal.error_response(asked.err_value)
+        if isinstance(parsed, Err):
+            return refusal.error_response(parsed.err_value)
         call = backend.Call(
             method=request.method,
             path=path,
             headers=parse.forwarded_headers(request),
             body=body,
         )
-        return await self._serve(request, asked.ok_value, call)
+        return await self._serve(request, parsed.ok_value, call)
 
     async def resume(self, request: web.Request) -> web.StreamResponse:
-        """Serves `/v1/resume`: the rest of a stream begun anywhere."""
-        point = self.signer.verify(request.headers.get(RESUME_HEADER, ""))
+        """Serves `/v1/resume`: the rest of a stream started on any daemon."""
+        resume_point = self.signer.verify(
+            request.headers.get(RESUME_HEADER, "")
+        )
         after = request.headers.get("last-event-id", "0")
-        if point is None or not after.isdigit():
+        if resume_point is None or not after.isdigit():
             return refusal.error_response(
                 "send X-Resume-Token as received, and Last-Event-ID",
                 status=403,
@@ -90,22 +92,25 @@
                 at_ms=self.runtime.clock.now_ms(),
                 request_id=request_id,
                 token_sha256=parse.bearer_digest(request),
-                server_id=point.server_id,
-                stream_id=point.stream_id,
-                stamp=point.stamp,
+                server_id=resume_point.server_id,
+                stream_id=resume_point.stream_id,
+                stamp=resume_point.stamp,
                 after=int(after),
             )
         )
         return await self._respond(request, request_id, caller)
 
     async def _serve(
-        self, request: web.Request, asked: work.Work, call: backend.Call
+        self,
+        request: web.Request,
+        requested_work: work.Work,
+        call: backend.Call,
     ) -> web.StreamResponse:
         request_id = self.runtime.next_request_id()
         caller = self.runtime.open_caller(request_id, call)
         self.runtime.submit(
             inputs.RequestArrived(
-                self.runtime.clock.now_ms(), request_id, asked
+                self.runtime.clock.now_ms(), request_id, requested_work
             )
         )
         return await self._respond(request, request_id, caller)
@@ -123,8 +128,8 @@
             self._submit_caller_gone(request_id)
             raise
         except TimeoutError:
-            # The caller has not read for long. It can resume; keeping the
-            # connection would keep its buffers.
+            # The caller stopped reading for too long. It can resume later; an
+            # open connection would keep its buffers allocated.
             self._submit_caller_gone(request_id)
             if request.transport is not None:
                 request.transport.abort()
@@ -151,23 +156,27 @@
                     request, echoed_id, first, caller
                 )
             case _:
-                raise RuntimeError(f"not the start of an answer: {first}")
+                raise RuntimeError(
+                    f"unexpected first effect of a response: {first}"
+                )
 
     async def _relay_stream(
         self,
         request: web.Request,
         echoed_id: str,
-        begun: effects.BeginStream,
+        start: effects.BeginStream,
         caller: callers.Caller,
     ) -> web.StreamResponse:
-        point = token.ResumePoint(begun.server_id, begun.stream_id, begun.stamp)
+        resume_point = token.ResumePoint(
+            start.server_id, start.stream_id, start.stamp
+        )
         headers = {
             "content-type": "text/event-stream",
             "cache-control": "no-cache",
             "x-request-id": echoed_id,
-            RESUME_HEADER: self.signer.sign(point),
+            RESUME_HEADER: self.signer.sign(resume_point),
         }
-        if begun.late:
+        if start.late:
             headers["x-late"] = "true"
         response = web.StreamResponse(headers=headers)
         await response.prepare(request)
@@ -179,10 +188,10 @@
                         self.settings.slow_caller_ms / 1000
                     ):
                         await response.write(data)
-                case effects.BreakStream() as broken:
-                    await response.write(refusal.error_event(broken))
-                    # Closing in order would let the stream look whole to a
-                    # caller that does not read the error.
+                case effects.BreakStream() as failure:
+                    await response.write(refusal.error_event(failure))
+                    # A clean close would make the stream look complete to a
+                    # caller that does not read the error event.
                     if request.transport is not None:
                         response.force_close()
                         request.transport.close()
@@ -193,28 +202,28 @@
 
     async def _read_body(self, request: web.Request) -> bytes | web.Response:
         if self._bodies_arriving >= self.settings.max_bodies_arriving:
-            busy = refusal.error_response(
+            response = refusal.error_response(
                 "too many requests are arriving", status=503, reason="busy"
             )
-            busy.headers["retry-after"] = str(BUSY_RETRY_AFTER_S)
-            return busy
+            response.headers["retry-after"] = str(BUSY_RETRY_AFTER_S)
+            return response
         self._bodies_arriving += 1
         try:
-            got = await parse.read_body(
+            body = await parse.read_body(
                 request,
                 max_bytes=self.settings.max_body_bytes,
                 timeout_ms=self.settings.body_timeout_ms,
             )
         finally:
             self._bodies_arriving -= 1
-        if isinstance(got, Err):
-            status, detail = got.err_value
-            refused = refusal.error_response(
+        if isinstance(body, Err):
+            status, detail = body.err_value
+            response = refusal.error_response(
                 detail, status=status, reason="bad_body"
             )
-            refused.force_close()
-            return refused
-        return got.ok_value
+            response.force_close()
+            return response
+        return body.ok_value
 
     def _workspace_for(self, token_digest: str) -> str:
         table = self.runtime.core.world.table
--- a/src/godwittack/entry/connection_timeouts.py
+++ b/src/godwittack/entry/connection_timeouts.py
@@ -1,7 +1,7 @@
-"""Ends callers' connections on which nothing comes for too long.
+"""Closes callers' connections that exceed the header or idle timeout.
 
-A connection that never completes a request, or is kept for none, holds a
-descriptor and memory; a few thousand of them take all that a daemon has.
+A connection that never completes a request, or stays open without one, holds
+a file descriptor and memory; a few thousand of them exhaust a daemon.
 """
 
 from __future__ import annotations
@@ -22,7 +22,8 @@
     Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 
-# Rounds of the loop from a new connection to what its caller has sent at once.
+# Event loop rounds between accepting a connection and reading data that the
+# caller sent immediately.
 ACCEPT_TO_READ_ROUNDS = 2
 
 
@@ -34,7 +35,7 @@
 
 
 class TimeoutServer(web.Server):
-    """An HTTP server that ends connections by the table's limits."""
+    """An HTTP server that closes connections by the table's timeouts."""
 
     def __init__(
         self,
@@ -49,8 +50,8 @@
         Args:
             handler: Serves one request.
             clock: Source of time.
-            max_line_bytes: Longest line of a request's head that is read.
-            delay: How late the loop may read; None for on time.
+            max_line_bytes: Maximum length of a line in a request's head.
+            delay: How late the event loop may read; None for no delay.
         """
         super().__init__(self._handle, handler_cancellation=True)
         self._serve = handler
@@ -69,19 +70,19 @@
         )
 
     def close_overdue(self, limits: forwarding.CallerLimits) -> int:
-        """Closes connections past a limit; returns how many."""
+        """Closes connections past a timeout; returns how many."""
         now_ms = self._clock.now_ms()
-        slow = [
-            found
-            for found in self.connections
-            if isinstance(found, _Connection)
-            and found.is_overdue(limits, now_ms=now_ms)
+        overdue = [
+            connection
+            for connection in self.connections
+            if isinstance(connection, _Connection)
+            and connection.is_overdue(limits, now_ms=now_ms)
         ]
-        for found in slow:
-            found.close()
-            if found.transport is not None:
-                found.transport.close()
-        return len(slow)
+        for connection in overdue:
+            connection.close()
+            if connection.transport is not None:
+                connection.transport.close()
+        return len(overdue)
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         connection = request.protocol
@@ -94,9 +95,9 @@
 
 
 class _Connection(web.RequestHandler):
-    """One connection, and since when it waits for what."""
+    """One connection, with the times that its timeouts count from."""
 
-    # The base class has slots; these are its subclass's own.
+    # The base class uses slots, so this class lists its own.
     __slots__ = (
         "_accepted_in_round",
         "_clock",
@@ -104,7 +105,7 @@
         "_first_byte_ms",
         "_idle_since_ms",
         "_in_handler",
-        "_sent_by_ms",
+        "_sent_at_ms",
     )
 
     def __init__(
@@ -122,19 +123,19 @@
             access_log=None,  # type: ignore[arg-type]
             max_line_size=max_line_bytes,
             max_field_size=max_line_bytes,
-            # A body is passed on as it came, also where it is compressed.
+            # Bodies are forwarded as received, compressed or not.
             auto_decompress=False,
         )
         self._clock = clock
         self._delay = delay
         self._accepted_in_round = delay.rounds
-        self._sent_by_ms = clock.now_ms() - delay.accepted_ms()
+        self._sent_at_ms = clock.now_ms() - delay.accepted_ms()
         self._first_byte_ms = -1
         self._idle_since_ms = clock.now_ms()
         self._in_handler = False
 
     def data_received(self, data: bytes) -> None:
-        """Notes when a request's first bytes came."""
+        """Records when the first bytes of a request arrived."""
         if self._first_byte_ms < 0:
             self._first_byte_ms = self._clock.now_ms()
             if (
@@ -142,22 +143,22 @@
                 > self._accepted_in_round + ACCEPT_TO_READ_ROUNDS
             ):
                 waited_ms = self._delay.read_ms()
-                self._sent_by_ms = self._first_byte_ms - waited_ms
+                self._sent_at_ms = self._first_byte_ms - waited_ms
         super().data_received(data)
 
     def waited_ms(self) -> int:
-        """Returns how long the request may have waited, by now."""
+        """Returns how long the request may have waited until now."""
         if self._first_byte_ms < 0:
-            # It came in one piece with the request before.
+            # It arrived in the same read as the previous request.
             return 0
-        return max(0, self._clock.now_ms() - self._sent_by_ms)
+        return max(0, self._clock.now_ms() - self._sent_at_ms)
 
     def request_started(self) -> None:
-        """Notes that a request's headers were read."""
+        """Records that a request's headers were read."""
         self._in_handler = True
 
     def request_finished(self) -> None:
-        """Notes that a request was answered."""
+        """Records that a request was answered."""
         self._in_handler = False
         self._first_byte_ms = -1
         self._idle_since_ms = self._clock.now_ms()
@@ -165,7 +166,7 @@
     def is_overdue(
         self, limits: forwarding.CallerLimits, *, now_ms: int
     ) -> bool:
-        """Returns whether the caller has taken longer than it may."""
+        """Returns whether the connection has exceeded its current timeout."""
         if self._in_handler:
             return False
         if self._first_byte_ms >= 0:
--- a/src/godwittack/entry/directory.py
+++ b/src/godwittack/entry/directory.py
@@ -1,4 +1,4 @@
-"""Tells callers where to connect, and the platform whether to send any."""
+"""Serves daemon addresses to callers and readiness to the platform."""
 
 from __future__ import annotations
 
@@ -13,31 +13,32 @@
     from godwittack.member import serving as servings
     from godwittack.member import view
 
-# Daemons in the caller's own failure domain from which those of others are
-# left out: with one alone, its loss would leave callers without an address.
+# From this many daemons in the caller's failure domain on, daemons of other
+# domains are left out. With only one, its loss would leave the caller without
+# an address.
 MIN_NEAR_DAEMONS = 2
 MAX_ADDRESSES = 64
-# Callers may keep an address for three times the time they are told; a daemon
-# that leaves serves on for as long.
+# Callers may keep an address for ADDRESS_KEEP_FACTOR times the advertised time;
+# a stopping daemon keeps serving for as long.
 ADDRESS_KEEP_MS = 1_000
 ADDRESS_KEEP_FACTOR = 3
 
 
 class DirectoryFormat(Protocol):
-    """How callers ask for addresses, and what they are answered."""
+    """Format of address requests and their responses."""
 
     def caller_failure_domain(self, request: web.BaseRequest) -> str | None:
-        """Returns a caller's failure domain; None for another question."""
+        """Returns the caller's failure domain; None for another request."""
 
     def response(self, addresses: list[str], *, keep_ms: int) -> web.Response:
-        """Returns addresses and how long they may be kept."""
+        """Returns a response with addresses and how long they may be kept."""
 
 
 class DirectoryHandlers:
-    """HTTP handlers of the directory and of readiness.
+    """HTTP handlers for the directory and for readiness.
 
     Attributes:
-        stopping: Whether this daemon takes no new callers.
+        stopping: Whether this daemon accepts no new callers.
     """
 
     def __init__(
@@ -48,13 +49,13 @@
         directory_format: DirectoryFormat,
         serving: servings.ServingSetSelector,
     ) -> None:
-        """Names the daemons that serve.
+        """Serves the addresses of the serving daemons.
 
         Args:
             members: The view of all daemons.
-            world: What this daemon knows.
-            directory_format: How callers ask.
-            serving: Chooses who serves in a large fleet.
+            world: State of the core.
+            directory_format: Format of requests and responses.
+            serving: Selects the serving set in a large fleet.
         """
         self._serving = serving
         self.stopping = False
@@ -63,22 +64,22 @@
         self._format = directory_format
 
     async def resolve(self, request: web.BaseRequest) -> web.Response:
-        """Answers which addresses a caller should use."""
-        domain = self._format.caller_failure_domain(request)
-        if domain is None:
+        """Returns the addresses that a caller should use."""
+        failure_domain = self._format.caller_failure_domain(request)
+        if failure_domain is None:
             return web.json_response({"error": "not_found"}, status=404)
         members: Sequence[view.Member] = self._serving.current().serving
         if not self._world.table.version:
-            # Without a table it would refuse whoever came.
+            # Without a table this daemon would refuse every caller.
             own = self._members.me.member_id
             members = [m for m in members if m.member_id != own]
         if not members:
             return web.json_response({"error": "no_address"}, status=503)
-        found = select_addresses(members, failure_domain=domain)
-        return self._format.response(found, keep_ms=ADDRESS_KEEP_MS)
+        addresses = select_addresses(members, failure_domain=failure_domain)
+        return self._format.response(addresses, keep_ms=ADDRESS_KEEP_MS)
 
     async def ready(self, request: web.BaseRequest) -> web.Response:
-        """Says whether this daemon takes callers."""
+        """Returns whether this daemon accepts callers."""
         del request
         version = self._world.table.version
         ready = version > 0 and not self.stopping
@@ -94,13 +95,13 @@
     """Returns addresses for a caller, the nearest first.
 
     Args:
-        members: Daemons that take requests.
-        failure_domain: Where the caller is; empty if it did not say.
+        members: Daemons that accept requests.
+        failure_domain: The caller's failure domain; empty if unknown.
     """
     near = [m for m in members if m.failure_domain == failure_domain]
     far = [m for m in members if m.failure_domain != failure_domain]
-    chosen = near if len(near) >= MIN_NEAR_DAEMONS else [*near, *far]
-    return [member.http_address for member in chosen[:MAX_ADDRESSES]]
+    selected = near if len(near) >= MIN_NEAR_DAEMONS else [*near, *far]
+    return [member.http_address for member in selected[:MAX_ADDRESSES]]
 
 
 __all__ = [
--- a/src/godwittack/entry/forward.py
+++ b/src/godwittack/entry/forward.py
@@ -1,4 +1,4 @@
-"""Serves callers whose requests are handed on to servers unchanged."""
+"""Serves callers whose requests are forwarded to servers unchanged."""
 
 from __future__ import annotations
 
@@ -28,34 +28,34 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ParsedRequest:
-    """A request as the core sees it, and as it is sent on."""
+    """A request as the core sees it, and as it is forwarded."""
 
     work: work.Work
     call: backend.Call
 
 
 class CallerFormat(Protocol):
-    """How callers' requests are read, and what they are answered."""
+    """Format of callers' requests and of responses to them."""
 
     def parse_request(
         self, request: web.BaseRequest, body: bytes, table: model.Table
     ) -> Result[ParsedRequest, str]:
-        """Reads a request, or says what is wrong with it."""
+        """Parses a request, or returns what is wrong with it."""
 
     def refusal_response(
         self, refused: effects.Refuse, call: backend.Call
     ) -> web.Response:
-        """Returns the answer to a request that brings no other."""
+        """Returns the response to a request that the core refused."""
 
     def error_response(self, detail: str, *, status: int) -> web.Response:
-        """Returns the answer to a request that could not be read."""
+        """Returns the response to a request that could not be parsed."""
 
 
 class ForwardHandler:
     """HTTP handler for callers' requests.
 
     Attributes:
-        stopping: Whether connections are closed after their next answer.
+        stopping: Whether connections are closed after their next response.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         settings: configs.Settings,
         caller_format: CallerFormat,
     ) -> None:
-        """Hands requests read by `caller_format` to `runtime`."""
+        """Submits requests parsed by `caller_format` to `runtime`."""
         self.stopping = False
         self._runtime = runtime
         self._settings = settings
@@ -96,19 +96,21 @@
         if isinstance(body, Err):
             status, detail = body.err_value
             return self._error_and_close(detail, status=status)
-        arrived = self._format.parse_request(request, body.ok_value, table)
-        if isinstance(arrived, Err):
-            return self._format.error_response(arrived.err_value, status=400)
-        return await self._serve(request, arrived.ok_value)
+        parsed = self._format.parse_request(request, body.ok_value, table)
+        if isinstance(parsed, Err):
+            return self._format.error_response(parsed.err_value, status=400)
+        return await self._serve(request, parsed.ok_value)
 
     async def _serve(
-        self, request: web.BaseRequest, arrived: ParsedRequest
+        self, request: web.BaseRequest, parsed: ParsedRequest
     ) -> web.StreamResponse:
-        asked, call = arrived.work, arrived.call
+        requested_work, call = parsed.work, parsed.call
         fingerprint = parse.fingerprint(
-            call.method, asked.host + call.path, call.body
+            call.method, requested_work.host + call.path, call.body
+        )
+        requested_work = dataclasses.replace(
+            requested_work, fingerprint=fingerprint
         )
-        asked = dataclasses.replace(asked, fingerprint=fingerprint)
         request_id = self._runtime.next_request_id(call.request_id)
         caller = self._runtime.open_caller(request_id, call)
         try:
@@ -116,7 +118,7 @@
                 inputs.RequestArrived(
                     self._runtime.clock.now_ms(),
                     request_id,
-                    asked,
+                    requested_work,
                     connection_timeouts.waited_ms(request),
                 )
             )
@@ -125,7 +127,7 @@
             self._submit_caller_gone(request_id)
             raise
         except TimeoutError:
-            # The caller has not read for long; its buffers are given up.
+            # The caller stopped reading for too long; its buffers are freed.
             self._submit_caller_gone(request_id)
             _abort(request)
             raise
@@ -136,14 +138,16 @@
         self, request: web.BaseRequest, caller: callers.Caller
     ) -> web.StreamResponse:
         match await caller.get():
-            case effects.Refuse() as refused:
-                return self._format.refusal_response(refused, caller.call)
+            case effects.Refuse() as refusal:
+                return self._format.refusal_response(refusal, caller.call)
             case effects.Reply() as reply:
                 return _complete_response(reply)
             case effects.BeginStream(head=head) if head is not None:
                 return await self._relay_stream(request, head, caller)
             case other:
-                raise RuntimeError(f"not the start of an answer: {other}")
+                raise RuntimeError(
+                    f"unexpected first effect of a response: {other}"
+                )
 
     async def _relay_stream(
         self,
@@ -172,7 +176,7 @@
                     await response.write_eof()
                     return response
                 case effects.BreakStream():
-                    # Ended in order, an unfinished stream would look whole.
+                    # A clean close would make a truncated stream look complete.
                     response.force_close()
                     _close(request)
                     return response
--- a/src/godwittack/entry/operator_api.py
+++ b/src/godwittack/entry/operator_api.py
@@ -1,4 +1,4 @@
-"""Serves operators: table, history, changes, reports."""
+"""Serves operators: the table, its history, changes, status and reports."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
     counters: counters.EventCounters
 
     def routes(self) -> list[web.RouteDef]:
-        """Returns the handlers, each behind the operator's token."""
+        """Returns the routes; each requires an operator's bearer token."""
         guard = self._require_operator
         return [
             web.get("/operator/table", guard(self.get_table)),
@@ -65,7 +65,7 @@
         ]
 
     async def get_table(self, request: web.Request, who: str) -> web.Response:
-        """Returns the table as CSV, or as stored."""
+        """Returns the table as CSV, or as the stored JSON."""
         del who
         table = self.runtime.core.world.table
         headers = {"x-table-version": str(table.version)}
@@ -82,7 +82,7 @@
     async def change_table(
         self, request: web.Request, who: str
     ) -> web.Response:
-        """Commits a change and waits until it is in force."""
+        """Commits a change and waits until it is in effect."""
         body = await parse.read_body(
             request, max_bytes=MAX_CHANGE_BYTES, timeout_ms=CHANGE_TIMEOUT_MS
         )
@@ -90,27 +90,32 @@
             status, detail = body.err_value
             return refusal.error_response(detail, status=status)
         try:
-            asked = _ChangeRequest.model_validate_json(body.ok_value)
+            change_request = _ChangeRequest.model_validate_json(body.ok_value)
         except pydantic.ValidationError as error:
             first = error.errors()[0]
-            place = ".".join(str(part) for part in first["loc"])
-            return refusal.error_response(f"{place}: {first['msg']}")
-        parsed = schema.changes_from_list(asked.changes)
-        if isinstance(parsed, Err):
-            return refusal.error_response(parsed.err_value)
-        wrong = await weights.check_versions(self.weights, parsed.ok_value)
-        if wrong is not None:
-            return refusal.error_response(wrong.detail, status=wrong.status)
+            location = ".".join(str(part) for part in first["loc"])
+            return refusal.error_response(f"{location}: {first['msg']}")
+        cell_changes = schema.changes_from_list(change_request.changes)
+        if isinstance(cell_changes, Err):
+            return refusal.error_response(cell_changes.err_value)
+        rejection = await weights.check_versions(
+            self.weights, cell_changes.ok_value
+        )
+        if rejection is not None:
+            return refusal.error_response(
+                rejection.detail, status=rejection.status
+            )
         proposal = store.Proposal(
             who=who,
-            why=asked.why,
-            changes=tuple(parsed.ok_value),
+            why=change_request.why,
+            changes=tuple(cell_changes.ok_value),
             at_wall_ms=self.runtime.clock.wall_ms(),
-            commit_id=asked.commit_id,
-            undoes=asked.undoes,
+            commit_id=change_request.commit_id,
+            undoes=change_request.undoes,
         )
-        # A change once begun is carried through, also where the operator's
-        # connection breaks: half a spread would leave daemons apart.
+        # A commit that has started is completed even if the operator's
+        # connection breaks: a change announced to only some daemons would
+        # leave them on different table versions.
         return await asyncio.shield(self._commit(proposal))
 
     async def history(self, request: web.Request, who: str) -> web.Response:
@@ -119,14 +124,14 @@
         after = request.query.get("after", "0")
         if not after.isdigit():
             return refusal.error_response("after: write a version number")
-        got = await self.tables.history(after_version=int(after))
-        if isinstance(got, Err):
-            return _unavailable_response(got.err_value)
-        body = "[" + ",".join(schema.audit_to_json(e) for e in got.ok_value)
+        entries = await self.tables.history(after_version=int(after))
+        if isinstance(entries, Err):
+            return _unavailable_response(entries.err_value)
+        body = "[" + ",".join(schema.audit_to_json(e) for e in entries.ok_value)
         return web.Response(text=body + "]", content_type="application/json")
 
     async def status(self, request: web.Request, who: str) -> web.Response:
-        """Returns which daemon has which version."""
+        """Returns the table version and state of each daemon."""
         del request, who
         await self.gossiper.spread_now()
         world = self.runtime.core.world
@@ -158,7 +163,7 @@
         )
 
     async def report(self, request: web.Request, who: str) -> web.Response:
-        """Returns the counts of all daemons added up."""
+        """Returns the sum of all daemons' counts."""
         del request, who
         total = self.counters.totals()
         own = self.gossiper.members.me.member_id
@@ -180,10 +185,10 @@
         return web.json_response(text=total.model_dump_json())
 
     async def _commit(self, proposal: store.Proposal) -> web.Response:
-        got = await self.committer.commit(proposal)
-        if isinstance(got, Err):
-            return _unavailable_response(got.err_value)
-        match got.ok_value:
+        result = await self.committer.commit(proposal)
+        if isinstance(result, Err):
+            return _unavailable_response(result.err_value)
+        match result.ok_value:
             case store.Invalid(detail):
                 return refusal.error_response(detail, reason="invalid_change")
             case store.Conflict() as conflict:
@@ -198,19 +203,21 @@
                     },
                     status=409,
                 )
-            case changes.InForce() as done:
+            case changes.InForce() as outcome:
                 return web.json_response(
                     {
-                        "result": "accepted" if done.accepted else "committed",
-                        "version": done.version,
-                        "after_ms": done.after_ms,
-                        "confirmed": list(done.confirmed),
-                        "lapsed": list(done.lapsed),
-                        "missing": list(done.missing),
+                        "result": "accepted"
+                        if outcome.accepted
+                        else "committed",
+                        "version": outcome.version,
+                        "after_ms": outcome.after_ms,
+                        "confirmed": list(outcome.confirmed),
+                        "lapsed": list(outcome.lapsed),
+                        "missing": list(outcome.missing),
                     }
                 )
             case _:
-                raise RuntimeError(f"unknown result {got.ok_value}")
+                raise RuntimeError(f"unknown result {result.ok_value}")
 
     def _require_operator(
         self, handler: Callable[[web.Request, str], Awaitable[web.Response]]
--- a/src/godwittack/entry/parse.py
+++ b/src/godwittack/entry/parse.py
@@ -1,4 +1,4 @@
-"""Reads callers' requests within limits, into the core's terms."""
+"""Parses callers' requests, within limits, into the core's types."""
 
 from __future__ import annotations
 
@@ -22,8 +22,9 @@
 
 MAX_DEADLINE_MS = 3_600_000
 DEADLINE_HEADER = "x-deadline-ms"
-# Headers that say who may use which state. They are set by the daemon alone:
-# a caller that could send them would read another workspace's cache.
+# Headers that are not forwarded from callers. Some of them control access to
+# cached state and are set only by the daemon: a caller that could send them
+# would be able to read another workspace's cache.
 RESERVED_HEADERS = frozenset(
     {
         "authorization",
@@ -50,7 +51,7 @@
 
 
 class _Generation(pydantic.BaseModel):
-    """The parts of an OpenAI request that routing needs."""
+    """The fields of an OpenAI request that routing needs."""
 
     model_config = pydantic.ConfigDict(extra="allow")
     model: str
@@ -65,10 +66,10 @@
 async def read_body(
     request: web.BaseRequest, *, max_bytes: int, timeout_ms: int
 ) -> Result[bytes, tuple[int, str]]:
-    """Reads a body of bounded length in bounded time.
+    """Reads a body with limits on its length and on the time it takes.
 
     Returns:
-        The body, or HTTP status and detail of the error.
+        The body, or the HTTP status and detail of the error.
     """
     if request.content_length and request.content_length > max_bytes:
         return Err((413, f"the body is longer than {max_bytes} bytes"))
@@ -86,7 +87,7 @@
 
 
 def bearer_digest(request: web.Request) -> str:
-    """Returns the digest of the bearer token, or an empty string."""
+    """Returns the digest of the bearer token, or an empty string if none."""
     scheme, _, token = request.headers.get("authorization", "").partition(" ")
     if scheme.lower() != "bearer" or not token:
         return ""
@@ -94,7 +95,7 @@
 
 
 def fingerprint(method: str, path: str, body: bytes) -> str:
-    """Returns the hash that two requests for the same thing share."""
+    """Returns a hash that is equal for identical requests."""
     digest = xxhash.xxh3_128(f"{method} {path}\n".encode())
     digest.update(body)
     return digest.hexdigest()
@@ -103,32 +104,32 @@
 def parse_generation(
     request: web.Request, body: bytes, *, workspace: str
 ) -> Result[work.Work, str]:
-    """Parses a chat completion or completion."""
+    """Parses a request for a chat completion or a completion."""
     try:
-        asked = _Generation.model_validate_json(body)
+        generation = _Generation.model_validate_json(body)
     except pydantic.ValidationError as error:
         first = error.errors()[0]
-        place = ".".join(str(part) for part in first["loc"])
-        return Err(f"{place or 'body'}: {first['msg']}")
-    if asked.messages is None and asked.prompt is None:
+        location = ".".join(str(part) for part in first["loc"])
+        return Err(f"{location or 'body'}: {first['msg']}")
+    if generation.messages is None and generation.prompt is None:
         return Err("write messages or prompt")
     deadline = _parse_deadline(request)
     if isinstance(deadline, Err):
         return deadline
-    limit = asked.max_completion_tokens or asked.max_tokens or 0
+    max_tokens = generation.max_completion_tokens or generation.max_tokens or 0
     return Ok(
         work.Work(
             kind=work.WorkKind.GENERATION,
             token_sha256=bearer_digest(request),
-            target=asked.model,
+            target=generation.model,
             caller_request_id=request.headers.get("x-request-id", ""),
             levels=levels.chain(
                 workspace=workspace,
-                target=asked.model,
-                parts=_prompt_parts(asked),
+                target=generation.model,
+                parts=_prompt_parts(generation),
             ),
-            max_tokens=limit,
-            streaming=asked.stream,
+            max_tokens=max_tokens,
+            streaming=generation.stream,
             deadline_ms=deadline.ok_value,
             fingerprint=fingerprint("POST", request.path, body),
         )
@@ -138,7 +139,7 @@
 def parse_service_call(
     request: web.Request, body: bytes, *, service: str, path: str
 ) -> Result[work.Work, str]:
-    """Parses a call of a plain service."""
+    """Parses a call to a plain service."""
     deadline = _parse_deadline(request)
     if isinstance(deadline, Err):
         return deadline
@@ -160,12 +161,12 @@
 
 
 def forwarded_headers(request: web.Request) -> tuple[work.Header, ...]:
-    """Returns the caller's end-to-end headers, without those we set."""
-    named = {
+    """Returns the caller's end-to-end headers, without the reserved ones."""
+    connection_options = {
         part.strip().lower()
         for part in request.headers.get("connection", "").split(",")
     }
-    dropped = backend_headers.HOP_BY_HOP | RESERVED_HEADERS | named
+    dropped = backend_headers.HOP_BY_HOP | RESERVED_HEADERS | connection_options
     return tuple(
         work.Header(name, value)
         for name, value in request.headers.items()
@@ -173,24 +174,26 @@
     )
 
 
-def level_header(asked: work.Work) -> work.Header:
-    """Returns the header that tells an engine the prompt's levels."""
-    value = ",".join(f"{level.key}:{level.tokens}" for level in asked.levels)
+def level_header(requested_work: work.Work) -> work.Header:
+    """Returns the header that lists the prompt's levels for the engine."""
+    value = ",".join(
+        f"{level.key}:{level.tokens}" for level in requested_work.levels
+    )
     return work.Header("x-cache-levels", value)
 
 
-def _prompt_parts(asked: _Generation) -> Iterable[bytes]:
-    if asked.messages is not None:
+def _prompt_parts(generation: _Generation) -> Iterable[bytes]:
+    if generation.messages is not None:
         return [
             json.dumps(m.model_dump(), sort_keys=True).encode()
-            for m in asked.messages
+            for m in generation.messages
         ]
-    prompt = asked.prompt or ""
+    prompt = generation.prompt or ""
     if isinstance(prompt, list):
         return [part.encode() for part in prompt]
     parts: list[bytes] = []
     start = 0
-    for end in sorted(set(asked.cache_prefix_lengths)):
+    for end in sorted(set(generation.cache_prefix_lengths)):
         if start < end < len(prompt):
             parts.append(prompt[start:end].encode())
             start = end
--- a/src/godwittack/entry/refusal.py
+++ b/src/godwittack/entry/refusal.py
@@ -1,4 +1,4 @@
-"""Refusals and errors as callers see them."""
+"""Builds the responses and events that report errors to callers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 def refusal_response(
     refusal: effects.Refuse, *, echoed_id: str
 ) -> web.Response:
-    """Returns a refusal as JSON with a `Retry-After` header."""
+    """Returns a refusal as JSON, with `Retry-After` where it has a time."""
     headers = {"x-request-id": echoed_id}
     if refusal.retry_after_ms:
         seconds = math.ceil(refusal.retry_after_ms / 1000)
@@ -35,7 +35,7 @@
 def error_response(
     detail: str, *, status: int = 400, reason: str = "bad_request"
 ) -> web.Response:
-    """Returns an error found before the request reached the core."""
+    """Returns a response for an error found before the core."""
     return web.json_response(
         _error_body(
             outcome=effects.Outcome.NOT_RUN.value,
@@ -47,12 +47,12 @@
     )
 
 
-def error_event(broken: effects.BreakStream) -> bytes:
-    """Returns the event that ends a stream which is not complete."""
+def error_event(failure: effects.BreakStream) -> bytes:
+    """Returns the event that ends an incomplete stream."""
     body = _error_body(
         outcome=effects.Outcome.UNKNOWN.value,
-        reason=broken.reason.value,
-        detail=broken.detail,
+        reason=failure.reason.value,
+        detail=failure.detail,
         retry_after_ms=0,
     )
     return b"event: error\ndata: " + json.dumps(body).encode() + b"\n\n"
@@ -61,7 +61,7 @@
 def _error_body(
     *, outcome: str, reason: str, detail: str, retry_after_ms: int
 ) -> dict[str, object]:
-    # The `error` object is the OpenAI form, which client libraries show.
+    # Client libraries display the `error` object, which has the OpenAI format.
     return {
         "outcome": outcome,
         "reason": reason,
--- a/src/godwittack/entry/status.py
+++ b/src/godwittack/entry/status.py
@@ -1,4 +1,4 @@
-"""Serves `where`, health, readiness, models and metrics."""
+"""Serves recommended daemons, health, readiness, models and metrics."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     meters: meters.Meters
 
     async def where(self, request: web.Request) -> web.Response:
-        """Names the daemons a caller should use, best first."""
+        """Returns the daemons that a caller should use, best first."""
         table = self.runtime.core.world.table
         workspace = table.workspace_by_token.get(parse.bearer_digest(request))
         if workspace is None:
@@ -35,15 +35,15 @@
                 status=401,
                 reason="unauthenticated",
             )
-        asked = request.query.get("workspace", workspace)
-        if asked != workspace:
+        requested = request.query.get("workspace", workspace)
+        if requested != workspace:
             return refusal.error_response(
                 "the token belongs to another workspace",
                 status=403,
                 reason="forbidden",
             )
         target = request.query.get("model", "")
-        chosen = assignment.recommended_daemons(
+        recommended = assignment.recommended_daemons(
             workspace=workspace,
             target=target,
             members=self.members.serving() or [self.members.me],
@@ -51,14 +51,14 @@
         )
         return web.json_response(
             {
-                "addresses": [member.http_address for member in chosen],
+                "addresses": [member.http_address for member in recommended],
                 "keep_ms": self.settings.address_keep_ms,
                 "table_version": table.version,
             }
         )
 
     async def models(self, request: web.Request) -> web.Response:
-        """Lists the models, in the OpenAI form."""
+        """Lists the models in the OpenAI format."""
         table = self.runtime.core.world.table
         if parse.bearer_digest(request) not in table.workspace_by_token:
             return refusal.error_response(
@@ -73,12 +73,12 @@
         return web.json_response({"object": "list", "data": rows})
 
     async def health(self, request: web.Request) -> web.Response:
-        """Says that the process works."""
+        """Returns the daemon's id; any answer means it is alive."""
         del request
         return web.json_response({"daemon": self.members.me.member_id})
 
     async def ready(self, request: web.Request) -> web.Response:
-        """Says whether new work is taken, and why not."""
+        """Returns whether new requests are accepted, and the reasons."""
         del request
         world = self.runtime.core.world
         ready = world.has_serving_lease and not world.stopping
@@ -106,7 +106,7 @@
         return web.json_response(body, status=200 if ready else 503)
 
     async def metrics(self, request: web.Request) -> web.Response:
-        """Returns the metrics for Prometheus."""
+        """Returns the metrics in the Prometheus text format."""
         del request
         return web.Response(
             body=self.meters.exposition(), content_type="text/plain"
--- a/src/godwittack/entry/token.py
+++ b/src/godwittack/entry/token.py
@@ -1,4 +1,4 @@
-"""Signed tokens with which a caller resumes a stream through any daemon."""
+"""Signed tokens that let a caller resume a stream through any daemon."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ResumePoint:
-    """What a token says of a stream."""
+    """The stream that a token identifies."""
 
     server_id: str
     stream_id: str
@@ -33,17 +33,17 @@
 
 
 class TokenSigner:
-    """Signs and checks tokens with a key made from the cluster's secret."""
+    """Signs and verifies tokens with a key derived from the cluster secret."""
 
     def __init__(self, cluster_secret: bytes) -> None:
-        """Derives the key, so that it is no peer proof as well."""
+        """Derives a separate key, so that no token is a valid peer proof."""
         self._key = hmac.new(
             cluster_secret, _KEY_LABEL, hashlib.sha256
         ).digest()
 
     def sign(self, point: ResumePoint) -> str:
-        """Returns the token of a stream."""
-        stored = _TokenJson(
+        """Returns the token for a stream."""
+        fields = _TokenJson(
             server=point.server_id,
             stream=point.stream_id,
             workspace=point.stamp.workspace,
@@ -51,27 +51,27 @@
             weights=point.stamp.weights_version,
             incarnation=point.stamp.incarnation,
         )
-        payload = stored.model_dump_json().encode()
+        payload = fields.model_dump_json().encode()
         return f"{_encode(payload)}.{_encode(self._mac(payload))}"
 
     def verify(self, token: str) -> ResumePoint | None:
-        """Returns what a token says, or None for a forged one."""
-        first, _, second = token.partition(".")
+        """Returns the contents of a token, or None if it is forged."""
+        encoded_payload, _, encoded_mac = token.partition(".")
         try:
-            payload = base64.urlsafe_b64decode(first + "==")
-            mac = base64.urlsafe_b64decode(second + "==")
+            payload = base64.urlsafe_b64decode(encoded_payload + "==")
+            mac = base64.urlsafe_b64decode(encoded_mac + "==")
         except ValueError:
             return None
         if not hmac.compare_digest(mac, self._mac(payload)):
             return None
-        told = _TokenJson.model_validate_json(payload)
+        fields = _TokenJson.model_validate_json(payload)
         stamp = work.Stamp(
-            workspace=told.workspace,
-            target=told.target,
-            weights_version=told.weights,
-            incarnation=told.incarnation,
+            workspace=fields.workspace,
+            target=fields.target,
+            weights_version=fields.weights,
+            incarnation=fields.incarnation,
         )
-        return ResumePoint(told.server, told.stream, stamp)
+        return ResumePoint(fields.server, fields.stream, stamp)
 
     def _mac(self, payload: bytes) -> bytes:
         return hmac.new(self._key, payload, hashlib.sha256).digest()
--- a/src/godwittack/entry/weights.py
+++ b/src/godwittack/entry/weights.py
@@ -1,4 +1,4 @@
-"""Checks weights versions that an operator asks for."""
+"""Checks weights versions that an operator requests."""
 
 from __future__ import annotations
 
@@ -28,28 +28,30 @@
 async def check_versions(
     weights: platform.WeightStore, changes: Iterable[model.CellChange]
 ) -> WeightsRejection | None:
-    """Returns what is wrong with the versions asked for, or None.
+    """Returns why the requested versions are refused, or None.
 
-    A version that nobody has would be found out by the engines only: each
-    replica in turn would be drained, fail to load, and be drained again.
+    Without this check, a version that does not exist would be detected only by
+    the engines: each replica in turn would be drained, fail to load, and be
+    drained again.
     """
     for change in changes:
-        wanted = change.after
-        if change.column != WEIGHTS_COLUMN or not wanted:
+        requested = change.after
+        if change.column != WEIGHTS_COLUMN or not requested:
             continue
-        got = await weights.versions(change.name)
-        if isinstance(got, Err):
+        versions = await weights.versions(change.name)
+        if isinstance(versions, Err):
             return WeightsRejection(
                 503,
                 f"model {change.name}, {WEIGHTS_COLUMN}: the weight store"
-                f" can't be asked ({got.err_value}); try again when it answers",
+                f" can't be asked ({versions.err_value}); try again when it"
+                " answers",
             )
-        if str(wanted) not in got.ok_value:
-            known = ", ".join(got.ok_value) or "none"
+        if str(requested) not in versions.ok_value:
+            known = ", ".join(versions.ok_value) or "none"
             return WeightsRejection(
                 400,
                 f"model {change.name}, {WEIGHTS_COLUMN}: the weight store has"
-                f" no version {wanted}; it has {known}",
+                f" no version {requested}; it has {known}",
             )
     return None
 
--- a/src/godwittack/platform/__init__.py
+++ b/src/godwittack/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: its names, formats and calls, translated."""
+"""Adapter to the users' platform: its names, formats and calls."""
--- a/src/godwittack/platform/callers.py
+++ b/src/godwittack/platform/callers.py
@@ -1,4 +1,4 @@
-"""How callers' requests are read, and what they are answered."""
+"""Parses callers' requests and builds the responses to them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,8 @@
 if TYPE_CHECKING:
     from godwittack.core import effects
 
-# Set anew towards the server; `Host` is handed on, since the server sees it.
+# Not forwarded; the router sets some of them itself for each attempt. `Host` is
+# forwarded, since the server needs it.
 _NOT_FORWARDED = names.SYSTEM_HEADERS | {"expect"}
 MAX_DEADLINE_MS = 3_600_000
 
@@ -29,7 +30,7 @@
     def parse_request(
         self, request: web.BaseRequest, body: bytes, table: model.Table
     ) -> Result[forward.ParsedRequest, str]:
-        """Reads a request's headers."""
+        """Parses a request's headers."""
         request_id = request.headers.get(names.REQUEST_ID, "")
         key = request.headers.get(names.API_KEY, "")
         for name in (names.REQUEST_ID, names.API_KEY, "Host"):
@@ -47,16 +48,18 @@
             return Err(f"{names.LAST_EVENT_ID} or {names.DEADLINE}: no number")
         digest = model.token_digest(key)
         path = request.raw_path
-        owner = table.cache_owner(table.workspace_by_token.get(digest, ""))
-        tokens = request.headers.get(names.TOKEN_COUNTS, "").partition(",")
-        prompt_tokens = backend_headers.number(tokens[0]) or 0
-        asked = work.Work(
+        cache_owner = table.cache_owner(
+            table.workspace_by_token.get(digest, "")
+        )
+        counts = request.headers.get(names.TOKEN_COUNTS, "").partition(",")
+        prompt_tokens = backend_headers.number(counts[0]) or 0
+        requested_work = work.Work(
             kind=work.WorkKind.PLAIN,
             token_sha256=digest,
             target="",
             caller_request_id=request_id,
-            levels=_levels(request, owner, prompt_tokens),
-            max_tokens=backend_headers.number(tokens[2]) or 0,
+            levels=_levels(request, cache_owner, prompt_tokens),
+            max_tokens=backend_headers.number(counts[2]) or 0,
             deadline_ms=min(deadline_ms, MAX_DEADLINE_MS),
             method=request.method,
             host=request.headers.get("Host", ""),
@@ -70,44 +73,48 @@
             body=body,
             request_id=request_id,
         )
-        return Ok(forward.ParsedRequest(asked, call))
+        return Ok(forward.ParsedRequest(requested_work, call))
 
     def refusal_response(
-        self, refused: effects.Refuse, call: backend.Call
+        self, refusal: effects.Refuse, call: backend.Call
     ) -> web.Response:
-        """Returns the answer to a request that brings no other."""
+        """Returns the response to a request that the core refused."""
         response = web.json_response(
-            {"error": refused.reason.value, "detail": refused.detail},
-            status=refused.status,
+            {"error": refusal.reason.value, "detail": refusal.detail},
+            status=refusal.status,
         )
         response.headers[names.REQUEST_ID] = call.request_id
-        if refused.retry_after_ms:
+        if refusal.retry_after_ms:
             response.headers[names.RETRY_AFTER] = (
-                f"{refused.retry_after_ms / 1000:.3f}"
+                f"{refusal.retry_after_ms / 1000:.3f}"
             )
         return response
 
     def error_response(self, detail: str, *, status: int) -> web.Response:
-        """Returns the answer to a request that could not be read."""
+        """Returns the response to a request that could not be parsed."""
         return web.json_response(
             {"error": "bad_request", "detail": detail}, status=status
         )
 
 
 def _levels(
-    request: web.BaseRequest, owner: str, prompt_tokens: int
+    request: web.BaseRequest, cache_owner: str, prompt_tokens: int
 ) -> tuple[work.Level, ...]:
-    """Returns the prompt's levels; one of a single level if none are told."""
-    found: list[work.Level] = []
-    for entry in request.headers.get(names.LEVELS, "").split(","):
-        level, _, tokens = entry.strip().partition(":")
+    """Returns the prompt's levels; the whole prompt as one if none are sent."""
+    prompt_levels: list[work.Level] = []
+    for part in request.headers.get(names.LEVELS, "").split(","):
+        level, _, tokens = part.strip().partition(":")
         size = backend_headers.number(tokens)
         if level and size is not None:
-            found.append(work.Level(levels.key_for_name(owner, level), size))
-    if not found and prompt_tokens:
-        key = levels.key_for_name(owner, request.headers[names.REQUEST_ID])
-        found.append(work.Level(key, prompt_tokens))
-    return tuple(found)
+            prompt_levels.append(
+                work.Level(levels.key_for_name(cache_owner, level), size)
+            )
+    if not prompt_levels and prompt_tokens:
+        key = levels.key_for_name(
+            cache_owner, request.headers[names.REQUEST_ID]
+        )
+        prompt_levels.append(work.Level(key, prompt_tokens))
+    return tuple(prompt_levels)
 
 
 def _forwarded_headers(request: web.BaseRequest) -> tuple[work.Header, ...]:
--- a/src/godwittack/platform/directory.py
+++ b/src/godwittack/platform/directory.py
@@ -1,4 +1,4 @@
-"""How callers ask for addresses, and what they are answered."""
+"""Format of address requests and their responses."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
     """Implements `DirectoryFormat` of `entry/directory.py`."""
 
     def caller_failure_domain(self, request: web.BaseRequest) -> str | None:
-        """Returns a caller's failure domain; None for another question."""
+        """Returns the caller's failure domain; None for another request."""
         if request.path != names.RESOLVE_PATH:
             return None
         return request.query.get("zone", "")
 
     def response(self, addresses: list[str], *, keep_ms: int) -> web.Response:
-        """Returns addresses, with the whole seconds they may be kept."""
+        """Returns a response with addresses and their lifetime in seconds."""
         return web.json_response(
             {"addresses": addresses, "ttl-s": keep_ms // 1000}
         )
--- a/src/godwittack/platform/instances.py
+++ b/src/godwittack/platform/instances.py
@@ -1,4 +1,4 @@
-"""Rows of backend servers, decoded into entries of the instance list."""
+"""Decodes rows of backend servers into entries of the instance list."""
 
 from __future__ import annotations
 
@@ -19,39 +19,39 @@
     service: str = pydantic.Field(min_length=1)
     address: Annotated[str, pydantic.AfterValidator(addresses.checked)]
     zone: str = pydantic.Field(min_length=1)
-    # Of the server's software, not of its weights.
+    # Version of the server's software, not of its weights.
     version: str
     state: Literal["ready", "draining"]
     slots: int = pydantic.Field(ge=1, le=MAX_SLOTS)
     sequence: wire.Count
     cold_remaining_ms: wire.NonNegativeFloat
     models: tuple[wire.LoadedModel, ...] = ()
-    # Unix milliseconds of its start, left out where servers don't tell it.
+    # Start time in Unix milliseconds; absent if the server does not report it.
     born: wire.PositiveInt = 0
 
 
 def instance_from_row(
     row: protocol.ChangedRow,
 ) -> Result[protocol.Instance, str]:
-    """Decodes one row; an error says why it names no server."""
+    """Decodes one row; an error says why it is not a valid server."""
     try:
-        entry = _Server.model_validate_json(row.value)
+        server = _Server.model_validate_json(row.value)
     except pydantic.ValidationError as error:
         return Err(wire.first_error(error))
     role = protocol.InstanceRole
     return Ok(
         protocol.Instance(
             name=row.key,
-            role=role.ENGINE if entry.models else role.SERVICE,
-            address=entry.address,
-            target=entry.service,
-            failure_domain=entry.zone,
-            leaving=entry.state != "ready",
-            incarnation=incarnation.make_name(row.key, entry.born),
+            role=role.ENGINE if server.models else role.SERVICE,
+            address=server.address,
+            target=server.service,
+            failure_domain=server.zone,
+            leaving=server.state != "ready",
+            incarnation=incarnation.make_name(row.key, server.born),
             weights_version=(
-                str(entry.models[0].version) if entry.models else ""
+                str(server.models[0].version) if server.models else ""
             ),
-            slots=entry.slots,
+            slots=server.slots,
         )
     )
 
--- a/src/godwittack/platform/names.py
+++ b/src/godwittack/platform/names.py
@@ -1,4 +1,4 @@
-"""Names on the wire, each with what it holds where the name says little."""
+"""Names on the wire, explained where the name does not say what it holds."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 API_KEY: Final = "X-Godwittack-Credential"
 LAST_EVENT_ID: Final = "Last-Event-Id"
 MODEL: Final = "X-Godwittack-Model"
-# Prompt tokens and the most tokens to generate, not what was used.
+# Prompt tokens and the maximum number of tokens to generate, not usage.
 TOKEN_COUNTS: Final = "X-Godwittack-Token-Usage"
-# The prompt's levels in order, each as ID:TOKENS; no hash of a prefix.
+# The prompt's levels in order, each as ID:TOKENS; not a hash of a prefix.
 LEVELS: Final = "X-Godwittack-Prefix-Hash"
 
 # Headers that only this system may set on a request to a backend server.
@@ -26,24 +26,24 @@
 _SET_PER_ATTEMPT = (API_KEY, DEADLINE, LAST_EVENT_ID, WORKSPACE, PRIORITY)
 _EXPECTED = (EXPECTED_INSTANCE, EXPECTED_WEIGHTS)
 _CACHED = (CACHE_SCOPE, KV_FETCH_FROM, KV_SAVE_TO, "Kv-From")
-# Never set here, and not to be taken from a caller.
+# Never set here, and not accepted from callers.
 _UNUSED = tuple(f"X-Godwittack-{n}" for n in ("Hold", "Pin-Ms", "Kv-Backup"))
 SYSTEM_HEADERS: Final = frozenset(
     name.lower() for name in (*_SET_PER_ATTEMPT, *_EXPECTED, *_CACHED, *_UNUSED)
 )
 
-# Headers of answers.
+# Headers of responses.
 NOT_RUN: Final = "X-Godwittack-Not-Executed"
 INSTANCE: Final = "X-Godwittack-Instance-Id"
 # Running, waiting and slots, separated by commas.
 LOAD: Final = "X-Godwittack-Server-Load"
-# Requests a second that a server takes from all daemons together.
+# Requests per second that a server accepts from all daemons together.
 RATE_LIMITS: Final = ("X-Godwittack-Server-Limit", "Server-Limit")
-# Present in all answers of a server that is about to stop.
+# Present in all responses of a server that is about to stop.
 LEAVING: Final = ("X-Godwittack-Server-Leaving", "Server-Leaving")
 RETRY_AFTER: Final = "Retry-After"
 
-# Calls that arrive here.
+# Calls that this process serves.
 RESOLVE_PATH: Final = "/resolve"
 
 # Calls to a backend server.
--- a/src/godwittack/platform/rows.py
+++ b/src/godwittack/platform/rows.py
@@ -1,4 +1,4 @@
-"""The store's rows over HTTP."""
+"""HTTP client for the store's rows."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
     import aiohttp
 
-# The most that the store returns at a time.
+# Maximum number of rows that the store returns at a time.
 MAX_PAGE_ROWS = 500
 STATUS_HISTORY_LOST = 410
 STATUS_CONDITION_FAILED = 412
-# The call did nothing, by the store's own word.
+# Statuses by which the store reports that the call had no effect.
 STATUSES_NOT_EXECUTED = frozenset({400, 403, 429, 503})
 
 
 class _Row(wire.WireModel):
-    # Part of a table in which transactions run one after another; unused.
+    # Partition of a table in which transactions are serialized; unused.
     part: str = ""
     table: str = ""
     key: str
@@ -39,10 +39,10 @@
 
 class _Rows(wire.WireModel):
     rows: tuple[_Row, ...] = ()
-    # Newest version of the whole store, not of these rows.
+    # Newest version in the whole store, not in these rows.
     row_version: int = 0
     has_more: bool = False
-    # A clock that only goes forward, with an origin of the store's own.
+    # The store's monotonic clock, with an origin of its own.
     now_ms: int = 0
 
 
@@ -52,7 +52,7 @@
     def __init__(
         self, *, session: aiohttp.ClientSession, address: str, timeout_ms: int
     ) -> None:
-        """Calls the store at `address`; each call ends in `timeout_ms`."""
+        """Calls the store at `address` with a timeout of `timeout_ms`."""
         self._session = session
         self._address = address
         self._timeout_ms = timeout_ms
@@ -62,7 +62,7 @@
         conditions: tuple[protocol.Condition, ...],
         writes: tuple[protocol.RowWrite, ...],
     ) -> protocol.Got[protocol.Transacted]:
-        """Makes all writes if all conditions hold."""
+        """Applies all writes if all conditions hold."""
         body = {
             "precondition": [
                 {**_row_ref(c.row_id), "row-version": c.version}
@@ -74,19 +74,19 @@
             ],
             "remove": [],
         }
-        got = await self._call(
+        result = await self._call(
             "transact", "POST", names.ROWS_TX, body=json.dumps(body).encode()
         )
-        if isinstance(got, Err):
-            return got
-        status, answer = got.ok_value
-        rows = tuple(_stored_row(row, answer.now_ms) for row in answer.rows)
+        if isinstance(result, Err):
+            return result
+        status, page = result.ok_value
+        rows = tuple(_stored_row(row, page.now_ms) for row in page.rows)
         return Ok(
             protocol.Transacted(
                 status != STATUS_CONDITION_FAILED,
                 rows,
-                answer.row_version,
-                answer.now_ms,
+                page.row_version,
+                page.now_ms,
             )
         )
 
@@ -94,10 +94,12 @@
         self, row_id: protocol.RowId
     ) -> protocol.Got[protocol.StoredRow]:
         """Returns one row."""
-        got = await self._read_range("read", row_id.table, row_id.key, limit=1)
-        if isinstance(got, Err):
-            return got
-        page = got.ok_value
+        result = await self._read_range(
+            "read", row_id.table, row_id.key, limit=1
+        )
+        if isinstance(result, Err):
+            return result
+        page = result.ok_value
         for row in page.rows:
             if row.key == row_id.key:
                 return Ok(_stored_row(row, page.now_ms))
@@ -106,11 +108,11 @@
     async def page(
         self, table: str, *, from_key: str
     ) -> protocol.Got[protocol.FeedPage]:
-        """Returns rows of a table, from a key on."""
-        got = await self._read_range(
+        """Returns a page of a table's rows, starting at a key."""
+        result = await self._read_range(
             "scan", table, from_key, limit=MAX_PAGE_ROWS
         )
-        return got if isinstance(got, Err) else Ok(_page(got.ok_value))
+        return result if isinstance(result, Err) else Ok(_page(result.ok_value))
 
     async def _read_range(
         self, step: str, table: str, from_key: str, *, limit: int
@@ -118,20 +120,20 @@
         query = {"table": table, "part": "", "limit": str(limit)}
         if from_key:
             query["from"] = from_key
-        got = await self._call(step, "GET", names.ROWS_GET, query=query)
-        return got if isinstance(got, Err) else Ok(got.ok_value[1])
+        result = await self._call(step, "GET", names.ROWS_GET, query=query)
+        return result if isinstance(result, Err) else Ok(result.ok_value[1])
 
     async def changes(
         self, table: str, *, after: int, wait_ms: int
     ) -> protocol.Got[protocol.FeedPage]:
-        """Returns changes after a version."""
+        """Returns changes after a version; waits up to `wait_ms` for one."""
         query = {"table": table, "after": str(after), "wait-ms": str(wait_ms)}
-        got = await self._call(
+        result = await self._call(
             "feed", "GET", names.ROWS_FEED, query=query, wait_ms=wait_ms
         )
-        if isinstance(got, Err):
-            return got
-        return Ok(_page(got.ok_value[1]))
+        if isinstance(result, Err):
+            return result
+        return Ok(_page(result.ok_value[1]))
 
     async def _call(
         self,
@@ -146,20 +148,20 @@
         url = f"http://{self._address}{path}"
         if query:
             url = f"{url}?{parse.urlencode(query)}"
-        got = await calls.exchange(
+        result = await calls.exchange(
             self._session,
             method,
             url,
             body=body,
             limit_ms=self._timeout_ms + wait_ms,
         )
-        if isinstance(got, Err):
-            return self._error(step, got.err_value.detail)
-        status = got.ok_value.status
+        if isinstance(result, Err):
+            return self._error(step, result.err_value.detail)
+        status = result.ok_value.status
         if status not in (200, STATUS_CONDITION_FAILED):
             return self._error(step, f"status {status}", status=status)
         try:
-            return Ok((status, _Rows.model_validate_json(got.ok_value.body)))
+            return Ok((status, _Rows.model_validate_json(result.ok_value.body)))
         except pydantic.ValidationError as error:
             return self._error(step, wire.first_error(error))
 
@@ -186,9 +188,10 @@
 
 
 def _decode_value(value: str) -> str:
-    """Returns a row's text, empty where its bytes are no text.
+    """Returns a row's text, or an empty string if it is not valid text.
 
-    An error would lose the whole page for one row of another writer.
+    An error would discard the whole page because of one row that another
+    writer stored.
     """
     try:
         return base64.b64decode(value, validate=True).decode()
--- a/src/godwittack/platform/servers.py
+++ b/src/godwittack/platform/servers.py
@@ -1,4 +1,4 @@
-"""What is said to backend servers, and how their answers are read."""
+"""Encodes requests to backend servers and decodes their responses."""
 
 from __future__ import annotations
 
@@ -27,26 +27,26 @@
 
 
 class _Report(wire.StrictWireModel):
-    # Unix milliseconds of its start, left out where servers don't tell it.
+    # Start time in Unix milliseconds; absent if the server does not report it.
     born: wire.PositiveInt = 0
     models: tuple[wire.LoadedModel, ...] = ()
     queue_depth: int = 0
     running: int = 0
-    # Orders accepted since the server started.
+    # Number of orders accepted since the server started.
     sequence: int = -1
-    # Whether an order is being carried out, not whether requests run.
+    # Whether an order is being executed, not whether requests run.
     busy: bool = False
     state: object = ""
 
 
 class _Events(wire.StrictWireModel):
-    # Unix milliseconds of its start, left out where servers don't tell it.
+    # Start time in Unix milliseconds; absent if the server does not report it.
     born: wire.PositiveInt = 0
     # Changes with each restart of the server.
     boot_epoch: int
     next: int
     lost: bool = False
-    # Number, "+" or "-", scope, level id, tokens stored now, model.
+    # Sequence number, "+" or "-", scope, level id, tokens stored now, model.
     events: tuple[tuple[int, str, str, str, int, str], ...] = ()
 
 
@@ -54,13 +54,13 @@
     """Implements `ServerFormat` of `backend/routed.py`."""
 
     def __init__(self, model_of: Callable[[str], str]) -> None:
-        """Takes a function from a target to the model that it serves."""
+        """Uses `model_of` to map a target to the model that it serves."""
         self._model_of = model_of
 
     def request_head(
         self, dispatch: effects.Dispatch, call: protocol.Call, left_ms: int
     ) -> bytes:
-        """Returns request line and headers of one attempt."""
+        """Returns the request line and headers of one attempt."""
         lines = [f"{call.method} {call.path} HTTP/1.1"]
         lines.extend(f"{h.name}: {h.value}" for h in call.headers)
         if call.body or call.method in ("POST", "PUT", "PATCH"):
@@ -85,13 +85,13 @@
     def is_answer_to(
         self, reply: connection.Reply, call: protocol.Call
     ) -> bool:
-        """Returns whether an answer belongs to the call."""
+        """Returns whether a response belongs to the call."""
         return reply.header(names.REQUEST_ID) == call.request_id
 
     def declined(
         self, reply: connection.Reply, server_id: str
     ) -> inputs.FailureCause | None:
-        """Returns why the server did not run the request, None if it did."""
+        """Returns why the server did not run the request, or None if it did."""
         if reply.status == STATUS_OTHER_INSTANCE:
             instance = reply.header(names.INSTANCE)
             if instance and instance != server_id:
@@ -102,17 +102,17 @@
         return None
 
     def signals(self, reply: connection.Reply) -> signals.ServerSignals:
-        """Returns all that an answer says of its server."""
+        """Returns what a response's headers report about its server."""
         return signals.read(reply, _SIGNALS)
 
     def load_call(self, address: str, server_id: str) -> routed.ControlCall:
-        """Returns the call for a server's report of its state."""
+        """Returns the call that requests a server's state report."""
         expected = f"{names.EXPECTED_INSTANCE}: {server_id}"
         head = _control_head(f"GET {names.REPORT_PATH}", address, expected)
         return routed.ControlCall(step="report", head=head)
 
     def read_load(self, body: bytes, server_id: str) -> protocol.EngineLoad:
-        """Reads a report; raises ValueError for anything else."""
+        """Decodes a state report; raises ValueError if it is invalid."""
         report = _Report.model_validate_json(body)
         version = str(report.models[0].version) if report.models else ""
         return protocol.EngineLoad(
@@ -128,7 +128,7 @@
     def events_call(
         self, address: str, server_id: str, after: int
     ) -> routed.ControlCall:
-        """Returns the call for cache events."""
+        """Returns the call that requests cache events."""
         line = f"GET {names.EVENTS_PATH}?since={after}"
         wait = f"{names.EVENTS_WAIT_HEADER}: {EVENTS_WAIT_MS}"
         return routed.ControlCall(
@@ -138,50 +138,50 @@
         )
 
     def read_events(self, body: bytes, server_id: str) -> protocol.CacheEvents:
-        """Reads cache events; raises ValueError for anything else."""
-        told = _Events.model_validate_json(body)
+        """Decodes cache events; raises ValueError if they are invalid."""
+        parsed = _Events.model_validate_json(body)
         events: list[protocol.CacheEvent] = []
-        newest = ""
-        for number, _, scope, level, tokens, _ in told.events:
+        newest_version = ""
+        for number, _, scope, level, tokens, _ in parsed.events:
             version, _, workspace = scope.removeprefix("v").partition("/")
             kind = protocol.CacheEventKind
-            # After an eviction of some blocks the rest is still there.
-            what = kind.STORED if tokens > 0 else kind.REMOVED
+            # After an eviction of some blocks, the others are still cached.
+            event_kind = kind.STORED if tokens > 0 else kind.REMOVED
             events.append(
                 protocol.CacheEvent(
                     number,
-                    what,
+                    event_kind,
                     levels.key_for_weights(
                         levels.key_for_name(workspace, level), version
                     ),
                     tokens,
                 )
             )
-            newest = version
+            newest_version = version
         return protocol.CacheEvents(
-            incarnation=incarnation.make_name(server_id, told.born),
-            weights_version=newest,
+            incarnation=incarnation.make_name(server_id, parsed.born),
+            weights_version=newest_version,
             oldest=0,
             events=tuple(events),
-            epoch=str(told.boot_epoch),
-            next=told.next,
+            epoch=str(parsed.boot_epoch),
+            next=parsed.next,
         )
 
     def order_call(
         self, address: str, order: protocol.Order
     ) -> routed.ControlCall:
-        """Returns the call for an order to load weights."""
+        """Returns the call that orders a server to load weights."""
         fields = {
             "operation": "version",
             "model": self._model_of(order.target),
             "version": int(order.value),
-            # Requests that run end first; none is broken off.
+            # Running requests finish first; none is interrupted.
             "mode": "queue",
             "holder": order.holder,
             "fencing-token": order.fencing,
         }
         if order.orders_taken >= 0:
-            # The number of orders accepted so far, not a state.
+            # The expected number of orders accepted so far, not a state.
             fields["precondition"] = order.orders_taken
         body = json.dumps(fields).encode()
         head = _control_head(
--- a/src/godwittack/platform/table.py
+++ b/src/godwittack/platform/table.py
@@ -1,4 +1,4 @@
-"""The operator's rows, decoded into a table."""
+"""Decodes the operator's rows into a table."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     from godwittack.store import protocol
 
 
-# Before a version is named, servers have this one.
+# The version that servers have before one is published.
 DEFAULT_WEIGHTS_VERSION = "1"
 
 
@@ -29,7 +29,7 @@
     name: str
     host: str
     prefix: str
-    # What may be done with a request: run again, run once, or stream events.
+    # Whether requests may run repeatedly, run once only, or stream events.
     type: str
     timeout_ms: int
     target_latency_ms: int = 1_000
@@ -54,7 +54,7 @@
 class _Service(wire.WireModel):
     name: str
     engine: _Engine | None = None
-    # Set where the service is a store of cached state, not a server.
+    # Set if the service is a store of cached state, not a backend server.
     kv_store_addr: str = ""
     zone: str = ""
 
@@ -89,16 +89,16 @@
 def weights_from_row(
     row: protocol.ChangedRow,
 ) -> Result[model.NamedWeights | None, str]:
-    """Decodes a row that names weights; None for a row of another kind."""
+    """Decodes a row that publishes weights; None for other rows."""
     if not row.key.startswith(names.WEIGHTS_KEY_PREFIX) or row.deleted:
         return Ok(None)
     try:
-        named = _Weights.model_validate_json(row.value)
+        published = _Weights.model_validate_json(row.value)
     except pydantic.ValidationError as error:
         return Err(wire.first_error(error))
-    if row.key != names.WEIGHTS_KEY_PREFIX + named.model:
-        return Err(f"it names {named.model}")
-    return Ok(model.NamedWeights(named.model, str(named.version)))
+    if row.key != names.WEIGHTS_KEY_PREFIX + published.model:
+        return Err(f"its value is for model {published.model}")
+    return Ok(model.NamedWeights(published.model, str(published.version)))
 
 
 def table_from_rows(
@@ -111,12 +111,12 @@
 
     Args:
         rows: Rows by key.
-        version: Of the newest row: it rises with each change, of the
-            configuration and of weights alike.
-        weights: Versions named, by model.
+        version: Version of the newest row. It increases with each change of
+            the configuration or of weights.
+        weights: Published weights versions by model.
 
     Returns:
-        The table, None before the first configuration, or what is wrong.
+        The table, None before the first configuration, or an error.
     """
     row = rows.get(names.CONFIG_KEY)
     if row is None or row.deleted:
@@ -128,19 +128,19 @@
     table = model.Table(version=version, forwarding=_forwarding(config))
     for service in config.services:
         if service.engine is not None and service.engine.models:
-            held = weights.get(
+            weights_version = weights.get(
                 service.engine.models[0].name, DEFAULT_WEIGHTS_VERSION
             )
             table.models[service.name] = model.ModelRow(
-                name=service.name, weights_version=held
+                name=service.name, weights_version=weights_version
             )
         elif not service.kv_store_addr:
             table.services[service.name] = model.ServiceRow.unlimited(
                 service.name
             )
     for tenant in config.tenants:
-        row_of = model.WorkspaceRow.unlimited(tenant.name)
-        table.workspaces[tenant.name] = row_of
+        workspace = model.WorkspaceRow.unlimited(tenant.name)
+        table.workspaces[tenant.name] = workspace
         for key in tenant.api_keys:
             table.workspace_by_token[model.token_digest(key)] = tenant.name
     return Ok(table)
--- a/src/godwittack/platform/wire.py
+++ b/src/godwittack/platform/wire.py
@@ -1,4 +1,4 @@
-"""The form of all bodies: JSON, with dashes in the names of fields."""
+"""Base models of all bodies: JSON, with dashes in field names."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class WireModel(pydantic.BaseModel):
-    """Base of what is read; fields that are not named here are left out."""
+    """Base of decoded bodies; ignores unknown fields."""
 
     model_config = pydantic.ConfigDict(
         alias_generator=lambda name: name.replace("_", "-")
@@ -23,20 +23,23 @@
 
 
 class StrictWireModel(WireModel):
-    """Base of what servers say: text is no number, as others may write it."""
+    """Base of bodies written by servers, which must not send numbers as text.
+
+    Other writers may.
+    """
 
     model_config = pydantic.ConfigDict(strict=True)
 
 
 class LoadedModel(StrictWireModel):
-    """A model with the version of the weights that are loaded."""
+    """A model with the version of its loaded weights."""
 
     name: str = pydantic.Field(min_length=1)
     version: PositiveInt
 
 
 def first_error(error: pydantic.ValidationError) -> str:
-    """Returns what is wrong first, in one line."""
+    """Returns the first error as one line."""
     first = error.errors()[0]
     return ".".join(str(p) for p in first["loc"]) + f": {first['msg']}"
 
--- a/src/godwittack/report/__init__.py
+++ b/src/godwittack/report/__init__.py
@@ -1,1 +1,1 @@
-"""What was late, refused or wasted, counted and put into sentences."""
+"""Counts of late, refused and wasted work, and the report on them."""
--- a/src/godwittack/report/counters.py
+++ b/src/godwittack/report/counters.py
@@ -1,4 +1,4 @@
-"""Counts by workspace and cause over a sliding hour."""
+"""Counts events by workspace and cause over a sliding hour."""
 
 from __future__ import annotations
 
@@ -35,17 +35,18 @@
     """Counts of one workspace.
 
     Attributes:
-        finished: Requests that got their whole answer.
+        finished: Requests answered completely.
         late: Answers that began after their deadline.
         broken: Streams ended by an error.
-        retried: Dispatches after a failed one.
+        retried: Dispatches that followed a failed one.
         refused: Refusals by reason.
-        outcomes: Refusals by what the caller was told.
+        outcomes: Refusals by the outcome returned to the caller.
         prompt_tokens: Prompt tokens of dispatched requests.
-        cached_tokens: Of these, taken from an engine's cache.
-        wasted_tokens: Of these, computed although an earlier request had
-            brought the same prefix.
-        first_token_counts: Histogram over `FIRST_TOKEN_BOUNDS_MS`, one more for above.
+        cached_tokens: Of these, served from an engine's cache.
+        wasted_tokens: Of these, recomputed although an earlier request had
+            the same prefix.
+        first_token_counts: Histogram over `FIRST_TOKEN_BOUNDS_MS`, with one
+            more bucket for values above the last bound.
     """
 
     finished: int = 0
@@ -60,7 +61,7 @@
     first_token_counts: list[int] = [0] * (len(FIRST_TOKEN_BOUNDS_MS) + 1)
 
     def add(self, other: WorkspaceCounts) -> None:
-        """Adds another's counts."""
+        """Adds another set of counts."""
         self.finished += other.finished
         self.late += other.late
         self.broken += other.broken
@@ -81,12 +82,12 @@
 
 
 class Counts(pydantic.BaseModel):
-    """Counts of one daemon, or of all of them added up.
+    """Counts of one daemon, or the sum over several.
 
     Attributes:
-        daemons: Daemons counted.
+        daemons: Daemons whose counts are included.
         unreachable: Daemons that did not answer.
-        window_s: Seconds that the counts cover.
+        window_s: Time that the counts cover.
     """
 
     daemons: list[str] = []
@@ -104,14 +105,14 @@
 
 @dataclasses.dataclass(slots=True)
 class _Window:
-    from_ms: int
+    start_ms: int
     workspaces: dict[str, WorkspaceCounts] = dataclasses.field(
         default_factory=dict
     )
 
 
 class EventCounters:
-    """Counts a daemon's events by the minute."""
+    """Counts a daemon's events in windows of one minute."""
 
     def __init__(self, *, daemon: str, clock: Clock) -> None:
         """Counts for `daemon`."""
@@ -123,7 +124,7 @@
         )
 
     def record(self, event: effects.Event) -> None:
-        """Counts one event of the core."""
+        """Counts one event if it is of a counted kind."""
         if event.name not in _COUNTED_EVENTS:
             return
         fields = {field.key: field.value for field in event.fields}
@@ -141,14 +142,14 @@
             min(WINDOW_COUNT * WINDOW_MS, now_ms - self._started_ms) // 1000
         )
         for window in self._windows:
-            if now_ms - window.from_ms < WINDOW_COUNT * WINDOW_MS:
+            if now_ms - window.start_ms < WINDOW_COUNT * WINDOW_MS:
                 total.add(Counts(workspaces=window.workspaces))
         return total
 
     def _current_window(self) -> _Window:
         now_ms = self._clock.now_ms()
         if not self._windows or (
-            now_ms - self._windows[-1].from_ms >= WINDOW_MS
+            now_ms - self._windows[-1].start_ms >= WINDOW_MS
         ):
             self._windows.append(_Window(now_ms))
         return self._windows[-1]
@@ -186,9 +187,9 @@
 
 
 def _bucket_index(value_ms: int) -> int:
-    for slot, bound_ms in enumerate(FIRST_TOKEN_BOUNDS_MS):
+    for index, bound_ms in enumerate(FIRST_TOKEN_BOUNDS_MS):
         if value_ms <= bound_ms:
-            return slot
+            return index
     return len(FIRST_TOKEN_BOUNDS_MS)
 
 
--- a/src/godwittack/report/text.py
+++ b/src/godwittack/report/text.py
@@ -1,4 +1,4 @@
-"""A report that someone in their first week can act on."""
+"""Renders counts as text, with an action for each problem."""
 
 from __future__ import annotations
 
@@ -22,33 +22,33 @@
     "limit": "raise max_in_flight or max_requests_per_s, or ask for less load",
     "queue_full": "raise max_queue, or add backend servers",
     "deadline": "add backend servers, or raise deadline_ms",
-    "no_server": "check the backend servers of this row: none takes work",
+    "no_server": "check the backend servers of this row: none accepts requests",
     "dispatch_failed": "check the backend servers named in the log",
     "table_service_down": "the platform's table service did not answer",
     "table_not_current": "a daemon was cut off; see godwittack table status",
-    "answer_lost": "look these calls up at the service before repeating them",
+    "answer_lost": "check these calls at the service before repeating them",
     "bad_resume_token": "the caller sent a token that is not its own",
 }
 
 
 def render(counts: counters.Counts) -> str:
-    """Returns the report as lines of sentences, then numbers."""
+    """Returns the report, with a section for each workspace."""
     return "\n".join(_lines(counts)) + "\n"
 
 
 def first_token_quantile_ms(
     counts: counters.WorkspaceCounts, quantile: float
 ) -> int | None:
-    """Returns the bound below which `quantile` of the first tokens came."""
+    """Returns the bucket bound that covers `quantile` of first tokens."""
     total = sum(counts.first_token_counts)
     if not total:
         return None
-    seen = 0
+    cumulative = 0
     for count, bound in zip(
         counts.first_token_counts, counters.FIRST_TOKEN_BOUNDS_MS, strict=False
     ):
-        seen += count
-        if seen >= quantile * total:
+        cumulative += count
+        if cumulative >= quantile * total:
             return bound
     return counters.FIRST_TOKEN_BOUNDS_MS[-1]
 
@@ -65,53 +65,57 @@
             f" counted: {', '.join(sorted(counts.unreachable))}."
         )
     if not counts.workspaces:
-        yield "No request came."
+        yield "No requests."
     for name in sorted(counts.workspaces):
         yield ""
-        yield from _workspace(name, counts.workspaces[name])
+        yield from _workspace_lines(name, counts.workspaces[name])
 
 
-def _workspace(name: str, counts: counters.WorkspaceCounts) -> Iterator[str]:
+def _workspace_lines(
+    name: str, counts: counters.WorkspaceCounts
+) -> Iterator[str]:
     refused = sum(counts.refused.values())
-    asked = counts.finished + counts.broken + refused
-    yield f"{name}: {asked} requests, {counts.finished} answered."
-    yield from _late(counts)
-    yield from _refused(counts, refused)
-    yield from _wasted(counts)
+    total = counts.finished + counts.broken + refused
+    yield f"{name}: {total} requests, {counts.finished} answered."
+    yield from _late_lines(counts)
+    yield from _refused_lines(counts, refused)
+    yield from _wasted_lines(counts)
 
 
-def _late(counts: counters.WorkspaceCounts) -> Iterator[str]:
+def _late_lines(counts: counters.WorkspaceCounts) -> Iterator[str]:
     if counts.late:
         yield (
             f"  Late: {counts.late} answers began after their deadline and"
-            " were delivered all the same. Add backend servers, lower"
+            " were still delivered. Add backend servers, lower"
             " reuse_weight, or raise deadline_ms."
         )
     else:
         yield "  Late: none."
-    usual = first_token_quantile_ms(counts, 0.5)
-    tail = first_token_quantile_ms(counts, 0.95)
-    if usual is not None:
+    median_ms = first_token_quantile_ms(counts, 0.5)
+    p95_ms = first_token_quantile_ms(counts, 0.95)
+    if median_ms is not None:
         yield (
-            f"  The first token came within {usual} ms for half of them and"
-            f" within {tail} ms for 95 in 100."
+            f"  First token: within {median_ms} ms for half of the requests,"
+            f" within {p95_ms} ms for 95%."
         )
     if counts.broken:
         yield (
-            f"  Broken off: {counts.broken} streams ended with an error"
+            f"  Interrupted: {counts.broken} streams ended with an error"
             " because their engine was lost."
         )
 
 
-def _refused(counts: counters.WorkspaceCounts, refused: int) -> Iterator[str]:
+def _refused_lines(
+    counts: counters.WorkspaceCounts, refused: int
+) -> Iterator[str]:
     if not refused:
         yield "  Refused: none."
     else:
         not_run = counts.outcomes.get("not_run", 0)
         unknown = counts.outcomes.get("unknown", 0)
         yield (
-            f"  Refused: {refused}, of which {not_run} were not run and may"
-            f" be sent again, and {unknown} may have run."
+            f"  Refused: {refused}, of which {not_run} were not run and can"
+            f" be retried, and {unknown} may have run."
         )
     for reason, count in sorted(counts.refused.items()):
         advice = ADVICE_BY_REASON.get(reason, "see the log")
@@ -120,14 +124,14 @@
         yield f"  Retried: {counts.retried} times on another backend server."
 
 
-def _wasted(counts: counters.WorkspaceCounts) -> Iterator[str]:
+def _wasted_lines(counts: counters.WorkspaceCounts) -> Iterator[str]:
     if not counts.prompt_tokens:
         return
     hit = 100 * counts.cached_tokens / counts.prompt_tokens
     wasted = 100 * counts.wasted_tokens / counts.prompt_tokens
     yield (
         f"  Wasted: {counts.wasted_tokens} of {counts.prompt_tokens} prompt"
-        f" tokens ({wasted:.0f}%) were computed again although they had been"
+        f" tokens ({wasted:.0f}%) were recomputed although they had been"
         f" sent before; {hit:.0f}% came from a cache."
     )
     if wasted > 10:
--- a/src/godwittack/session/__init__.py
+++ b/src/godwittack/session/__init__.py
@@ -1,1 +1,1 @@
-"""Recorded sessions: the core's inputs and effects, line by line."""
+"""Recorded sessions: the core's inputs and effects, one per line."""
--- a/src/godwittack/session/codec.py
+++ b/src/godwittack/session/codec.py
@@ -1,4 +1,4 @@
-"""Turns inputs and effects into lines of JSON and back."""
+"""Encodes inputs and effects as lines of JSON, and decodes them."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from godwittack.core import effects, inputs, policy, server_inputs, work
 from godwittack.table import forwarding, model
 
-# Each byte becomes one character, so that text in a recording stays readable
-# and any other content survives as well.
+# Maps each byte to one character, so text in a recording stays readable and any
+# other bytes are preserved.
 _BYTES_ENCODING = "latin-1"
 
 _MESSAGE_TYPES: dict[str, type] = {
@@ -25,7 +25,8 @@
 }
 
 
-# Fields that only requests by routes use: left out of a session without any.
+# Fields used only by requests with routes. They are omitted at their default
+# value, so sessions without such requests do not contain them.
 _OMITTED_IF_DEFAULT: dict[type, tuple[str, ...]] = {
     work.Work: ("host", "path", "route", "resume_after"),
     effects.Dispatch: ("ends_at_ms",),
@@ -54,11 +55,11 @@
         str | int | float | None, lambda value, _: value
     )
     for kind, names in _OMITTED_IF_DEFAULT.items():
-        left_out: typing.Any = {
+        overrides: typing.Any = {
             name: gen.override(omit_if_default=True) for name in names
         }
         hook: typing.Any = gen.make_dict_unstructure_fn(
-            kind, converter, **left_out
+            kind, converter, **overrides
         )
         converter.register_unstructure_hook(kind, hook)
     converter.register_unstructure_hook(model.Table, _unstructure_table)
@@ -102,43 +103,43 @@
 
 
 def encode(item: inputs.Input | effects.Effect) -> str:
-    """Returns one line: the type's name, then its fields that are not empty."""
+    """Returns one line: the type name, then all fields that are not empty."""
     fields = _CONVERTER.unstructure(item)
-    told = {k: v for k, v in fields.items() if v not in ("", (), [], None)}
-    return json.dumps({"type": type(item).__name__, **told})
+    present = {k: v for k, v in fields.items() if v not in ("", (), [], None)}
+    return json.dumps({"type": type(item).__name__, **present})
 
 
 def decode(line: str) -> inputs.Input | effects.Effect:
-    """Reads a line that `encode` made."""
-    told = json.loads(line)
-    kind = _MESSAGE_TYPES[told.pop("type")]
+    """Decodes a line written by `encode`."""
+    fields = json.loads(line)
+    kind = _MESSAGE_TYPES[fields.pop("type")]
     for name, default in _omitted_values(kind).items():
-        told.setdefault(name, default)
-    return _CONVERTER.structure(told, kind)
+        fields.setdefault(name, default)
+    return _CONVERTER.structure(fields, kind)
 
 
-def encode_policy(numbers: policy.Policy) -> str:
-    """Returns the core's numbers as one line."""
-    return json.dumps(_CONVERTER.unstructure(numbers))
+def encode_policy(core_policy: policy.Policy) -> str:
+    """Returns the core's policy as one line."""
+    return json.dumps(_CONVERTER.unstructure(core_policy))
 
 
 def decode_policy(line: str) -> policy.Policy:
-    """Reads the core's numbers."""
+    """Decodes a line written by `encode_policy`."""
     return _CONVERTER.structure(json.loads(line), policy.Policy)
 
 
 def _omitted_values(kind: type) -> dict[str, object]:
-    """Returns what an omitted field stood for."""
+    """Returns the empty value of each field that may be omitted."""
     hints = typing.get_type_hints(kind)
-    found: dict[str, object] = {}
+    values: dict[str, object] = {}
     for name, hint in hints.items():
         if hint is str:
-            found[name] = ""
+            values[name] = ""
         elif typing.get_origin(hint) is tuple:
-            found[name] = []
+            values[name] = []
         elif type(None) in typing.get_args(hint):
-            found[name] = None
-    return found
+            values[name] = None
+    return values
 
 
 __all__ = ["decode", "decode_policy", "encode", "encode_policy"]
--- a/src/godwittack/session/record.py
+++ b/src/godwittack/session/record.py
@@ -1,4 +1,4 @@
-"""Records a core's session, and replays one byte for byte."""
+"""Records a core's session, and replays recordings byte for byte."""
 
 from __future__ import annotations
 
@@ -18,75 +18,79 @@
 
 
 class Sink(Protocol):
-    """Where the lines of a recording go."""
+    """Receives the lines of a recording."""
 
     def write(self, text: str, /) -> object:
-        """Adds text."""
+        """Appends text."""
 
 
 class Recorder:
-    """Writes every input of a core, and its effects below it."""
+    """Writes every input of a core, followed by its effects."""
 
     def __init__(self, core: router.Router, sink: Sink) -> None:
-        """Writes the head of the recording."""
+        """Writes the header line of the recording."""
         self._sink = sink
         sink.write(header_line(core) + "\n")
 
     def record_step(
-        self, told: inputs.Input, made: list[effects.Effect]
+        self, message: inputs.Input, emitted: list[effects.Effect]
     ) -> None:
-        """Writes one input with its effects."""
-        self._sink.write(f"{INPUT_PREFIX}{codec.encode(told)}\n")
-        for effect in made:
+        """Writes one input and its effects."""
+        self._sink.write(f"{INPUT_PREFIX}{codec.encode(message)}\n")
+        for effect in emitted:
             self._sink.write(f"{EFFECT_PREFIX}{codec.encode(effect)}\n")
 
 
 def header_line(core: router.Router) -> str:
-    """Returns the line that a recording starts with."""
-    numbers = codec.encode_policy(core.world.policy)
+    """Returns the first line of a recording."""
+    policy_json = codec.encode_policy(core.world.policy)
     return json.dumps(
-        {"daemon": core.world.daemon, "policy": json.loads(numbers)}
+        {"daemon": core.world.daemon, "policy": json.loads(policy_json)}
     )
 
 
 def replay(lines: Iterable[str]) -> list[str]:
-    """Returns a recording's lines with the effects made anew.
+    """Replays a recording and returns its lines with the new effects.
 
     Args:
         lines: A recording; comment lines are kept.
     """
     core: router.Router | None = None
-    made: list[str] = []
+    replayed: list[str] = []
     for raw in lines:
         line = raw.rstrip("\n")
         if line.startswith(COMMENT_PREFIX) or not line:
-            made.append(line)
+            replayed.append(line)
         elif core is None:
             core = _router_from_header(line)
-            made.append(header_line(core))
+            replayed.append(header_line(core))
         elif line.startswith(INPUT_PREFIX):
-            made.append(line)
-            told = codec.decode(line[len(INPUT_PREFIX) :])
-            for effect in core.step(told):  # type: ignore[arg-type]
-                made.append(EFFECT_PREFIX + codec.encode(effect))
-    return made
+            replayed.append(line)
+            message = codec.decode(line[len(INPUT_PREFIX) :])
+            for effect in core.step(message):  # type: ignore[arg-type]
+                replayed.append(EFFECT_PREFIX + codec.encode(effect))
+    return replayed
 
 
 def replay_diff(name: str, lines: list[str]) -> list[str]:
     """Returns a unified diff between a recording and its replay."""
-    before = [line.rstrip("\n") for line in lines]
-    after = replay(lines)
+    recorded = [line.rstrip("\n") for line in lines]
+    replayed = replay(lines)
     return list(
         difflib.unified_diff(
-            before, after, f"{name} (recorded)", f"{name} (now)", lineterm=""
+            recorded,
+            replayed,
+            f"{name} (recorded)",
+            f"{name} (now)",
+            lineterm="",
         )
     )
 
 
 def _router_from_header(line: str) -> router.Router:
-    told = json.loads(line)
-    numbers = codec.decode_policy(json.dumps(told["policy"]))
-    return router.Router.from_config(daemon=told["daemon"], policy=numbers)
+    header = json.loads(line)
+    policy = codec.decode_policy(json.dumps(header["policy"]))
+    return router.Router.from_config(daemon=header["daemon"], policy=policy)
 
 
 __all__ = ["Recorder", "replay_diff", "header_line", "replay"]
