--- a/src/godwittack/entry/connection_timeouts.py
+++ b/src/godwittack/entry/connection_timeouts.py
@@ -102,10 +102,10 @@
         "_accepted_in_round",
         "_clock",
         "_delay",
+        "_earliest_sent_ms",
         "_first_byte_ms",
         "_idle_since_ms",
         "_in_handler",
-        "_sent_at_ms",
     )
 
     def __init__(
@@ -129,7 +129,7 @@
         self._clock = clock
         self._delay = delay
         self._accepted_in_round = delay.rounds
-        self._sent_at_ms = clock.now_ms() - delay.accepted_ms()
+        self._earliest_sent_ms = clock.now_ms() - delay.accepted_ms()
         self._first_byte_ms = -1
         self._idle_since_ms = clock.now_ms()
         self._in_handler = False
@@ -143,7 +143,7 @@
                 > self._accepted_in_round + ACCEPT_TO_READ_ROUNDS
             ):
                 waited_ms = self._delay.read_ms()
-                self._sent_at_ms = self._first_byte_ms - waited_ms
+                self._earliest_sent_ms = self._first_byte_ms - waited_ms
         super().data_received(data)
 
     def waited_ms(self) -> int:
@@ -151,7 +151,7 @@
         if self._first_byte_ms < 0:
             # It arrived in the same read as the previous request.
             return 0
-        return max(0, self._clock.now_ms() - self._sent_at_ms)
+        return max(0, self._clock.now_ms() - self._earliest_sent_ms)
 
     def request_started(self) -> None:
         """Records that a request's headers were read."""
--- a/src/godwittack/entry/directory.py
+++ b/src/godwittack/entry/directory.py
@@ -28,7 +28,10 @@
     """Format of address requests and their responses."""
 
     def caller_failure_domain(self, request: web.BaseRequest) -> str | None:
-        """Returns the caller's failure domain; None for another request."""
+        """Returns the failure domain of a caller that requests addresses.
+
+        None for any other request.
+        """
 
     def response(self, addresses: list[str], *, keep_ms: int) -> web.Response:
         """Returns a response with addresses and how long they may be kept."""
@@ -105,9 +108,9 @@
 
 
 __all__ = [
-    "ADDRESS_KEEP_MS",
     "ADDRESS_KEEP_FACTOR",
-    "DirectoryHandlers",
+    "ADDRESS_KEEP_MS",
     "DirectoryFormat",
+    "DirectoryHandlers",
     "select_addresses",
 ]
--- a/src/godwittack/entry/forward.py
+++ b/src/godwittack/entry/forward.py
@@ -43,7 +43,7 @@
         """Parses a request, or returns what is wrong with it."""
 
     def refusal_response(
-        self, refused: effects.Refuse, call: backend.Call
+        self, refusal: effects.Refuse, call: backend.Call
     ) -> web.Response:
         """Returns the response to a request that the core refused."""
 
@@ -214,4 +214,4 @@
         request.transport.abort()
 
 
-__all__ = ["ParsedRequest", "CallerFormat", "ForwardHandler"]
+__all__ = ["CallerFormat", "ForwardHandler", "ParsedRequest"]
--- a/src/godwittack/entry/parse.py
+++ b/src/godwittack/entry/parse.py
@@ -214,8 +214,8 @@
     "bearer_digest",
     "fingerprint",
     "forwarded_headers",
-    "parse_generation",
     "level_header",
+    "parse_generation",
     "parse_service_call",
     "read_body",
 ]
--- a/src/godwittack/entry/weights.py
+++ b/src/godwittack/entry/weights.py
@@ -47,11 +47,11 @@
                 " answers",
             )
         if str(requested) not in versions.ok_value:
-            known = ", ".join(versions.ok_value) or "none"
+            available = ", ".join(versions.ok_value) or "none"
             return WeightsRejection(
                 400,
                 f"model {change.name}, {WEIGHTS_COLUMN}: the weight store has"
-                f" no version {requested}; it has {known}",
+                f" no version {requested}; it has {available}",
             )
     return None
 
--- a/src/godwittack/platform/directory.py
+++ b/src/godwittack/platform/directory.py
@@ -11,7 +11,10 @@
     """Implements `DirectoryFormat` of `entry/directory.py`."""
 
     def caller_failure_domain(self, request: web.BaseRequest) -> str | None:
-        """Returns the caller's failure domain; None for another request."""
+        """Returns the failure domain of a caller that requests addresses.
+
+        None for any other request.
+        """
         if request.path != names.RESOLVE_PATH:
             return None
         return request.query.get("zone", "")
--- a/src/godwittack/platform/wire.py
+++ b/src/godwittack/platform/wire.py
@@ -45,11 +45,11 @@
 
 
 __all__ = [
-    "NonNegativeFloat",
     "Count",
+    "LoadedModel",
+    "NonNegativeFloat",
     "PositiveInt",
     "StrictWireModel",
-    "LoadedModel",
     "WireModel",
 ]
 __all__ += ["first_error"]
--- a/src/godwittack/report/counters.py
+++ b/src/godwittack/report/counters.py
@@ -132,7 +132,7 @@
         counts = self._current_window().workspaces.setdefault(
             name, WorkspaceCounts()
         )
-        _count(counts, event.name, fields)
+        _count_event(counts, event.name, fields)
 
     def totals(self) -> Counts:
         """Returns the counts of the last hour."""
@@ -160,7 +160,7 @@
 )
 
 
-def _count(
+def _count_event(
     counts: WorkspaceCounts, name: str, fields: dict[str, str | int | float]
 ) -> None:
     match name:
--- a/src/godwittack/session/codec.py
+++ b/src/godwittack/session/codec.py
@@ -42,7 +42,7 @@
 }
 
 
-def _converter() -> cattrs.Converter:
+def _make_converter() -> cattrs.Converter:
     converter = cattrs.Converter()
     converter.register_unstructure_hook(
         bytes, lambda data: data.decode(_BYTES_ENCODING)
@@ -99,7 +99,7 @@
 _ROW_CONVERTER.register_unstructure_hook_func(
     lambda kind: typing.get_origin(kind) is frozenset, sorted
 )
-_CONVERTER = _converter()
+_CONVERTER = _make_converter()
 
 
 def encode(item: inputs.Input | effects.Effect) -> str:
--- a/src/godwittack/session/record.py
+++ b/src/godwittack/session/record.py
@@ -93,4 +93,4 @@
     return router.Router.from_config(daemon=header["daemon"], policy=policy)
 
 
-__all__ = ["Recorder", "replay_diff", "header_line", "replay"]
+__all__ = ["Recorder", "header_line", "replay", "replay_diff"]
