--- a/src/godwittack/entry/directory.py
+++ b/src/godwittack/entry/directory.py
@@ -30,7 +30,7 @@
     def caller_failure_domain(self, request: web.BaseRequest) -> str | None:
         """Returns the failure domain of a caller that requests addresses.
 
-        None for any other request.
+        Returns None for any other request.
         """
 
     def response(self, addresses: list[str], *, keep_ms: int) -> web.Response:
--- a/src/godwittack/platform/callers.py
+++ b/src/godwittack/platform/callers.py
@@ -18,8 +18,7 @@
 if TYPE_CHECKING:
     from godwittack.core import effects
 
-# Not forwarded; the router sets some of them itself for each attempt. `Host` is
-# forwarded, since the server needs it.
+# Replaced or dropped for servers; the caller's `Host` is forwarded to them.
 _NOT_FORWARDED = names.SYSTEM_HEADERS | {"expect"}
 MAX_DEADLINE_MS = 3_600_000
 
@@ -48,9 +47,7 @@
             return Err(f"{names.LAST_EVENT_ID} or {names.DEADLINE}: no number")
         digest = model.token_digest(key)
         path = request.raw_path
-        cache_owner = table.cache_owner(
-            table.workspace_by_token.get(digest, "")
-        )
+        owner = table.cache_owner(table.workspace_by_token.get(digest, ""))
         counts = request.headers.get(names.TOKEN_COUNTS, "").partition(",")
         prompt_tokens = backend_headers.number(counts[0]) or 0
         requested_work = work.Work(
@@ -58,7 +55,7 @@
             token_sha256=digest,
             target="",
             caller_request_id=request_id,
-            levels=_levels(request, cache_owner, prompt_tokens),
+            levels=_levels(request, owner, prompt_tokens),
             max_tokens=backend_headers.number(counts[2]) or 0,
             deadline_ms=min(deadline_ms, MAX_DEADLINE_MS),
             method=request.method,
@@ -98,23 +95,19 @@
 
 
 def _levels(
-    request: web.BaseRequest, cache_owner: str, prompt_tokens: int
+    request: web.BaseRequest, owner: str, prompt_tokens: int
 ) -> tuple[work.Level, ...]:
     """Returns the prompt's levels; the whole prompt as one if none are sent."""
-    prompt_levels: list[work.Level] = []
+    result: list[work.Level] = []
     for part in request.headers.get(names.LEVELS, "").split(","):
         level, _, tokens = part.strip().partition(":")
         size = backend_headers.number(tokens)
         if level and size is not None:
-            prompt_levels.append(
-                work.Level(levels.key_for_name(cache_owner, level), size)
-            )
-    if not prompt_levels and prompt_tokens:
-        key = levels.key_for_name(
-            cache_owner, request.headers[names.REQUEST_ID]
-        )
-        prompt_levels.append(work.Level(key, prompt_tokens))
-    return tuple(prompt_levels)
+            result.append(work.Level(levels.key_for_name(owner, level), size))
+    if not result and prompt_tokens:
+        key = levels.key_for_name(owner, request.headers[names.REQUEST_ID])
+        result.append(work.Level(key, prompt_tokens))
+    return tuple(result)
 
 
 def _forwarded_headers(request: web.BaseRequest) -> tuple[work.Header, ...]:
--- a/src/godwittack/platform/directory.py
+++ b/src/godwittack/platform/directory.py
@@ -11,10 +11,7 @@
     """Implements `DirectoryFormat` of `entry/directory.py`."""
 
     def caller_failure_domain(self, request: web.BaseRequest) -> str | None:
-        """Returns the failure domain of a caller that requests addresses.
-
-        None for any other request.
-        """
+        """Returns the caller's failure domain, None for any other path."""
         if request.path != names.RESOLVE_PATH:
             return None
         return request.query.get("zone", "")
--- a/src/godwittack/platform/instances.py
+++ b/src/godwittack/platform/instances.py
@@ -15,7 +15,7 @@
 MAX_SLOTS = 100_000
 
 
-class _Server(wire.StrictWireModel):
+class _Server(wire.StrictBody):
     service: str = pydantic.Field(min_length=1)
     address: Annotated[str, pydantic.AfterValidator(addresses.checked)]
     zone: str = pydantic.Field(min_length=1)
@@ -24,10 +24,10 @@
     state: Literal["ready", "draining"]
     slots: int = pydantic.Field(ge=1, le=MAX_SLOTS)
     sequence: wire.Count
-    cold_remaining_ms: wire.NonNegativeFloat
+    cold_remaining_ms: wire.Amount
     models: tuple[wire.LoadedModel, ...] = ()
     # Start time in Unix milliseconds; absent if the server does not report it.
-    born: wire.PositiveInt = 0
+    born: wire.Positive = 0
 
 
 def instance_from_row(
@@ -35,23 +35,21 @@
 ) -> Result[protocol.Instance, str]:
     """Decodes one row; an error says why it is not a valid server."""
     try:
-        server = _Server.model_validate_json(row.value)
+        body = _Server.model_validate_json(row.value)
     except pydantic.ValidationError as error:
         return Err(wire.first_error(error))
     role = protocol.InstanceRole
     return Ok(
         protocol.Instance(
             name=row.key,
-            role=role.ENGINE if server.models else role.SERVICE,
-            address=server.address,
-            target=server.service,
-            failure_domain=server.zone,
-            leaving=server.state != "ready",
-            incarnation=incarnation.make_name(row.key, server.born),
-            weights_version=(
-                str(server.models[0].version) if server.models else ""
-            ),
-            slots=server.slots,
+            role=role.ENGINE if body.models else role.SERVICE,
+            address=body.address,
+            target=body.service,
+            failure_domain=body.zone,
+            leaving=body.state != "ready",
+            incarnation=incarnation.make_name(row.key, body.born),
+            weights_version=str(body.models[0].version) if body.models else "",
+            slots=body.slots,
         )
     )
 
--- a/src/godwittack/platform/names.py
+++ b/src/godwittack/platform/names.py
@@ -23,21 +23,13 @@
 PRIORITY: Final = "X-Godwittack-Request-Priority"
 KV_FETCH_FROM: Final = "X-Godwittack-Kv-Fetch-From"
 KV_SAVE_TO: Final = "X-Godwittack-Kv-Save-To"
-_PER_ATTEMPT_HEADERS = (API_KEY, DEADLINE, LAST_EVENT_ID, WORKSPACE, PRIORITY)
-_EXPECTATION_HEADERS = (EXPECTED_INSTANCE, EXPECTED_WEIGHTS)
-_CACHE_HEADERS = (CACHE_SCOPE, KV_FETCH_FROM, KV_SAVE_TO, "Kv-From")
+_PER_ATTEMPT = (API_KEY, DEADLINE, LAST_EVENT_ID, WORKSPACE, PRIORITY)
+_EXPECTED = (EXPECTED_INSTANCE, EXPECTED_WEIGHTS)
+_CACHE = (CACHE_SCOPE, KV_FETCH_FROM, KV_SAVE_TO, "Kv-From")
 # Never set here, and not accepted from callers.
-_UNUSED_HEADERS = tuple(
-    f"X-Godwittack-{n}" for n in ("Hold", "Pin-Ms", "Kv-Backup")
-)
+_UNUSED = tuple(f"X-Godwittack-{n}" for n in ("Hold", "Pin-Ms", "Kv-Backup"))
 SYSTEM_HEADERS: Final = frozenset(
-    name.lower()
-    for name in (
-        *_PER_ATTEMPT_HEADERS,
-        *_EXPECTATION_HEADERS,
-        *_CACHE_HEADERS,
-        *_UNUSED_HEADERS,
-    )
+    name.lower() for name in (*_PER_ATTEMPT, *_EXPECTED, *_CACHE, *_UNUSED)
 )
 
 # Headers of responses.
--- a/src/godwittack/platform/rows.py
+++ b/src/godwittack/platform/rows.py
@@ -27,7 +27,7 @@
 STATUSES_NOT_EXECUTED = frozenset({400, 403, 429, 503})
 
 
-class _Row(wire.WireModel):
+class _Row(wire.Body):
     # Partition of a table in which transactions are serialized; unused.
     part: str = ""
     table: str = ""
@@ -37,7 +37,7 @@
     deleted: bool = False
 
 
-class _Rows(wire.WireModel):
+class _Rows(wire.Body):
     rows: tuple[_Row, ...] = ()
     # Newest version in the whole store, not in these rows.
     row_version: int = 0
@@ -65,12 +65,10 @@
         """Applies all writes if all conditions hold."""
         body = {
             "precondition": [
-                {**_row_ref(c.row_id), "row-version": c.version}
-                for c in conditions
+                {**_ref(c.row_id), "row-version": c.version} for c in conditions
             ],
             "writes": [
-                {**_row_ref(w.row_id), "value": _encode_value(w.value)}
-                for w in writes
+                {**_ref(w.row_id), "value": _encode(w.value)} for w in writes
             ],
             "remove": [],
         }
@@ -94,9 +92,7 @@
         self, row_id: protocol.RowId
     ) -> protocol.Got[protocol.StoredRow]:
         """Returns one row."""
-        result = await self._read_range(
-            "read", row_id.table, row_id.key, limit=1
-        )
+        result = await self._scan("read", row_id.table, row_id.key, limit=1)
         if isinstance(result, Err):
             return result
         page = result.ok_value
@@ -109,12 +105,10 @@
         self, table: str, *, from_key: str
     ) -> protocol.Got[protocol.FeedPage]:
         """Returns a page of a table's rows, starting at a key."""
-        result = await self._read_range(
-            "scan", table, from_key, limit=MAX_PAGE_ROWS
-        )
+        result = await self._scan("scan", table, from_key, limit=MAX_PAGE_ROWS)
         return result if isinstance(result, Err) else Ok(_page(result.ok_value))
 
-    async def _read_range(
+    async def _scan(
         self, step: str, table: str, from_key: str, *, limit: int
     ) -> protocol.Got[_Rows]:
         query = {"table": table, "part": "", "limit": str(limit)}
@@ -179,19 +173,18 @@
         )
 
 
-def _row_ref(row_id: protocol.RowId) -> dict[str, str | int]:
+def _ref(row_id: protocol.RowId) -> dict[str, str | int]:
     return {"table": row_id.table, "part": "", "key": row_id.key}
 
 
-def _encode_value(value: str) -> str:
+def _encode(value: str) -> str:
     return base64.b64encode(value.encode()).decode()
 
 
-def _decode_value(value: str) -> str:
+def _decode(value: str) -> str:
     """Returns a row's text, or an empty string if it is not valid text.
 
-    An error would discard the whole page because of one row that another
-    writer stored.
+    An error would discard the whole page for one row of another writer.
     """
     try:
         return base64.b64decode(value, validate=True).decode()
@@ -202,14 +195,14 @@
 def _stored_row(row: _Row, now_ms: int) -> protocol.StoredRow:
     row_id = protocol.RowId(row.table, row.key)
     version = 0 if row.deleted else row.row_version
-    return protocol.StoredRow(row_id, _decode_value(row.value), version, now_ms)
+    return protocol.StoredRow(row_id, _decode(row.value), version, now_ms)
 
 
 def _page(page: _Rows) -> protocol.FeedPage:
     rows = tuple(
         protocol.ChangedRow(
             key=row.key,
-            value=_decode_value(row.value),
+            value=_decode(row.value),
             version=row.row_version,
             deleted=row.deleted,
         )
--- a/src/godwittack/platform/servers.py
+++ b/src/godwittack/platform/servers.py
@@ -26,9 +26,9 @@
 )
 
 
-class _Report(wire.StrictWireModel):
+class _Report(wire.StrictBody):
     # Start time in Unix milliseconds; absent if the server does not report it.
-    born: wire.PositiveInt = 0
+    born: wire.Positive = 0
     models: tuple[wire.LoadedModel, ...] = ()
     queue_depth: int = 0
     running: int = 0
@@ -39,9 +39,9 @@
     state: object = ""
 
 
-class _Events(wire.StrictWireModel):
+class _Events(wire.StrictBody):
     # Start time in Unix milliseconds; absent if the server does not report it.
-    born: wire.PositiveInt = 0
+    born: wire.Positive = 0
     # Changes with each restart of the server.
     boot_epoch: int
     next: int
--- a/src/godwittack/platform/table.py
+++ b/src/godwittack/platform/table.py
@@ -15,17 +15,16 @@
 
     from godwittack.store import protocol
 
-
 # The version that servers have before one is published.
-DEFAULT_WEIGHTS_VERSION = "1"
+FIRST_VERSION = "1"
 
 
-class _Split(wire.WireModel):
+class _Split(wire.Body):
     service: str
     weight: int = 1
 
 
-class _Route(wire.WireModel):
+class _Route(wire.Body):
     name: str
     host: str
     prefix: str
@@ -42,16 +41,16 @@
     resumable: bool = False
 
 
-class _Model(wire.WireModel):
+class _Model(wire.Body):
     name: str
 
 
-class _Engine(wire.WireModel):
+class _Engine(wire.Body):
     slots: int = 16
     models: tuple[_Model, ...] = ()
 
 
-class _Service(wire.WireModel):
+class _Service(wire.Body):
     name: str
     engine: _Engine | None = None
     # Set if the service is a store of cached state, not a backend server.
@@ -59,21 +58,21 @@
     zone: str = ""
 
 
-class _Tenant(wire.WireModel):
+class _Tenant(wire.Body):
     name: str
     api_keys: tuple[str, ...] = ()
     priority: int | None = None
     isolated: bool = False
 
 
-class _Limits(wire.WireModel):
+class _Limits(wire.Body):
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4 << 20
     header_timeout_ms: int = 0
     idle_timeout_ms: int = 0
 
 
-class _Config(wire.WireModel):
+class _Config(wire.Body):
     version: int
     routes: tuple[_Route, ...] = ()
     services: tuple[_Service, ...] = ()
@@ -81,9 +80,9 @@
     limits: _Limits = _Limits()
 
 
-class _Weights(wire.StrictWireModel):
+class _Weights(wire.StrictBody):
     model: str
-    version: wire.PositiveInt
+    version: wire.Positive
 
 
 def weights_from_row(
@@ -128,11 +127,9 @@
     table = model.Table(version=version, forwarding=_forwarding(config))
     for service in config.services:
         if service.engine is not None and service.engine.models:
-            weights_version = weights.get(
-                service.engine.models[0].name, DEFAULT_WEIGHTS_VERSION
-            )
+            current = weights.get(service.engine.models[0].name, FIRST_VERSION)
             table.models[service.name] = model.ModelRow(
-                name=service.name, weights_version=weights_version
+                name=service.name, weights_version=current
             )
         elif not service.kv_store_addr:
             table.services[service.name] = model.ServiceRow.unlimited(
--- a/src/godwittack/platform/wire.py
+++ b/src/godwittack/platform/wire.py
@@ -1,4 +1,4 @@
-"""Base models of all bodies: JSON, with dashes in field names."""
+"""Base classes of all bodies: JSON, with dashes in field names."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 _MAX_NUMBER = 10**headers.MOST_DIGITS
 Count = Annotated[int, pydantic.Field(ge=0, le=_MAX_NUMBER)]
-PositiveInt = Annotated[int, pydantic.Field(ge=1, le=_MAX_NUMBER)]
-NonNegativeFloat = Annotated[float, pydantic.Field(ge=0, le=_MAX_NUMBER)]
+Positive = Annotated[int, pydantic.Field(ge=1, le=_MAX_NUMBER)]
+Amount = Annotated[float, pydantic.Field(ge=0, le=_MAX_NUMBER)]
 
 
-class WireModel(pydantic.BaseModel):
+class Body(pydantic.BaseModel):
     """Base of decoded bodies; ignores unknown fields."""
 
     model_config = pydantic.ConfigDict(
@@ -22,20 +22,17 @@
     )
 
 
-class StrictWireModel(WireModel):
-    """Base of bodies written by servers, which must not send numbers as text.
-
-    Other writers may.
-    """
+class StrictBody(Body):
+    """Base of bodies in which, unlike in others, numbers can't be strings."""
 
     model_config = pydantic.ConfigDict(strict=True)
 
 
-class LoadedModel(StrictWireModel):
+class LoadedModel(StrictBody):
     """A model with the version of its loaded weights."""
 
     name: str = pydantic.Field(min_length=1)
-    version: PositiveInt
+    version: Positive
 
 
 def first_error(error: pydantic.ValidationError) -> str:
@@ -44,12 +41,5 @@
     return ".".join(str(p) for p in first["loc"]) + f": {first['msg']}"
 
 
-__all__ = [
-    "Count",
-    "LoadedModel",
-    "NonNegativeFloat",
-    "PositiveInt",
-    "StrictWireModel",
-    "WireModel",
-]
+__all__ = ["Amount", "Body", "Count", "LoadedModel", "Positive", "StrictBody"]
 __all__ += ["first_error"]
