--- a/src/godwittack/daemon/listeners.py
+++ b/src/godwittack/daemon/listeners.py
@@ -7,7 +7,7 @@
 from aiohttp import web
 
 from godwittack import address as addresses
-from godwittack.entry import patience
+from godwittack.entry import connection_timeouts
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -30,7 +30,7 @@
         """Has no servers yet; `delay` measures how late the loop reads."""
         self._clock = clock
         self._delay = delay
-        self._servers: list[patience.PatientServer] = []
+        self._servers: list[connection_timeouts.TimeoutServer] = []
         self._tcp_sites: list[web.TCPSite] = []
 
     async def listen(
@@ -43,7 +43,7 @@
         Raises:
             OSError: The address is in use.
         """
-        server = patience.PatientServer(
+        server = connection_timeouts.TimeoutServer(
             handler,
             clock=self._clock,
             max_line_bytes=MAX_HEADER_LINE_BYTES,
@@ -60,7 +60,7 @@
     def close_slow_connections(self, limits: forwarding.CallerLimits) -> None:
         """Closes connections whose callers exceed the time limits."""
         for server in self._servers:
-            server.end_slow(limits)
+            server.close_overdue(limits)
 
     async def stop(self) -> None:
         """Accepts no more connections."""
--- a/src/godwittack/daemon/platform_daemon.py
+++ b/src/godwittack/daemon/platform_daemon.py
@@ -232,15 +232,15 @@
             audience=self._serving,
         )
         self._peer_server = components.build_peer_server(self._gossiper)
-        self._caller_face = forward.ForwardFace(
+        self._caller_face = forward.ForwardHandler(
             runtime=self.runtime,
             settings=settings,
-            wire=callers.CallerFormat(),
+            caller_format=callers.CallerFormat(),
         )
-        self._directory = directory.DirectoryFace(
+        self._directory = directory.DirectoryHandlers(
             members=members,
             world=core.world,
-            wire=resolving.DirectoryFormat(),
+            directory_format=resolving.DirectoryFormat(),
             serving=self._serving,
         )
         self._store_readers = assignment.CachedAssignment(
@@ -338,7 +338,8 @@
         self._caller_face.stopping = self._directory.stopping = True
         await self._gossiper.stop()
         address_expires_ms = (
-            started_ms + directory.KEEP_FACTOR * directory.ADDRESS_KEEP_MS
+            started_ms
+            + directory.ADDRESS_KEEP_FACTOR * directory.ADDRESS_KEEP_MS
         )
         while self._clock.now_ms() < min(address_expires_ms, stop_deadline_ms):
             await asyncio.sleep(0.05)
--- a/src/godwittack/daemon/runtime.py
+++ b/src/godwittack/daemon/runtime.py
@@ -89,7 +89,7 @@
         """Submits one input to the core and carries out the effects."""
         new_effects = self.core.step(input_)
         if self.recorder is not None:
-            self.recorder.stepped(input_, new_effects)
+            self.recorder.record_step(input_, new_effects)
         for effect in new_effects:
             self._carry_out(effect)
 
--- a/src/godwittack/daemon/serve.py
+++ b/src/godwittack/daemon/serve.py
@@ -25,10 +25,10 @@
     tables,
     watch,
 )
-from godwittack.entry import calls, operate, status, token
+from godwittack.entry import calls, operator_api, status, token
 from godwittack.lead import lease as leases
 from godwittack.member import serving_lease
-from godwittack.report import ledger
+from godwittack.report import counters
 from godwittack.session import record
 from godwittack.store import http as platform_http
 from godwittack.table import store as table_store
@@ -238,21 +238,21 @@
         loaded: configs.LoadedSettings,
         store: table_store.TableStore,
         platform: platform_http.HttpPlatform,
-        counts: ledger.Ledger,
+        counts: counters.EventCounters,
     ) -> web.Application:
         settings = loaded.settings
-        call_face = calls.CallFace(
+        call_face = calls.CallHandlers(
             runtime=self.runtime,
             settings=settings,
             signer=token.TokenSigner(loaded.cluster_secret),
         )
-        status_face = status.StatusFace(
+        status_face = status.StatusHandlers(
             runtime=self.runtime,
             settings=settings,
             members=self.gossiper.members,
             meters=self._meters,
         )
-        operator_face = operate.OperatorFace(
+        operator_face = operator_api.OperatorHandlers(
             runtime=self.runtime,
             settings=settings,
             gossiper=self.gossiper,
@@ -266,7 +266,7 @@
             ),
             tables=store,
             weights=platform,
-            counts=counts,
+            counters=counts,
         )
         app = web.Application(client_max_size=settings.max_body_bytes)
         app.router.add_routes(
--- a/src/godwittack/entry/calls.py
+++ b/src/godwittack/entry/calls.py
@@ -1,4 +1,4 @@
-"""Serves callers: generations, plain services, resumed streams."""
+"""Serves callers: generations, service calls and resumed streams."""
 
 from __future__ import annotations
 
@@ -19,63 +19,67 @@
     from godwittack.daemon import runtime as runtimes
 
 RESUME_HEADER = "x-resume-token"
-BUSY_RETRY_S = 1
+BUSY_RETRY_AFTER_S = 1
 
 
 @dataclasses.dataclass(slots=True)
-class CallFace:
+class CallHandlers:
     """HTTP handlers for callers."""
 
     runtime: runtimes.Runtime
     settings: configs.Settings
     signer: token.TokenSigner
-    _arriving: int = 0
+    _bodies_arriving: int = 0
 
     async def generate(self, request: web.Request) -> web.StreamResponse:
         """Serves `/v1/chat/completions` and `/v1/completions`."""
-        body = await self._body(request)
+        body = await self._read_body(request)
         if isinstance(body, web.Response):
             return body
         digest = parse.bearer_digest(request)
-        workspace = self._workspace(digest)
-        asked = parse.generation(request, body, workspace=workspace)
-        if isinstance(asked, Err):
-            return refusal.bad_request(asked.err_value)
+        workspace = self._workspace_for(digest)
+        parsed = parse.parse_generation(request, body, workspace=workspace)
+        if isinstance(parsed, Err):
+            return refusal.error_response(parsed.err_value)
         headers = (
             *parse.forwarded_headers(request),
-            parse.level_header(asked.ok_value),
+            parse.level_header(parsed.ok_value),
         )
         call = backend.Call(
             method="POST", path=request.path, headers=headers, body=body
         )
-        return await self._serve(request, asked.ok_value, call)
+        return await self._serve(request, parsed.ok_value, call)
 
     async def call_service(self, request: web.Request) -> web.StreamResponse:
         """Serves `/svc/{service}/...`."""
-        body = await self._body(request)
+        body = await self._read_body(request)
         if isinstance(body, web.Response):
             return body
         service = request.match_info["service"]
-        # The path is taken as it came: decoding and encoding it again could
-        # name another resource.
+        # The path is forwarded as received: decoding and re-encoding it could
+        # change which resource it identifies.
         path = request.raw_path[len(f"/svc/{service}") :] or "/"
-        asked = parse.plain(request, body, service=service, path=path)
-        if isinstance(asked, Err):
-            return refusal.bad_request(asked.err_value)
+        parsed = parse.parse_service_call(
+            request, body, service=service, path=path
+        )
+        if isinstance(parsed, Err):
+            return refusal.error_response(parsed.err_value)
         call = backend.Call(
             method=request.method,
             path=path,
             headers=parse.forwarded_headers(request),
             body=body,
         )
-        return await self._serve(request, asked.ok_value, call)
+        return await self._serve(request, parsed.ok_value, call)
 
     async def resume(self, request: web.Request) -> web.StreamResponse:
-        """Serves `/v1/resume`: the rest of a stream begun anywhere."""
-        point = self.signer.check(request.headers.get(RESUME_HEADER, ""))
+        """Serves `/v1/resume`: the rest of a stream started on any daemon."""
+        resume_point = self.signer.verify(
+            request.headers.get(RESUME_HEADER, "")
+        )
         after = request.headers.get("last-event-id", "0")
-        if point is None or not after.isdigit():
-            return refusal.bad_request(
+        if resume_point is None or not after.isdigit():
+            return refusal.error_response(
                 "send X-Resume-Token as received, and Last-Event-ID",
                 status=403,
                 reason=effects.Reason.BAD_RESUME.value,
@@ -88,27 +92,30 @@
                 at_ms=self.runtime.clock.now_ms(),
                 request_id=request_id,
                 token_sha256=parse.bearer_digest(request),
-                server_id=point.server_id,
-                stream_id=point.stream_id,
-                stamp=point.stamp,
+                server_id=resume_point.server_id,
+                stream_id=resume_point.stream_id,
+                stamp=resume_point.stamp,
                 after=int(after),
             )
         )
-        return await self._answer(request, request_id, caller)
+        return await self._respond(request, request_id, caller)
 
     async def _serve(
-        self, request: web.Request, asked: work.Work, call: backend.Call
+        self,
+        request: web.Request,
+        requested_work: work.Work,
+        call: backend.Call,
     ) -> web.StreamResponse:
         request_id = self.runtime.next_request_id()
         caller = self.runtime.open_caller(request_id, call)
         self.runtime.submit(
             inputs.RequestArrived(
-                self.runtime.clock.now_ms(), request_id, asked
+                self.runtime.clock.now_ms(), request_id, requested_work
             )
         )
-        return await self._answer(request, request_id, caller)
+        return await self._respond(request, request_id, caller)
 
-    async def _answer(
+    async def _respond(
         self,
         request: web.Request,
         request_id: str,
@@ -118,19 +125,19 @@
         try:
             return await self._deliver(request, echoed_id, caller)
         except (asyncio.CancelledError, ConnectionResetError):
-            self._gone(request_id)
+            self._submit_caller_gone(request_id)
             raise
         except TimeoutError:
-            # The caller has not read for long. It can resume; keeping the
-            # connection would keep its buffers.
-            self._gone(request_id)
+            # The caller stopped reading for too long. It can resume later; an
+            # open connection would keep its buffers allocated.
+            self._submit_caller_gone(request_id)
             if request.transport is not None:
                 request.transport.abort()
             raise
         finally:
             self.runtime.close_caller(request_id)
 
-    def _gone(self, request_id: str) -> None:
+    def _submit_caller_gone(self, request_id: str) -> None:
         self.runtime.submit(
             inputs.CallerGone(self.runtime.clock.now_ms(), request_id)
         )
@@ -141,29 +148,35 @@
         first = await caller.get()
         match first:
             case effects.Refuse():
-                return refusal.response(first, echoed_id=echoed_id)
+                return refusal.refusal_response(first, echoed_id=echoed_id)
             case effects.Reply():
-                return _whole(first, echoed_id)
+                return _complete_response(first, echoed_id)
             case effects.BeginStream():
-                return await self._stream(request, echoed_id, first, caller)
+                return await self._relay_stream(
+                    request, echoed_id, first, caller
+                )
             case _:
-                raise RuntimeError(f"not the start of an answer: {first}")
+                raise RuntimeError(
+                    f"unexpected first effect of a response: {first}"
+                )
 
-    async def _stream(
+    async def _relay_stream(
         self,
         request: web.Request,
         echoed_id: str,
-        begun: effects.BeginStream,
+        start: effects.BeginStream,
         caller: callers.Caller,
     ) -> web.StreamResponse:
-        point = token.ResumePoint(begun.server_id, begun.stream_id, begun.stamp)
+        resume_point = token.ResumePoint(
+            start.server_id, start.stream_id, start.stamp
+        )
         headers = {
             "content-type": "text/event-stream",
             "cache-control": "no-cache",
             "x-request-id": echoed_id,
-            RESUME_HEADER: self.signer.sign(point),
+            RESUME_HEADER: self.signer.sign(resume_point),
         }
-        if begun.late:
+        if start.late:
             headers["x-late"] = "true"
         response = web.StreamResponse(headers=headers)
         await response.prepare(request)
@@ -175,10 +188,10 @@
                         self.settings.slow_caller_ms / 1000
                     ):
                         await response.write(data)
-                case effects.BreakStream() as broken:
-                    await response.write(refusal.stream_event(broken))
-                    # Closing in order would let the stream look whole to a
-                    # caller that does not read the error.
+                case effects.BreakStream() as failure:
+                    await response.write(refusal.error_event(failure))
+                    # A clean close would make the stream look complete to a
+                    # caller that does not read the error event.
                     if request.transport is not None:
                         response.force_close()
                         request.transport.close()
@@ -187,37 +200,37 @@
                     await response.write_eof()
                     return response
 
-    async def _body(self, request: web.Request) -> bytes | web.Response:
-        if self._arriving >= self.settings.max_bodies_arriving:
-            busy = refusal.bad_request(
+    async def _read_body(self, request: web.Request) -> bytes | web.Response:
+        if self._bodies_arriving >= self.settings.max_bodies_arriving:
+            response = refusal.error_response(
                 "too many requests are arriving", status=503, reason="busy"
             )
-            busy.headers["retry-after"] = str(BUSY_RETRY_S)
-            return busy
-        self._arriving += 1
+            response.headers["retry-after"] = str(BUSY_RETRY_AFTER_S)
+            return response
+        self._bodies_arriving += 1
         try:
-            got = await parse.read_body(
+            body = await parse.read_body(
                 request,
                 max_bytes=self.settings.max_body_bytes,
                 timeout_ms=self.settings.body_timeout_ms,
             )
         finally:
-            self._arriving -= 1
-        if isinstance(got, Err):
-            status, detail = got.err_value
-            refused = refusal.bad_request(
+            self._bodies_arriving -= 1
+        if isinstance(body, Err):
+            status, detail = body.err_value
+            response = refusal.error_response(
                 detail, status=status, reason="bad_body"
             )
-            refused.force_close()
-            return refused
-        return got.ok_value
+            response.force_close()
+            return response
+        return body.ok_value
 
-    def _workspace(self, token_digest: str) -> str:
+    def _workspace_for(self, token_digest: str) -> str:
         table = self.runtime.core.world.table
         return table.workspace_by_token.get(token_digest, "")
 
 
-def _whole(reply: effects.Reply, echoed_id: str) -> web.Response:
+def _complete_response(reply: effects.Reply, echoed_id: str) -> web.Response:
     response = web.Response(status=reply.answer.status, body=reply.answer.body)
     response.headers.popall("content-type", None)
     for header in reply.answer.headers:
@@ -230,4 +243,4 @@
     return response
 
 
-__all__ = ["CallFace"]
+__all__ = ["CallHandlers"]
--- a/src/godwittack/entry/weights.py
+++ b/src/godwittack/entry/weights.py
@@ -1,4 +1,4 @@
-"""Checks weights versions that an operator asks for."""
+"""Checks weights versions that an operator requests."""
 
 from __future__ import annotations
 
@@ -14,44 +14,46 @@
 
     from godwittack.store import protocol as platform
 
-COLUMN = "weights_version"
+WEIGHTS_COLUMN = "weights_version"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WeightsTrouble:
+class WeightsRejection:
     """Why a change of weights is refused, and the HTTP status for it."""
 
     status: int
     detail: str
 
 
-async def trouble(
+async def check_versions(
     weights: platform.WeightStore, changes: Iterable[model.CellChange]
-) -> WeightsTrouble | None:
-    """Returns what is wrong with the versions asked for, or None.
+) -> WeightsRejection | None:
+    """Returns why the requested versions are refused, or None.
 
-    A version that nobody has would be found out by the engines only: each
-    replica in turn would be drained, fail to load, and be drained again.
+    Without this check, a version that does not exist would be detected only by
+    the engines: each replica in turn would be drained, fail to load, and be
+    drained again.
     """
     for change in changes:
-        wanted = change.after
-        if change.column != COLUMN or not wanted:
+        requested = change.after
+        if change.column != WEIGHTS_COLUMN or not requested:
             continue
-        got = await weights.versions(change.name)
-        if isinstance(got, Err):
-            return WeightsTrouble(
+        versions = await weights.versions(change.name)
+        if isinstance(versions, Err):
+            return WeightsRejection(
                 503,
-                f"model {change.name}, {COLUMN}: the weight store can't be"
-                f" asked ({got.err_value}); try again when it answers",
+                f"model {change.name}, {WEIGHTS_COLUMN}: the weight store"
+                f" can't be asked ({versions.err_value}); try again when it"
+                " answers",
             )
-        if str(wanted) not in got.ok_value:
-            known = ", ".join(got.ok_value) or "none"
-            return WeightsTrouble(
+        if str(requested) not in versions.ok_value:
+            available = ", ".join(versions.ok_value) or "none"
+            return WeightsRejection(
                 400,
-                f"model {change.name}, {COLUMN}: the weight store has no"
-                f" version {wanted}; it has {known}",
+                f"model {change.name}, {WEIGHTS_COLUMN}: the weight store has"
+                f" no version {requested}; it has {available}",
             )
     return None
 
 
-__all__ = ["WeightsTrouble", "trouble"]
+__all__ = ["WeightsRejection", "check_versions"]
--- a/src/godwittack/platform/rows.py
+++ b/src/godwittack/platform/rows.py
@@ -1,4 +1,4 @@
-"""The store's rows over HTTP."""
+"""HTTP client for the store's rows."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
     import aiohttp
 
-# The most that the store returns at a time.
-PAGE_ROWS = 500
+# Maximum number of rows that the store returns at a time.
+MAX_PAGE_ROWS = 500
 STATUS_HISTORY_LOST = 410
 STATUS_CONDITION_FAILED = 412
-# The call did nothing, by the store's own word.
-STATUSES_NOT_DONE = frozenset({400, 403, 429, 503})
+# Statuses by which the store reports that the call had no effect.
+STATUSES_NOT_EXECUTED = frozenset({400, 403, 429, 503})
 
 
-class _Row(wire.Wire):
-    # Part of a table in which transactions run one after another; unused.
+class _Row(wire.Body):
+    # Partition of a table in which transactions are serialized; unused.
     part: str = ""
     table: str = ""
     key: str
@@ -37,12 +37,12 @@
     deleted: bool = False
 
 
-class _Rows(wire.Wire):
+class _Rows(wire.Body):
     rows: tuple[_Row, ...] = ()
-    # Newest version of the whole store, not of these rows.
+    # Newest version in the whole store, not in these rows.
     row_version: int = 0
     has_more: bool = False
-    # A clock that only goes forward, with an origin of the store's own.
+    # The store's monotonic clock, with an origin of its own.
     now_ms: int = 0
 
 
@@ -52,7 +52,7 @@
     def __init__(
         self, *, session: aiohttp.ClientSession, address: str, timeout_ms: int
     ) -> None:
-        """Calls the store at `address`; each call ends in `timeout_ms`."""
+        """Calls the store at `address` with a timeout of `timeout_ms`."""
         self._session = session
         self._address = address
         self._timeout_ms = timeout_ms
@@ -62,30 +62,29 @@
         conditions: tuple[protocol.Condition, ...],
         writes: tuple[protocol.RowWrite, ...],
     ) -> protocol.PlatformResult[protocol.TransactionResult]:
-        """Makes all writes if all conditions hold."""
+        """Applies all writes if all conditions hold."""
         body = {
             "precondition": [
-                {**_named(c.row_id), "row-version": c.version}
-                for c in conditions
+                {**_ref(c.row_id), "row-version": c.version} for c in conditions
             ],
             "writes": [
-                {**_named(w.row_id), "value": _encoded(w.value)} for w in writes
+                {**_ref(w.row_id), "value": _encode(w.value)} for w in writes
             ],
             "remove": [],
         }
-        got = await self._call(
+        result = await self._call(
             "transact", "POST", names.ROWS_TX, body=json.dumps(body).encode()
         )
-        if isinstance(got, Err):
-            return got
-        status, answer = got.ok_value
-        rows = tuple(_stored(row, answer.now_ms) for row in answer.rows)
+        if isinstance(result, Err):
+            return result
+        status, page = result.ok_value
+        rows = tuple(_stored_row(row, page.now_ms) for row in page.rows)
         return Ok(
             protocol.TransactionResult(
                 status != STATUS_CONDITION_FAILED,
                 rows,
-                answer.row_version,
-                answer.now_ms,
+                page.row_version,
+                page.now_ms,
             )
         )
 
@@ -93,42 +92,42 @@
         self, row_id: protocol.RowId
     ) -> protocol.PlatformResult[protocol.StoredRow]:
         """Returns one row."""
-        got = await self._range("read", row_id.table, row_id.key, limit=1)
-        if isinstance(got, Err):
-            return got
-        page = got.ok_value
+        result = await self._scan("read", row_id.table, row_id.key, limit=1)
+        if isinstance(result, Err):
+            return result
+        page = result.ok_value
         for row in page.rows:
             if row.key == row_id.key:
-                return Ok(_stored(row, page.now_ms))
+                return Ok(_stored_row(row, page.now_ms))
         return Ok(protocol.StoredRow(row_id, "", 0, page.now_ms))
 
     async def page(
         self, table: str, *, from_key: str
     ) -> protocol.PlatformResult[protocol.FeedPage]:
-        """Returns rows of a table, from a key on."""
-        got = await self._range("scan", table, from_key, limit=PAGE_ROWS)
-        return got if isinstance(got, Err) else Ok(_page(got.ok_value))
+        """Returns a page of a table's rows, starting at a key."""
+        result = await self._scan("scan", table, from_key, limit=MAX_PAGE_ROWS)
+        return result if isinstance(result, Err) else Ok(_page(result.ok_value))
 
-    async def _range(
+    async def _scan(
         self, step: str, table: str, from_key: str, *, limit: int
     ) -> protocol.PlatformResult[_Rows]:
         query = {"table": table, "part": "", "limit": str(limit)}
         if from_key:
             query["from"] = from_key
-        got = await self._call(step, "GET", names.ROWS_GET, query=query)
-        return got if isinstance(got, Err) else Ok(got.ok_value[1])
+        result = await self._call(step, "GET", names.ROWS_GET, query=query)
+        return result if isinstance(result, Err) else Ok(result.ok_value[1])
 
     async def changes(
         self, table: str, *, after: int, wait_ms: int
     ) -> protocol.PlatformResult[protocol.FeedPage]:
-        """Returns changes after a version."""
+        """Returns changes after a version; waits up to `wait_ms` for one."""
         query = {"table": table, "after": str(after), "wait-ms": str(wait_ms)}
-        got = await self._call(
+        result = await self._call(
             "feed", "GET", names.ROWS_FEED, query=query, wait_ms=wait_ms
         )
-        if isinstance(got, Err):
-            return got
-        return Ok(_page(got.ok_value[1]))
+        if isinstance(result, Err):
+            return result
+        return Ok(_page(result.ok_value[1]))
 
     async def _call(
         self,
@@ -143,22 +142,22 @@
         url = f"http://{self._address}{path}"
         if query:
             url = f"{url}?{parse.urlencode(query)}"
-        got = await calls.exchange(
+        result = await calls.exchange(
             self._session,
             method,
             url,
             body=body,
             timeout_ms=self._timeout_ms + wait_ms,
         )
-        if isinstance(got, Err):
-            return self._error(step, got.err_value.detail)
-        status = got.ok_value.status
+        if isinstance(result, Err):
+            return self._error(step, result.err_value.detail)
+        status = result.ok_value.status
         if status not in (200, STATUS_CONDITION_FAILED):
             return self._error(step, f"status {status}", status=status)
         try:
-            return Ok((status, _Rows.model_validate_json(got.ok_value.body)))
+            return Ok((status, _Rows.model_validate_json(result.ok_value.body)))
         except pydantic.ValidationError as error:
-            return self._error(step, wire.why(error))
+            return self._error(step, wire.first_error(error))
 
     def _error(
         self, step: str, detail: str, *, status: int = 0
@@ -168,24 +167,24 @@
                 step=step,
                 peer=self._address,
                 detail=detail,
-                may_have_run=status not in STATUSES_NOT_DONE,
+                may_have_run=status not in STATUSES_NOT_EXECUTED,
                 history_lost=status == STATUS_HISTORY_LOST,
             )
         )
 
 
-def _named(row_id: protocol.RowId) -> dict[str, str | int]:
+def _ref(row_id: protocol.RowId) -> dict[str, str | int]:
     return {"table": row_id.table, "part": "", "key": row_id.key}
 
 
-def _encoded(value: str) -> str:
+def _encode(value: str) -> str:
     return base64.b64encode(value.encode()).decode()
 
 
-def _decoded(value: str) -> str:
-    """Returns a row's text, empty where its bytes are no text.
+def _decode(value: str) -> str:
+    """Returns a row's text, or an empty string if it is not valid text.
 
-    An error would lose the whole page for one row of another writer.
+    An error would discard the whole page for one row of another writer.
     """
     try:
         return base64.b64decode(value, validate=True).decode()
@@ -193,17 +192,17 @@
         return ""
 
 
-def _stored(row: _Row, now_ms: int) -> protocol.StoredRow:
+def _stored_row(row: _Row, now_ms: int) -> protocol.StoredRow:
     row_id = protocol.RowId(row.table, row.key)
     version = 0 if row.deleted else row.row_version
-    return protocol.StoredRow(row_id, _decoded(row.value), version, now_ms)
+    return protocol.StoredRow(row_id, _decode(row.value), version, now_ms)
 
 
 def _page(page: _Rows) -> protocol.FeedPage:
     rows = tuple(
         protocol.ChangedRow(
             key=row.key,
-            value=_decoded(row.value),
+            value=_decode(row.value),
             version=row.row_version,
             deleted=row.deleted,
         )
--- a/src/godwittack/platform/wire.py
+++ b/src/godwittack/platform/wire.py
@@ -1,4 +1,4 @@
-"""The form of all bodies: JSON, with dashes in the names of fields."""
+"""Base classes of all bodies: JSON, with dashes in field names."""
 
 from __future__ import annotations
 
@@ -8,38 +8,38 @@
 
 from godwittack.backend import headers
 
-_MOST = 10**headers.MOST_DIGITS
-Count = Annotated[int, pydantic.Field(ge=0, le=_MOST)]
-Positive = Annotated[int, pydantic.Field(ge=1, le=_MOST)]
-Amount = Annotated[float, pydantic.Field(ge=0, le=_MOST)]
+_MAX_NUMBER = 10**headers.MOST_DIGITS
+Count = Annotated[int, pydantic.Field(ge=0, le=_MAX_NUMBER)]
+Positive = Annotated[int, pydantic.Field(ge=1, le=_MAX_NUMBER)]
+Amount = Annotated[float, pydantic.Field(ge=0, le=_MAX_NUMBER)]
 
 
-class Wire(pydantic.BaseModel):
-    """Base of what is read; fields that are not named here are left out."""
+class Body(pydantic.BaseModel):
+    """Base of decoded bodies; ignores unknown fields."""
 
     model_config = pydantic.ConfigDict(
         alias_generator=lambda name: name.replace("_", "-")
     )
 
 
-class StrictWire(Wire):
-    """Base of what servers say: text is no number, as others may write it."""
+class StrictBody(Body):
+    """Base of bodies in which, unlike in others, numbers can't be strings."""
 
     model_config = pydantic.ConfigDict(strict=True)
 
 
-class WeightsOf(StrictWire):
-    """A model with the version of the weights that are loaded."""
+class LoadedModel(StrictBody):
+    """A model with the version of its loaded weights."""
 
     name: str = pydantic.Field(min_length=1)
     version: Positive
 
 
-def why(error: pydantic.ValidationError) -> str:
-    """Returns what is wrong first, in one line."""
+def first_error(error: pydantic.ValidationError) -> str:
+    """Returns the first error as one line."""
     first = error.errors()[0]
     return ".".join(str(p) for p in first["loc"]) + f": {first['msg']}"
 
 
-__all__ = ["Amount", "Count", "Positive", "StrictWire", "WeightsOf", "Wire"]
-__all__ += ["why"]
+__all__ = ["Amount", "Body", "Count", "LoadedModel", "Positive", "StrictBody"]
+__all__ += ["first_error"]
--- a/src/godwittack/session/record.py
+++ b/src/godwittack/session/record.py
@@ -1,4 +1,4 @@
-"""Records a core's session, and replays one byte for byte."""
+"""Records a core's session, and replays recordings byte for byte."""
 
 from __future__ import annotations
 
@@ -12,79 +12,85 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-INPUT_MARK = "> "
-EFFECT_MARK = "< "
-COMMENT_MARK = "#"
+INPUT_PREFIX = "> "
+EFFECT_PREFIX = "< "
+COMMENT_PREFIX = "#"
 
 
 class Sink(Protocol):
-    """Where the lines of a recording go."""
+    """Receives the lines of a recording."""
 
     def write(self, text: str, /) -> object:
-        """Adds text."""
+        """Appends text."""
 
 
 class Recorder:
-    """Writes every input of a core, and its effects below it."""
+    """Writes every input of a core, followed by its effects."""
 
     def __init__(self, core: router.Router, sink: Sink) -> None:
-        """Writes the head of the recording."""
+        """Writes the header line of the recording."""
         self._sink = sink
-        sink.write(head(core) + "\n")
+        sink.write(header_line(core) + "\n")
 
-    def stepped(self, told: inputs.Input, made: list[effects.Effect]) -> None:
-        """Writes one input with its effects."""
-        self._sink.write(f"{INPUT_MARK}{codec.encode(told)}\n")
-        for effect in made:
-            self._sink.write(f"{EFFECT_MARK}{codec.encode(effect)}\n")
+    def record_step(
+        self, message: inputs.Input, emitted: list[effects.Effect]
+    ) -> None:
+        """Writes one input and its effects."""
+        self._sink.write(f"{INPUT_PREFIX}{codec.encode(message)}\n")
+        for effect in emitted:
+            self._sink.write(f"{EFFECT_PREFIX}{codec.encode(effect)}\n")
 
 
-def head(core: router.Router) -> str:
-    """Returns the line that a recording starts with."""
-    numbers = codec.encode_policy(core.world.policy)
+def header_line(core: router.Router) -> str:
+    """Returns the first line of a recording."""
+    policy_json = codec.encode_policy(core.world.policy)
     return json.dumps(
-        {"daemon": core.world.daemon, "policy": json.loads(numbers)}
+        {"daemon": core.world.daemon, "policy": json.loads(policy_json)}
     )
 
 
 def replay(lines: Iterable[str]) -> list[str]:
-    """Returns a recording's lines with the effects made anew.
+    """Replays a recording and returns its lines with the new effects.
 
     Args:
         lines: A recording; comment lines are kept.
     """
     core: router.Router | None = None
-    made: list[str] = []
+    replayed: list[str] = []
     for raw in lines:
         line = raw.rstrip("\n")
-        if line.startswith(COMMENT_MARK) or not line:
-            made.append(line)
+        if line.startswith(COMMENT_PREFIX) or not line:
+            replayed.append(line)
         elif core is None:
-            core = _core_of(line)
-            made.append(head(core))
-        elif line.startswith(INPUT_MARK):
-            made.append(line)
-            told = codec.decode(line[len(INPUT_MARK) :])
-            for effect in core.step(told):  # type: ignore[arg-type]
-                made.append(EFFECT_MARK + codec.encode(effect))
-    return made
+            core = _router_from_header(line)
+            replayed.append(header_line(core))
+        elif line.startswith(INPUT_PREFIX):
+            replayed.append(line)
+            message = codec.decode(line[len(INPUT_PREFIX) :])
+            for effect in core.step(message):  # type: ignore[arg-type]
+                replayed.append(EFFECT_PREFIX + codec.encode(effect))
+    return replayed
 
 
-def difference(name: str, lines: list[str]) -> list[str]:
+def replay_diff(name: str, lines: list[str]) -> list[str]:
     """Returns a unified diff between a recording and its replay."""
-    before = [line.rstrip("\n") for line in lines]
-    after = replay(lines)
+    recorded = [line.rstrip("\n") for line in lines]
+    replayed = replay(lines)
     return list(
         difflib.unified_diff(
-            before, after, f"{name} (recorded)", f"{name} (now)", lineterm=""
+            recorded,
+            replayed,
+            f"{name} (recorded)",
+            f"{name} (now)",
+            lineterm="",
         )
     )
 
 
-def _core_of(line: str) -> router.Router:
-    told = json.loads(line)
-    numbers = codec.decode_policy(json.dumps(told["policy"]))
-    return router.Router.from_config(daemon=told["daemon"], policy=numbers)
+def _router_from_header(line: str) -> router.Router:
+    header = json.loads(line)
+    policy = codec.decode_policy(json.dumps(header["policy"]))
+    return router.Router.from_config(daemon=header["daemon"], policy=policy)
 
 
-__all__ = ["Recorder", "difference", "head", "replay"]
+__all__ = ["Recorder", "header_line", "replay", "replay_diff"]
