--- a/src/godwittack/backend/signals.py
+++ b/src/godwittack/backend/signals.py
@@ -7,7 +7,12 @@
 
 from result import Err, Ok, Result
 
-from godwittack.backend import headers, named_limits, retry_after, unreadable
+from godwittack.backend import (
+    headers,
+    advertised_limits,
+    retry_after,
+    unreadable,
+)
 from godwittack.core import server_inputs
 
 if TYPE_CHECKING:
@@ -101,7 +106,7 @@
         self._clock = clock
         self.submit: Callable[[server_inputs.ServerSignal], None]
         self.submit = lambda told: None
-        self.limits = named_limits.NamedLimits(clock=clock)
+        self.limits = advertised_limits.NamedLimits(clock=clock)
         self._unreadable = unreadable.UnreadableLog(
             "server_rest_unreadable", assumed_ms=UNREADABLE_REST_MS
         )
