--- a/src/godwittack/backend/advertised_limits.py
+++ b/src/godwittack/backend/advertised_limits.py
@@ -15,7 +15,7 @@
     from godwittack.clock import Clock
 
 
-class NamedLimits:
+class AdvertisedLimits:
     """Turns what answers say of limits into inputs, where it says something.
 
     Attributes:
@@ -26,12 +26,12 @@
     def __init__(self, *, clock: Clock) -> None:
         """Dates what is told by `clock`."""
         self._clock = clock
-        self.on_named: Callable[[server_inputs.RateLimitEchoed], None]
-        self.on_named = lambda told: None
-        self.is_known: Callable[[str], bool] = lambda server_id: False
+        self.on_limit: Callable[[server_inputs.RateLimitEchoed], None]
+        self.on_limit = lambda told: None
+        self.has_limit: Callable[[str], bool] = lambda server_id: False
         self._unreadable = unreadable.UnreadableLog("server_limit_unreadable")
 
-    def heard(
+    def report(
         self,
         server_id: str,
         named: Result[float | None, str],
@@ -47,13 +47,13 @@
                 as one to a request that was run does.
         """
         if isinstance(named, Err):
-            self._unreadable.note(server_id, named.err_value)
+            self._unreadable.log(server_id, named.err_value)
             return
         limit_per_s = named.ok_value
-        says_none = may_lift and self.is_known(server_id)
+        says_none = may_lift and self.has_limit(server_id)
         if limit_per_s is None and not says_none:
             return
-        self.on_named(
+        self.on_limit(
             server_inputs.RateLimitEchoed(
                 at_ms=self._clock.now_ms(),
                 server_id=server_id,
@@ -62,4 +62,4 @@
         )
 
 
-__all__ = ["NamedLimits"]
+__all__ = ["AdvertisedLimits"]
--- a/src/godwittack/backend/connection.py
+++ b/src/godwittack/backend/connection.py
@@ -38,15 +38,15 @@
     Attributes:
         status: HTTP status; 0 until the head came.
         headers: In the order and case received.
-        is_whole: Whether the body's end was seen.
-        ends_with_connection: Whether only the connection's end marks it.
+        is_complete: Whether the body's end was seen.
+        is_close_delimited: Whether only the connection's end marks it.
         chunks: Pieces of the body that were not read yet.
     """
 
     status: int = 0
     headers: list[work.Header] = dataclasses.field(default_factory=list)
-    is_whole: bool = False
-    ends_with_connection: bool = False
+    is_complete: bool = False
+    is_close_delimited: bool = False
     chunks: collections.deque[bytes] = dataclasses.field(
         default_factory=collections.deque
     )
@@ -71,19 +71,19 @@
 
     def __init__(self) -> None:
         """Waits for `asyncio` to connect it."""
-        self.used = False
+        self.was_used = False
         self.idle_since_ms = 0
-        self.keep_ms = 0
+        self.keep_alive_ms = 0
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
         self._reply: Reply | None = None
-        self._heads: collections.deque[Reply] = collections.deque()
+        self._unread_replies: collections.deque[Reply] = collections.deque()
         self._buffered = 0
-        self._awaited = False
-        self._changed = asyncio.Event()
-        self._lost: str | None = None
+        self._is_awaiting_reply = False
+        self._progress = asyncio.Event()
+        self._failure: str | None = None
         self._paused = False
-        self._spoiled = False
+        self._is_unusable = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Sets the socket up so that a dead path shows."""
@@ -95,23 +95,23 @@
 
     def data_received(self, data: bytes) -> None:
         """Parses what came."""
-        if self._spoiled:
+        if self._is_unusable:
             return
-        if not self._awaited:
+        if not self._is_awaiting_reply:
             # Nothing was asked: whatever this is, it is not for anybody.
-            self._spoil("bytes without a request")
+            self._abort("bytes without a request")
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self._spoil(f"not HTTP: {error}")
-        self._changed.set()
+            self._abort(f"not HTTP: {error}")
+        self._progress.set()
 
     def eof_received(self) -> bool:
         """Ends an answer that has no length."""
         reply = self._reply
-        if reply is not None and reply.status and reply.ends_with_connection:
-            reply.is_whole = True
+        if reply is not None and reply.status and reply.is_close_delimited:
+            reply.is_complete = True
         self._fail("the server closed the connection")
         return False
 
@@ -142,8 +142,8 @@
         chunked = "chunked" in reply.header("transfer-encoding").lower()
         has_length = bool(reply.header("content-length"))
         no_body = reply.status in (204, 304)
-        reply.ends_with_connection = not (chunked or has_length or no_body)
-        self._heads.append(reply)
+        reply.is_close_delimited = not (chunked or has_length or no_body)
+        self._unread_replies.append(reply)
 
     def on_body(self, body: bytes) -> None:
         """Parser: a piece of a body."""
@@ -159,13 +159,13 @@
     def on_message_complete(self) -> None:
         """Parser: the answer's end."""
         if self._reply is not None and self._reply.status >= 200:
-            self._reply.is_whole = True
+            self._reply.is_complete = True
 
     @property
     def is_open(self) -> bool:
         """Whether a request could be sent."""
         closing = self._transport is None or self._transport.is_closing()
-        return not (self._spoiled or self._lost or closing)
+        return not (self._is_unusable or self._failure or closing)
 
     def send(self, head: bytes, body: bytes) -> None:
         """Writes a request; what the socket does not take yet is kept.
@@ -175,12 +175,12 @@
         taken for it.
         """
         assert self._transport is not None
-        self.used = True
-        self._awaited = True
+        self.was_used = True
+        self._is_awaiting_reply = True
         self._transport.write(head + body)
 
-    async def read_head(self, is_mine: Callable[[Reply], bool]) -> Reply:
-        """Returns the head of the answer that `is_mine` recognizes.
+    async def read_head(self, matches: Callable[[Reply], bool]) -> Reply:
+        """Returns the head of the answer that `matches` recognizes.
 
         Answers to other requests that come before it are read past.
 
@@ -188,27 +188,27 @@
             ReplyError: The connection ended, or brought no answer.
         """
         while True:
-            while not self._heads:
-                self._raise_if_lost()
-                await self._wait()
-            reply = self._heads.popleft()
-            if is_mine(reply):
+            while not self._unread_replies:
+                self._raise_if_failed()
+                await self._wait_for_progress()
+            reply = self._unread_replies.popleft()
+            if matches(reply):
                 return reply
             await self.read_body(reply)
-            if reply.ends_with_connection:
+            if reply.is_close_delimited:
                 raise ReplyError("an answer to another request, without end")
 
-    async def read_some(self, reply: Reply) -> bytes:
+    async def read_chunk(self, reply: Reply) -> bytes:
         """Returns the next bytes of a body; none at its end.
 
         Raises:
             ReplyError: The connection ended before the body did.
         """
         while not reply.chunks:
-            if reply.is_whole:
+            if reply.is_complete:
                 return b""
-            self._raise_if_lost()
-            await self._wait()
+            self._raise_if_failed()
+            await self._wait_for_progress()
         data = b"".join(reply.chunks)
         reply.chunks.clear()
         self._buffered -= len(data)
@@ -225,7 +225,7 @@
         """
         parts: list[bytes] = []
         size = 0
-        while data := await self.read_some(reply):
+        while data := await self.read_chunk(reply):
             parts.append(data)
             size += len(data)
             if size > limit:
@@ -236,44 +236,44 @@
         """Ends an exchange; returns whether another one may follow."""
         self.idle_since_ms = now_ms
         clean = (
-            reply.is_whole
-            and not reply.ends_with_connection
-            and not self._heads
+            reply.is_complete
+            and not reply.is_close_delimited
+            and not self._unread_replies
             and self._reply is reply
             and reply.header("connection").lower() != "close"
         )
-        self.keep_ms = _keep_ms(reply)
+        self.keep_alive_ms = _keep_alive_ms(reply)
         self._reply = None
-        self._awaited = False
+        self._is_awaiting_reply = False
         return clean and self.is_open
 
     def close(self) -> None:
         """Closes at once; the server sees its caller gone."""
-        self._spoiled = True
+        self._is_unusable = True
         if self._transport is not None:
             self._transport.abort()
 
-    async def _wait(self) -> None:
-        self._changed.clear()
-        await self._changed.wait()
+    async def _wait_for_progress(self) -> None:
+        self._progress.clear()
+        await self._progress.wait()
 
-    def _raise_if_lost(self) -> None:
-        if self._lost is not None:
-            raise ReplyError(self._lost)
+    def _raise_if_failed(self) -> None:
+        if self._failure is not None:
+            raise ReplyError(self._failure)
 
-    def _spoil(self, detail: str) -> None:
-        self._spoiled = True
+    def _abort(self, detail: str) -> None:
+        self._is_unusable = True
         self._fail(detail)
         if self._transport is not None:
             self._transport.abort()
 
     def _fail(self, detail: str) -> None:
-        if self._lost is None:
-            self._lost = detail
-        self._changed.set()
+        if self._failure is None:
+            self._failure = detail
+        self._progress.set()
 
 
-def _keep_ms(reply: Reply) -> int:
+def _keep_alive_ms(reply: Reply) -> int:
     """Returns the server's idle limit, 0 where it names none."""
     for part in reply.header("keep-alive").split(","):
         name, _, value = part.strip().partition("=")
--- a/src/godwittack/backend/headers.py
+++ b/src/godwittack/backend/headers.py
@@ -24,11 +24,11 @@
         "upgrade",
     }
 )
-SET_ANEW = frozenset({"content-length", "date", "server"})
+REGENERATED = frozenset({"content-length", "date", "server"})
 # More make no sense in any header, and Python refuses thousands.
-MOST_DIGITS = 15
+MAX_DIGITS = 15
 # Characters shown of a header that can't be read.
-MOST_SHOWN = 100
+MAX_SHOWN_CHARS = 100
 
 
 def end_to_end(
@@ -45,18 +45,18 @@
         dropped: Further names, in lower case.
     """
     named = {part.strip().lower() for part in connection.split(",")}
-    named |= HOP_BY_HOP | SET_ANEW | set(dropped)
+    named |= HOP_BY_HOP | REGENERATED | set(dropped)
     return tuple(header for header in found if header.name.lower() not in named)
 
 
-def number(text: str) -> int | None:
+def parse_number(text: str) -> int | None:
     """Returns a whole number that a header holds, None for anything else."""
     text = text.strip()
-    is_number = text.isascii() and text.isdecimal() and len(text) <= MOST_DIGITS
+    is_number = text.isascii() and text.isdecimal() and len(text) <= MAX_DIGITS
     return int(text) if is_number else None
 
 
-def decimal(
+def parse_decimal(
     headers: Iterable[work.Header], names: Collection[str]
 ) -> Result[float | None, str]:
     """Returns the number, with or without a fraction, that headers hold.
@@ -74,7 +74,7 @@
     if not told:
         return Ok(None)
     if len(set(told)) > 1 or not is_decimal(told[0]):
-        return Err(", ".join(told)[:MOST_SHOWN])
+        return Err(", ".join(told)[:MAX_SHOWN_CHARS])
     return Ok(float(told[0]))
 
 
@@ -83,15 +83,15 @@
     whole, _, fraction = text.partition(".")
     digits = whole + fraction
     is_number = digits.isascii() and digits.isdecimal() and bool(whole)
-    return is_number and len(digits) <= MOST_DIGITS
+    return is_number and len(digits) <= MAX_DIGITS
 
 
 __all__ = [
     "HOP_BY_HOP",
-    "MOST_DIGITS",
-    "SET_ANEW",
-    "decimal",
+    "MAX_DIGITS",
+    "REGENERATED",
+    "parse_decimal",
     "end_to_end",
     "is_decimal",
-    "number",
+    "parse_number",
 ]
--- a/src/godwittack/backend/http.py
+++ b/src/godwittack/backend/http.py
@@ -18,12 +18,17 @@
     from godwittack.clock import Clock
     from godwittack.core import effects
 
-_Read = TypeVar("_Read")
+_Parsed = TypeVar("_Parsed")
 
 REFUSED_STATUSES = frozenset({429, 503})
 GONE_STATUSES = frozenset({404, 410})
 MAX_ANSWER_BYTES = 32 << 20
-AUTO_HEADERS = ("accept", "accept-encoding", "content-type", "user-agent")
+SKIPPED_AUTO_HEADERS = (
+    "accept",
+    "accept-encoding",
+    "content-type",
+    "user-agent",
+)
 
 
 class HttpBackend:
@@ -49,7 +54,7 @@
         """
         self._pooled = pooled
         self._fresh = fresh
-        self.listener = signals.Listener(clock=clock)
+        self.signal_reporter = signals.SignalReporter(clock=clock)
         # The core watches for silence; here only connecting is limited.
         self._attempt_timeout = aiohttp.ClientTimeout(
             total=None, sock_connect=connect_timeout_ms / 1000
@@ -94,7 +99,9 @@
 
     async def cancel(self, address: str, stream_id: str) -> None:
         """Ends a stream on an engine."""
-        await self._control("cancel", address, "DELETE", _stream(stream_id))
+        await self._control(
+            "cancel", address, "DELETE", _stream_path(stream_id)
+        )
 
     async def load(
         self, address: str, *, server_id: str = ""
@@ -103,7 +110,7 @@
         got = await self._control("load", address, "GET", "/load")
         if isinstance(got, Err):
             return got
-        return _read(address, "load", schema.load, got.ok_value)
+        return _parse(address, "load", schema.load, got.ok_value)
 
     async def poll_load(
         self, address: str, *, server_id: str = ""
@@ -114,7 +121,7 @@
         )
         if isinstance(got, Err):
             return got
-        return _read(address, "poll load", schema.load, got.ok_value)
+        return _parse(address, "poll load", schema.load, got.ok_value)
 
     async def cache_events(
         self, address: str, *, after: int, server_id: str = ""
@@ -130,7 +137,7 @@
         )
         if isinstance(got, Err):
             return got
-        return _read(address, "cache events", schema.events, got.ok_value)
+        return _parse(address, "cache events", schema.events, got.ok_value)
 
     async def order(
         self, address: str, order: protocol.Order
@@ -168,7 +175,11 @@
         session = self._fresh if dispatch.fresh_connection else self._pooled
         method, path, body = call.method, call.path, call.body
         if dispatch.resume_stream:
-            method, path, body = "GET", _stream(dispatch.resume_stream), b""
+            method, path, body = (
+                "GET",
+                _stream_path(dispatch.resume_stream),
+                b"",
+            )
         async with session.request(
             method,
             f"http://{dispatch.address}{path}",
@@ -176,18 +187,18 @@
             headers=_headers(dispatch, call),
             timeout=self._attempt_timeout,
             allow_redirects=False,
-            skip_auto_headers=AUTO_HEADERS,
+            skip_auto_headers=SKIPPED_AUTO_HEADERS,
             middlewares=(_SendOnce(),),
         ) as response:
-            self._hear(dispatch, response)
+            self._report_signals(dispatch, response)
             if dispatch.stamp is None:
-                sink.answer("", await _answer(response), None)
+                sink.answer("", await _read_answer(response), None)
                 return
             if response.status != 200 and _is_refusal(response, dispatch, sink):
                 return
             await self._read_generation(dispatch, response, sink)
 
-    def _hear(
+    def _report_signals(
         self, dispatch: effects.Dispatch, response: aiohttp.ClientResponse
     ) -> None:
         """Takes in the rest that a server asks for where it declines."""
@@ -197,12 +208,12 @@
         rest = signals.read_rest(
             response.status, found, is_declined=dispatch.stamp is not None
         )
-        sender = signals.Sender(
+        sender = signals.SignalOrigin(
             server_id=dispatch.server_id,
             incarnation=dispatch.stamp.incarnation if dispatch.stamp else "",
             request_id=dispatch.request_id,
         )
-        self.listener.heard(
+        self.signal_reporter.report(
             sender, signals.ServerSignals(rest=rest), may_lift_limit=False
         )
 
@@ -232,7 +243,7 @@
                 generated=0,
             )
         if not streamed:
-            sink.answer(echoed, await _answer(response), stamp)
+            sink.answer(echoed, await _read_answer(response), stamp)
             return
         await _read_frames(dispatch, response, sink)
 
@@ -272,9 +283,9 @@
     return inputs.FailureCause.BROKEN
 
 
-def _read(
-    address: str, step: str, parse: Callable[[bytes], _Read], data: bytes
-) -> Result[_Read, protocol.BackendError]:
+def _parse(
+    address: str, step: str, parse: Callable[[bytes], _Parsed], data: bytes
+) -> Result[_Parsed, protocol.BackendError]:
     try:
         return Ok(parse(data))
     except pydantic.ValidationError as error:
@@ -349,7 +360,7 @@
     return True
 
 
-async def _answer(response: aiohttp.ClientResponse) -> work.Answer:
+async def _read_answer(response: aiohttp.ClientResponse) -> work.Answer:
     body = bytearray()
     async for data in response.content.iter_any():
         body.extend(data)
@@ -367,7 +378,7 @@
     lower = name.lower()
     named = {part.strip().lower() for part in connection.split(",")}
     # These are set anew towards the caller.
-    length = lower in headers.SET_ANEW
+    length = lower in headers.REGENERATED
     return lower not in headers.HOP_BY_HOP and lower not in named and not length
 
 
@@ -387,7 +398,7 @@
     return headers
 
 
-def _stream(stream_id: str) -> str:
+def _stream_path(stream_id: str) -> str:
     return f"/v1/streams/{stream_id}"
 
 
--- a/src/godwittack/backend/pool.py
+++ b/src/godwittack/backend/pool.py
@@ -16,7 +16,7 @@
 # the server's close do not cross on the way.
 IDLE_MARGIN_MS = 1_500
 # Idle time after which a connection is not used where no limit is named.
-IDLE_DEFAULT_MS = 3_000
+DEFAULT_IDLE_LIMIT_MS = 3_000
 MAX_IDLE_PER_ADDRESS = 32
 
 
@@ -31,12 +31,12 @@
             collections.defaultdict(collections.deque)
         )
 
-    def take(self, key: str) -> connections.Connection | None:
+    def acquire(self, key: str) -> connections.Connection | None:
         """Returns the kept connection that was used last, if one is good."""
         idle = self._idle.get(key)
         while idle:
             found = idle.pop()
-            if found.is_open and not self._is_old(found):
+            if found.is_open and not self._is_expired(found):
                 return found
             found.close()
         return None
@@ -58,7 +58,7 @@
             raise OSError("no connection in time") from error
         return made
 
-    def give_back(
+    def release(
         self,
         key: str,
         used: connections.Connection,
@@ -72,10 +72,10 @@
             return
         idle.append(used)
 
-    def tidy(self) -> None:
+    def close_expired(self) -> None:
         """Closes what has been idle for too long."""
         for key, idle in list(self._idle.items()):
-            while idle and (not idle[0].is_open or self._is_old(idle[0])):
+            while idle and (not idle[0].is_open or self._is_expired(idle[0])):
                 idle.popleft().close()
             if not idle:
                 del self._idle[key]
@@ -87,10 +87,10 @@
                 kept.close()
         self._idle.clear()
 
-    def _is_old(self, kept: connections.Connection) -> bool:
-        limit_ms = IDLE_DEFAULT_MS
-        if kept.keep_ms:
-            limit_ms = max(0, kept.keep_ms - IDLE_MARGIN_MS)
+    def _is_expired(self, kept: connections.Connection) -> bool:
+        limit_ms = DEFAULT_IDLE_LIMIT_MS
+        if kept.keep_alive_ms:
+            limit_ms = max(0, kept.keep_alive_ms - IDLE_MARGIN_MS)
         return self._clock.now_ms() - kept.idle_since_ms >= limit_ms
 
 
--- a/src/godwittack/backend/protocol.py
+++ b/src/godwittack/backend/protocol.py
@@ -21,16 +21,16 @@
         peer: Address of the backend server.
         detail: One line for people.
         status: HTTP status of the answer; 0 where none came.
-        sent: Whether a byte of the call may have reached the server.
-        ended: Whether nothing listens at its address.
+        may_have_run: Whether a byte of the call may have reached the server.
+        connection_refused: Whether nothing listens at its address.
     """
 
     step: str
     peer: str
     detail: str
     status: int = 0
-    sent: bool = True
-    ended: bool = False
+    may_have_run: bool = True
+    connection_refused: bool = False
 
     def __str__(self) -> str:
         """Returns the error as one line."""
@@ -95,8 +95,8 @@
     """An engine's or service's account of its load.
 
     Attributes:
-        orders_taken: Orders accepted so far; -1 where it does not count them.
-        is_ordered: Whether it is carrying out an order.
+        accepted_orders: Orders accepted so far; -1 where it does not count them.
+        is_executing_order: Whether it is carrying out an order.
     """
 
     incarnation: str
@@ -107,8 +107,8 @@
     prefill_us_per_token: int = 0
     slots: int = 0
     leaving: bool = False
-    orders_taken: int = -1
-    is_ordered: bool = False
+    accepted_orders: int = -1
+    is_executing_order: bool = False
 
 
 class CacheEventKind(enum.StrEnum):
@@ -141,7 +141,7 @@
         oldest: Sequence of the oldest event that the engine still has.
         epoch: Changes with each restart of the numbering; empty where the
             incarnation does.
-        next: What to ask for events after; -1 for the last one's sequence.
+        next_after: What to ask for events after; -1 for the last one's sequence.
     """
 
     incarnation: str
@@ -149,7 +149,7 @@
     oldest: int
     events: tuple[CacheEvent, ...]
     epoch: str = ""
-    next: int = -1
+    next_after: int = -1
 
 
 class OrderKind(enum.StrEnum):
@@ -171,7 +171,7 @@
         target: Model or service of the server.
         server_id: Server that must get it, for servers that check.
         holder: Daemon that gives it.
-        orders_taken: Orders that the server must have accepted before, so
+        expected_accepted_orders: Orders that the server must have accepted before, so
             that one on its way for seconds does not follow a newer one; -1
             for any number.
     """
@@ -182,7 +182,7 @@
     target: str = ""
     server_id: str = ""
     holder: str = ""
-    orders_taken: int = -1
+    expected_accepted_orders: int = -1
 
 
 class BackendClient(Protocol):
--- a/src/godwittack/backend/retry_after.py
+++ b/src/godwittack/backend/retry_after.py
@@ -17,7 +17,7 @@
 
 HEADER = "retry-after"
 # Longer ones are taken for this: a day.
-MOST_MS = 86_400_000
+MAX_REST_MS = 86_400_000
 
 
 def read(found: Iterable[work.Header]) -> Result[int | None, str]:
@@ -37,23 +37,23 @@
     if not told:
         return Ok(None)
     dated = next((h.value for h in found if h.name.lower() == "date"), "")
-    read_ms = [_milliseconds(value, dated) for value in told]
+    read_ms = [_parse_ms(value, dated) for value in told]
     known_ms = [value for value in read_ms if value is not None]
     if not known_ms:
-        return Err(", ".join(told)[: headers.MOST_SHOWN])
-    return Ok(min(max(known_ms), MOST_MS))
+        return Err(", ".join(told)[: headers.MAX_SHOWN_CHARS])
+    return Ok(min(max(known_ms), MAX_REST_MS))
 
 
-def _milliseconds(value: str, dated: str) -> int | None:
+def _parse_ms(value: str, dated: str) -> int | None:
     if headers.is_decimal(value):
         return math.ceil(float(value) * 1000)
-    until_s, made_s = _moment_s(value), _moment_s(dated)
+    until_s, made_s = _parse_date_s(value), _parse_date_s(dated)
     if until_s is None or made_s is None:
         return None
     return max(0, (until_s - made_s) * 1000)
 
 
-def _moment_s(text: str) -> int | None:
+def _parse_date_s(text: str) -> int | None:
     """Returns a date's Unix seconds, None for what is no date."""
     parsed = email.utils.parsedate_tz(text)
     if parsed is None:
@@ -64,4 +64,4 @@
         return None
 
 
-__all__ = ["MOST_MS", "read"]
+__all__ = ["MAX_REST_MS", "read"]
--- a/src/godwittack/backend/routed.py
+++ b/src/godwittack/backend/routed.py
@@ -24,7 +24,7 @@
 EVENT_STREAM = "text/event-stream"
 # Time in which a server that turns a connection away has reset it: a round
 # trip between failure domains of 2 ms, and 1 ms in which it accepts.
-TURNED_AWAY_MS = 4
+RESET_WAIT_MS = 4
 
 
 # Names of kept connections beside those of callers' requests.
@@ -32,7 +32,7 @@
 EVENTS_CONNECTION = "events/control"
 
 
-class TurnedAwayError(ConnectionResetError):
+class ConnectionRejectedError(ConnectionResetError):
     """The server accepted a connection and reset it unused."""
 
 
@@ -40,7 +40,7 @@
     """The server wanted no work any more before anything was sent."""
 
 
-class OutOfTimeError(Exception):
+class DeadlineExceededError(Exception):
     """The time for an answer was over before anything was sent."""
 
 
@@ -61,18 +61,18 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Answered:
+class _ControlReply:
     """Answer to a control call, with what it says of its server."""
 
     body: bytes
-    said: signals.ServerSignals
+    signals: signals.ServerSignals
 
 
 class ServerFormat(Protocol):
     """How requests to servers are written, and their answers read."""
 
     def request_head(
-        self, dispatch: effects.Dispatch, call: protocol.Call, left_ms: int
+        self, dispatch: effects.Dispatch, call: protocol.Call, remaining_ms: int
     ) -> bytes:
         """Returns request line and headers of one attempt.
 
@@ -82,17 +82,15 @@
             left_ms: Time that is left for the answer; 0 for no limit.
         """
 
-    def is_answer_to(
-        self, reply: connections.Reply, call: protocol.Call
-    ) -> bool:
+    def matches(self, reply: connections.Reply, call: protocol.Call) -> bool:
         """Returns whether an answer belongs to the call."""
 
-    def declined(
+    def decline_cause(
         self, reply: connections.Reply, server_id: str
     ) -> inputs.FailureCause | None:
         """Returns why the server did not run the request, None if it did."""
 
-    def signals(self, reply: connections.Reply) -> signals.ServerSignals:
+    def read_signals(self, reply: connections.Reply) -> signals.ServerSignals:
         """Returns all that an answer says of its server."""
 
     def load_call(self, address: str, server_id: str) -> ControlCall:
@@ -120,16 +118,16 @@
         self,
         *,
         pool: pools.Pool,
-        wire: ServerFormat,
+        server_format: ServerFormat,
         clock: Clock,
         control_timeout_ms: int,
     ) -> None:
-        """Speaks `wire` over connections of `pool`."""
+        """Speaks `server_format` over connections of `pool`."""
         self._pool = pool
-        self._wire = wire
+        self._format = server_format
         self._clock = clock
         self._control_timeout_ms = control_timeout_ms
-        self.listener = signals.Listener(clock=clock)
+        self.signal_reporter = signals.SignalReporter(clock=clock)
         self.may_send: Callable[[effects.Dispatch], bool]
         self.may_send = lambda dispatch: True
 
@@ -142,7 +140,7 @@
         """Runs one attempt to its end."""
         used = None
         if not dispatch.fresh_connection:
-            used = self._pool.take(dispatch.server_id)
+            used = self._pool.acquire(dispatch.server_id)
         if used is None:
             try:
                 used = await self._open(dispatch)
@@ -163,7 +161,7 @@
                 inputs.FailureCause.WITHHELD,
                 str(error),
             )
-        except OutOfTimeError as error:
+        except DeadlineExceededError as error:
             sink.failed(
                 inputs.FailurePhase.DECLINED,
                 inputs.FailureCause.REFUSED,
@@ -196,13 +194,13 @@
         if not dispatch.fresh_connection:
             return used
         try:
-            await asyncio.sleep(TURNED_AWAY_MS / 1000)
+            await asyncio.sleep(RESET_WAIT_MS / 1000)
         except asyncio.CancelledError:
             used.close()
             raise
         if not used.is_open:
             used.close()
-            raise TurnedAwayError("reset before anything was sent")
+            raise ConnectionRejectedError("reset before anything was sent")
         return used
 
     async def cancel(self, address: str, stream_id: str) -> None:
@@ -212,18 +210,18 @@
         self, address: str, *, server_id: str = ""
     ) -> Result[protocol.EngineLoad, protocol.BackendError]:
         """Returns the server's own report."""
-        call = self._wire.load_call(address, server_id)
+        call = self._format.load_call(address, server_id)
         got = await self._control(
-            address, server_id, call, kept_as=CONTROL_CONNECTION
+            address, server_id, call, connection_name=CONTROL_CONNECTION
         )
         if isinstance(got, Err):
             return got
         answered = got.ok_value
         try:
-            told = self._wire.read_load(answered.body, server_id)
+            told = self._format.read_load(answered.body, server_id)
         except ValueError as error:
             return _error(call.step, address, str(error))
-        is_leaving = told.leaving or answered.said.is_leaving
+        is_leaving = told.leaving or answered.signals.is_leaving
         return Ok(dataclasses.replace(told, leaving=is_leaving))
 
     poll_load = load
@@ -232,14 +230,14 @@
         self, address: str, *, after: int, server_id: str = ""
     ) -> Result[protocol.CacheEvents, protocol.BackendError]:
         """Waits for cache events."""
-        call = self._wire.events_call(address, server_id, after)
+        call = self._format.events_call(address, server_id, after)
         got = await self._control(
-            address, server_id, call, kept_as=EVENTS_CONNECTION
+            address, server_id, call, connection_name=EVENTS_CONNECTION
         )
         if isinstance(got, Err):
             return got
         try:
-            return Ok(self._wire.read_events(got.ok_value.body, server_id))
+            return Ok(self._format.read_events(got.ok_value.body, server_id))
         except ValueError as error:
             return _error(call.step, address, str(error))
 
@@ -247,9 +245,9 @@
         self, address: str, order: protocol.Order
     ) -> Result[None, protocol.BackendError]:
         """Gives an order."""
-        call = self._wire.order_call(address, order)
+        call = self._format.order_call(address, order)
         got = await self._control(
-            address, order.server_id, call, kept_as=CONTROL_CONNECTION
+            address, order.server_id, call, connection_name=CONTROL_CONNECTION
         )
         return got if isinstance(got, Err) else Ok(None)
 
@@ -272,25 +270,27 @@
         call: protocol.Call,
         sink: protocol.AttemptSink,
     ) -> None:
-        left_ms = self._left_ms(dispatch)
+        remaining_ms = self._remaining_ms(dispatch)
         if not self.may_send(dispatch):
             raise WithheldError(f"{dispatch.server_id} wants no work any more")
-        used.send(self._wire.request_head(dispatch, call, left_ms), call.body)
+        used.send(
+            self._format.request_head(dispatch, call, remaining_ms), call.body
+        )
         reply = await used.read_head(
-            lambda reply: self._wire.is_answer_to(reply, call)
+            lambda reply: self._format.matches(reply, call)
         )
-        sender = signals.Sender(
+        sender = signals.SignalOrigin(
             server_id=dispatch.server_id,
             incarnation=dispatch.incarnation,
             request_id=dispatch.request_id,
         )
-        declined = self._wire.declined(reply, dispatch.server_id)
-        self._hear(
+        declined = self._format.decline_cause(reply, dispatch.server_id)
+        self._report_signals(
             sender, reply, declined=declined, may_lift_limit=declined is None
         )
         if declined is not None:
             await used.read_body(reply)
-            self._pool.give_back(dispatch.server_id, used, reply)
+            self._pool.release(dispatch.server_id, used, reply)
             sink.failed(
                 inputs.FailurePhase.DECLINED,
                 declined,
@@ -299,14 +299,14 @@
             return
         if _is_stream(reply) and dispatch.stamp is not None:
             await _relay(used, reply, dispatch, sink)
-            self._pool.give_back(dispatch.server_id, used, reply)
+            self._pool.release(dispatch.server_id, used, reply)
             return
         body = await used.read_body(reply)
-        self._pool.give_back(dispatch.server_id, used, reply)
+        self._pool.release(dispatch.server_id, used, reply)
         answer = work.Answer(reply.status, _end_to_end(reply), body)
         sink.answer(dispatch.attempt_id, answer, dispatch.stamp)
 
-    def _left_ms(self, dispatch: effects.Dispatch) -> int:
+    def _remaining_ms(self, dispatch: effects.Dispatch) -> int:
         """Returns the time left for an answer; 0 for no limit.
 
         Raises:
@@ -316,12 +316,12 @@
             return 0
         left_ms = dispatch.ends_at_ms - self._clock.now_ms()
         if left_ms <= 0:
-            raise OutOfTimeError("its time was over before it was sent")
+            raise DeadlineExceededError("its time was over before it was sent")
         return left_ms
 
-    def _hear(
+    def _report_signals(
         self,
-        sender: signals.Sender,
+        sender: signals.SignalOrigin,
         reply: connections.Reply,
         *,
         declined: inputs.FailureCause | None,
@@ -334,21 +334,26 @@
         """
         if declined is inputs.FailureCause.OTHER_SERVER:
             return signals.ServerSignals()
-        said = self._wire.signals(reply)
-        self.listener.heard(sender, said, may_lift_limit=may_lift_limit)
+        said = self._format.read_signals(reply)
+        self.signal_reporter.report(sender, said, may_lift_limit=may_lift_limit)
         return said
 
     async def _control(
-        self, address: str, server_id: str, call: ControlCall, *, kept_as: str
-    ) -> Result[_Answered, protocol.BackendError]:
+        self,
+        address: str,
+        server_id: str,
+        call: ControlCall,
+        *,
+        connection_name: str,
+    ) -> Result[_ControlReply, protocol.BackendError]:
         # Not among the connections of callers' requests, where an answer to
         # one of those may still come late.
-        key = f"{server_id}/{kept_as}"
+        key = f"{server_id}/{connection_name}"
         used = None
         limit_s = (self._control_timeout_ms + call.wait_ms) / 1000
         try:
             async with asyncio.timeout(limit_s):
-                used = self._pool.take(key) or await self._pool.open(address)
+                used = self._pool.acquire(key) or await self._pool.open(address)
                 used.send(call.head, call.body)
                 reply = await used.read_head(lambda reply: True)
                 body = await used.read_body(reply)
@@ -368,11 +373,11 @@
         except asyncio.CancelledError:
             _close(used)
             raise
-        self._pool.give_back(key, used, reply)
-        said = self._hear(
-            signals.Sender(server_id=server_id),
+        self._pool.release(key, used, reply)
+        said = self._report_signals(
+            signals.SignalOrigin(server_id=server_id),
             reply,
-            declined=self._wire.declined(reply, server_id),
+            declined=self._format.decline_cause(reply, server_id),
         )
         if reply.status not in (200, 202):
             return _error(
@@ -381,12 +386,12 @@
                 f"status {reply.status}",
                 status=reply.status,
             )
-        return Ok(_Answered(body, said))
+        return Ok(_ControlReply(body, said))
 
 
 def _connect_cause(error: OSError) -> inputs.FailureCause:
     """Tells a live server without room from one that can't be reached."""
-    if isinstance(error, TurnedAwayError):
+    if isinstance(error, ConnectionRejectedError):
         return inputs.FailureCause.REFUSED
     if isinstance(error, ConnectionRefusedError):
         return inputs.FailureCause.ENDED
@@ -403,11 +408,11 @@
     head = work.Head(reply.status, _end_to_end(reply))
     sink.opened(dispatch.attempt_id, dispatch.stamp, head)
     reader = sse.FrameReader(after=dispatch.after, done=b"")
-    while data := await used.read_some(reply):
+    while data := await used.read_chunk(reply):
         frames = reader.feed(data)
         if frames:
             await sink.frames(frames)
-    await sink.frames((reader.end(),))
+    await sink.frames((reader.finish(),))
 
 
 def _is_stream(reply: connections.Reply) -> bool:
@@ -441,8 +446,8 @@
             peer=address,
             detail=detail,
             status=status,
-            sent=sent,
-            ended=ended,
+            may_have_run=sent,
+            connection_refused=ended,
         )
     )
 
--- a/src/godwittack/backend/signals.py
+++ b/src/godwittack/backend/signals.py
@@ -8,8 +8,8 @@
 from result import Err, Ok, Result
 
 from godwittack.backend import (
-    headers,
     advertised_limits,
+    headers,
     retry_after,
     unreadable,
 )
@@ -26,7 +26,7 @@
 STATUS_UNAVAILABLE = 503
 
 # Rest of a server that asks for one of a length that can't be read.
-UNREADABLE_REST_MS = 1_000
+DEFAULT_REST_MS = 1_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
@@ -79,7 +79,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Sender:
+class SignalOrigin:
     """Who said it, and in answer to what.
 
     Attributes:
@@ -93,7 +93,7 @@
     request_id: str = ""
 
 
-class Listener:
+class SignalReporter:
     """Hands what servers say of themselves to the core.
 
     Attributes:
@@ -106,13 +106,17 @@
         self._clock = clock
         self.submit: Callable[[server_inputs.ServerSignal], None]
         self.submit = lambda told: None
-        self.limits = advertised_limits.NamedLimits(clock=clock)
+        self.limits = advertised_limits.AdvertisedLimits(clock=clock)
         self._unreadable = unreadable.UnreadableLog(
-            "server_rest_unreadable", assumed_ms=UNREADABLE_REST_MS
+            "server_rest_unreadable", assumed_ms=DEFAULT_REST_MS
         )
 
-    def heard(
-        self, sender: Sender, signals: ServerSignals, *, may_lift_limit: bool
+    def report(
+        self,
+        sender: SignalOrigin,
+        signals: ServerSignals,
+        *,
+        may_lift_limit: bool,
     ) -> None:
         """Takes in what came with an answer.
 
@@ -154,22 +158,22 @@
                     slots=signals.load.slots,
                 )
             )
-        self.limits.heard(
+        self.limits.report(
             sender.server_id, signals.rate_limit, may_lift=may_lift_limit
         )
 
     def _rest_ms(self, server_id: str, rest: Result[int | None, str]) -> int:
         if isinstance(rest, Err):
-            self._unreadable.note(server_id, rest.err_value)
-            return UNREADABLE_REST_MS
+            self._unreadable.log(server_id, rest.err_value)
+            return DEFAULT_REST_MS
         return rest.ok_value or 0
 
 
 def read(reply: connection.Reply, names: SignalHeaders) -> ServerSignals:
     """Returns all that an answer says of its server."""
     return ServerSignals(
-        load=_load(reply.header(names.load)),
-        rate_limit=headers.decimal(reply.headers, names.rate_limit),
+        load=_parse_load(reply.header(names.load)),
+        rate_limit=headers.parse_decimal(reply.headers, names.rate_limit),
         is_leaving=any(_is_set(reply.header(name)) for name in names.leaving),
         rest=read_rest(
             reply.status,
@@ -193,8 +197,8 @@
     return retry_after.read(found) if asks else Ok(None)
 
 
-def _load(text: str) -> EchoedLoad | None:
-    parts = [headers.number(part) for part in text.split(",")]
+def _parse_load(text: str) -> EchoedLoad | None:
+    parts = [headers.parse_number(part) for part in text.split(",")]
     if len(parts) != 3 or None in parts:
         return None
     running, waiting, slots = (part or 0 for part in parts)
@@ -207,9 +211,9 @@
 
 __all__ = [
     "EchoedLoad",
-    "Listener",
+    "SignalReporter",
     "ServerSignals",
-    "Sender",
+    "SignalOrigin",
     "SignalHeaders",
     "read",
     "read_rest",
--- a/src/godwittack/backend/sse.py
+++ b/src/godwittack/backend/sse.py
@@ -17,8 +17,8 @@
     def __init__(self, *, after: int, done: bytes = DONE) -> None:
         """Starts behind frame `after`; `done` marks the last event, if any."""
         self._done = done
-        self._rest = b""
-        self._last = after
+        self._buffer = b""
+        self._last_number = after
 
     def feed(self, data: bytes) -> tuple[work.Frame, ...]:
         """Returns the events that `data` completes.
@@ -26,28 +26,28 @@
         Raises:
             ValueError: An event is longer than `MAX_EVENT_BYTES`.
         """
-        self._rest += data
-        if b"\n\n" not in data and b"\n\n" not in self._rest:
-            if len(self._rest) > MAX_EVENT_BYTES:
+        self._buffer += data
+        if b"\n\n" not in data and b"\n\n" not in self._buffer:
+            if len(self._buffer) > MAX_EVENT_BYTES:
                 raise ValueError("an event of the stream is too long")
             return ()
-        *events, self._rest = self._rest.split(b"\n\n")
+        *events, self._buffer = self._buffer.split(b"\n\n")
         return tuple(self._frame(event) for event in events if event)
 
     def _frame(self, event: bytes) -> work.Frame:
-        number = self._last + 1
+        number = self._last_number + 1
         for line in event.split(b"\n"):
             if line.startswith(b"id:"):
                 number = int(line[3:])
                 break
-        self._last = number
+        self._last_number = number
         done = bool(self._done) and self._done in event
         return work.Frame(number, event + b"\n\n", done)
 
-    def end(self) -> work.Frame:
+    def finish(self) -> work.Frame:
         """Returns the last frame of a stream that ended without a mark."""
-        rest, self._rest = self._rest, b""
-        return work.Frame(self._last + 1, rest, terminal=True)
+        rest, self._buffer = self._buffer, b""
+        return work.Frame(self._last_number + 1, rest, terminal=True)
 
 
 __all__ = ["FrameReader"]
--- a/src/godwittack/backend/unreadable.py
+++ b/src/godwittack/backend/unreadable.py
@@ -5,7 +5,7 @@
 from absl import logging
 
 # Servers whose last such text is remembered.
-MOST_SERVERS = 100
+MAX_SERVERS = 100
 
 
 class UnreadableLog:
@@ -15,15 +15,15 @@
         """Names its lines `event`, and ends each with `fields`."""
         self._event = event
         self._fields = "".join(f" {k}={v}" for k, v in fields.items())
-        self._told: dict[str, str] = {}
+        self._last_detail: dict[str, str] = {}
 
-    def note(self, server_id: str, detail: str) -> None:
+    def log(self, server_id: str, detail: str) -> None:
         """Takes in a text that can't be read."""
-        if self._told.get(server_id) == detail:
+        if self._last_detail.get(server_id) == detail:
             return
-        self._told[server_id] = detail
-        while len(self._told) > MOST_SERVERS:
-            del self._told[next(iter(self._told))]
+        self._last_detail[server_id] = detail
+        while len(self._last_detail) > MAX_SERVERS:
+            del self._last_detail[next(iter(self._last_detail))]
         logging.warning(
             "event=%s server=%s detail=%r%s",
             self._event,
--- a/src/godwittack/daemon/digest.py
+++ b/src/godwittack/daemon/digest.py
@@ -60,7 +60,7 @@
                 held.clear()
             else:
                 held[event.level_key] = event
-        self.sequence = max(self.sequence, told.next)
+        self.sequence = max(self.sequence, told.next_after)
         if self.sequence == before and not cleared:
             return None
         if cleared:
--- a/src/godwittack/daemon/edge.py
+++ b/src/godwittack/daemon/edge.py
@@ -99,7 +99,7 @@
         )
         backend = routed.RoutedBackend(
             pool=self._pool,
-            wire=servers.ServerFormat(self._model_of),
+            server_format=servers.ServerFormat(self._model_of),
             clock=clock,
             control_timeout_ms=settings.control_timeout_ms,
         )
@@ -114,12 +114,12 @@
             ),
             clock=clock,
         )
-        backend.listener.submit = self.runtime.submit
+        backend.signal_reporter.submit = self.runtime.submit
         backend.may_send = lambda dispatch: availability.may_send(
             core.world, dispatch, now_ms=clock.now_ms()
         )
-        backend.listener.limits.on_named = self.runtime.submit
-        backend.listener.limits.is_known = functools.partial(
+        backend.signal_reporter.limits.on_limit = self.runtime.submit
+        backend.signal_reporter.limits.has_limit = functools.partial(
             rate_limits.is_limited, core.world
         )
         self._keeper = keeping.FeedKeeper(
@@ -343,7 +343,7 @@
     async def _tidy_forever(self) -> None:
         while True:
             await asyncio.sleep(TIDY_MS / 1000)
-            self._pool.tidy()
+            self._pool.close_expired()
             table = self.runtime.core.world.table
             if table.forwarding is not None:
                 self._listeners.end_slow(table.forwarding.limits)
--- a/src/godwittack/daemon/lead.py
+++ b/src/godwittack/daemon/lead.py
@@ -359,7 +359,9 @@
                 target=server.target,
                 server_id=server.server_id,
                 holder=self._members.me.member_id,
-                orders_taken=-1 if state is None else state.orders_taken,
+                expected_accepted_orders=-1
+                if state is None
+                else state.accepted_orders,
             ),
         )
         detail = str(got.err_value) if isinstance(got, Err) else "ordered"
--- a/src/godwittack/daemon/runtime.py
+++ b/src/godwittack/daemon/runtime.py
@@ -236,7 +236,7 @@
                 incarnation=got.ok_value.incarnation
                 if isinstance(got, Ok)
                 else "",
-                ended=isinstance(got, Err) and got.err_value.ended,
+                ended=isinstance(got, Err) and got.err_value.connection_refused,
             )
         )
 
--- a/src/godwittack/daemon/serve.py
+++ b/src/godwittack/daemon/serve.py
@@ -76,7 +76,7 @@
             ),
             clock=clock,
         )
-        backend.listener.submit = self.runtime.submit
+        backend.signal_reporter.submit = self.runtime.submit
         if settings.record_file:
             sink = open(  # noqa: SIM115 - open as long as the process.
                 settings.record_file, "a", buffering=1, encoding="utf-8"
--- a/src/godwittack/lead/order_result.py
+++ b/src/godwittack/lead/order_result.py
@@ -48,7 +48,9 @@
         return OrderResult.ACCEPTED
     error = reply.err_value
     if error.status == 0:
-        return OrderResult.UNKNOWN if error.sent else OrderResult.REFUSED
+        return (
+            OrderResult.UNKNOWN if error.may_have_run else OrderResult.REFUSED
+        )
     return _BY_STATUS.get(error.status, OrderResult.REFUSED)
 
 
--- a/src/godwittack/platform/callers.py
+++ b/src/godwittack/platform/callers.py
@@ -37,10 +37,10 @@
                 return Err(f"{name}: sent more than once")
         if not request_id:
             return Err(f"{names.REQUEST_ID}: missing")
-        after = backend_headers.number(
+        after = backend_headers.parse_number(
             request.headers.get(names.LAST_EVENT_ID, "0")
         )
-        deadline_ms = backend_headers.number(
+        deadline_ms = backend_headers.parse_number(
             request.headers.get(names.DEADLINE, "0")
         )
         if after is None or deadline_ms is None:
@@ -49,14 +49,14 @@
         path = request.raw_path
         owner = known.cache_owner(known.workspace_by_token.get(digest, ""))
         tokens = request.headers.get(names.TOKENS, "").partition(",")
-        prompt_tokens = backend_headers.number(tokens[0]) or 0
+        prompt_tokens = backend_headers.parse_number(tokens[0]) or 0
         asked = work.Work(
             kind=work.WorkKind.PLAIN,
             token_sha256=digest,
             target="",
             caller_request_id=request_id,
             levels=_levels(request, owner, prompt_tokens),
-            max_tokens=backend_headers.number(tokens[2]) or 0,
+            max_tokens=backend_headers.parse_number(tokens[2]) or 0,
             deadline_ms=min(deadline_ms, MAX_DEADLINE_MS),
             method=request.method,
             host=request.headers.get("Host", ""),
@@ -101,7 +101,7 @@
     found: list[work.Level] = []
     for entry in request.headers.get(names.LEVELS, "").split(","):
         level, _, tokens = entry.strip().partition(":")
-        size = backend_headers.number(tokens)
+        size = backend_headers.parse_number(tokens)
         if level and size is not None:
             found.append(work.Level(levels.key_for_name(owner, level), size))
     if not found and prompt_tokens:
--- a/src/godwittack/platform/servers.py
+++ b/src/godwittack/platform/servers.py
@@ -58,14 +58,14 @@
         self._model_of = model_of
 
     def request_head(
-        self, dispatch: effects.Dispatch, call: protocol.Call, left_ms: int
+        self, dispatch: effects.Dispatch, call: protocol.Call, remaining_ms: int
     ) -> bytes:
         """Returns request line and headers of one attempt."""
         lines = [f"{call.method} {call.path} HTTP/1.1"]
         lines.extend(f"{h.name}: {h.value}" for h in call.headers)
         if call.body or call.method in ("POST", "PUT", "PATCH"):
             lines.append(f"Content-Length: {len(call.body)}")
-        lines.append(f"{names.DEADLINE}: {left_ms}")
+        lines.append(f"{names.DEADLINE}: {remaining_ms}")
         lines.append(f"{names.EXPECTED_INSTANCE}: {dispatch.server_id}")
         if dispatch.workspace:
             lines.append(f"{names.WORKSPACE}: {dispatch.workspace}")
@@ -82,13 +82,11 @@
             lines.append(f"{names.KV_SAVE_TO}: {dispatch.kv_save_to}")
         return _head(lines)
 
-    def is_answer_to(
-        self, reply: connection.Reply, call: protocol.Call
-    ) -> bool:
+    def matches(self, reply: connection.Reply, call: protocol.Call) -> bool:
         """Returns whether an answer belongs to the call."""
         return reply.header(names.REQUEST_ID) == call.request_id
 
-    def declined(
+    def decline_cause(
         self, reply: connection.Reply, server_id: str
     ) -> inputs.FailureCause | None:
         """Returns why the server did not run the request, None if it did."""
@@ -101,7 +99,7 @@
             return inputs.FailureCause.REFUSED
         return None
 
-    def signals(self, reply: connection.Reply) -> signals.ServerSignals:
+    def read_signals(self, reply: connection.Reply) -> signals.ServerSignals:
         """Returns all that an answer says of its server."""
         return signals.read(reply, _SIGNALS)
 
@@ -120,8 +118,8 @@
             weights_version=version,
             running=report.running,
             waiting=report.queue_depth,
-            orders_taken=report.sequence,
-            is_ordered=report.busy,
+            accepted_orders=report.sequence,
+            is_executing_order=report.busy,
             leaving=report.state == "draining",
         )
 
@@ -164,7 +162,7 @@
             oldest=0,
             events=tuple(events),
             epoch=str(told.boot_epoch),
-            next=told.next,
+            next_after=told.next,
         )
 
     def order_call(
@@ -180,9 +178,9 @@
             "holder": order.holder,
             "fencing-token": order.fencing,
         }
-        if order.orders_taken >= 0:
+        if order.expected_accepted_orders >= 0:
             # The number of orders accepted so far, not a state.
-            fields["precondition"] = order.orders_taken
+            fields["precondition"] = order.expected_accepted_orders
         body = json.dumps(fields).encode()
         head = _control(
             f"POST {names.ORDER_PATH}",
--- a/src/godwittack/platform/wire.py
+++ b/src/godwittack/platform/wire.py
@@ -8,7 +8,7 @@
 
 from godwittack.backend import headers
 
-_MOST = 10**headers.MOST_DIGITS
+_MOST = 10**headers.MAX_DIGITS
 Count = Annotated[int, pydantic.Field(ge=0, le=_MOST)]
 Positive = Annotated[int, pydantic.Field(ge=1, le=_MOST)]
 Amount = Annotated[float, pydantic.Field(ge=0, le=_MOST)]
--- a/tests/cases/availability.py
+++ b/tests/cases/availability.py
@@ -249,7 +249,7 @@
         for name, value in told.items()
     ]
     reply = connection.Reply(status=status, headers=named)
-    return servers.ServerFormat(lambda target: target).signals(reply)
+    return servers.ServerFormat(lambda target: target).read_signals(reply)
 
 
 def each_way_to_ask_for_rest_is_read() -> None:
@@ -291,14 +291,14 @@
 
 def a_rest_that_cannot_be_read_is_a_short_one() -> None:
     """Guards against a wish for rest that is passed over for its form."""
-    listener = signals.Listener(clock=ManualClock(5))
+    listener = signals.SignalReporter(clock=ManualClock(5))
     told = []
     listener.submit = told.append
-    sender = signals.Sender(server_id="s1", incarnation="s1@3")
-    listener.heard(sender, _read(Retry_After="soon"), may_lift_limit=False)
+    sender = signals.SignalOrigin(server_id="s1", incarnation="s1@3")
+    listener.report(sender, _read(Retry_After="soon"), may_lift_limit=False)
     (rest,) = told
     assert (rest.server_id, rest.incarnation) == ("s1", "s1@3")
-    assert rest.rest_ms == signals.UNREADABLE_REST_MS
+    assert rest.rest_ms == signals.DEFAULT_REST_MS
 
 
 def what_was_not_sent_is_placed_anew_and_costs_nothing() -> None:
--- a/tests/cases/connections.py
+++ b/tests/cases/connections.py
@@ -79,7 +79,7 @@
         self.pool = pool.Pool(clock=clock, connect_timeout_ms=500)
         self.routed = routed.RoutedBackend(
             pool=self.pool,
-            wire=servers.ServerFormat(lambda target: "m"),
+            server_format=servers.ServerFormat(lambda target: "m"),
             clock=clock,
             control_timeout_ms=500,
         )
@@ -168,7 +168,7 @@
     told: list[object] = []
     async with ScriptedServer(Say(by_other), Say(by_itself)) as server:
         backend = Backend(server)
-        backend.routed.listener.submit = told.append
+        backend.routed.signal_reporter.submit = told.append
         await backend.send()
         assert told == []
         await backend.send("r2")
@@ -189,7 +189,7 @@
     async with ScriptedServer(*[Say(whole(b"", declined))] * 3) as server:
         backend = Backend(server)
         told: list[object] = []
-        backend.routed.listener.submit = told.append
+        backend.routed.signal_reporter.submit = told.append
         for call in (
             backend.routed.load(server.address, server_id="i-1"),
             backend.routed.cache_events(
@@ -227,7 +227,7 @@
             control_timeout_ms=500,
         )
         told: list[object] = []
-        backend.listener.submit = told.append
+        backend.signal_reporter.submit = told.append
         sink = Sink()
         dispatch = dataclasses.replace(sent, address=server.address)
         await backend.send(dispatch, call, sink)
@@ -462,4 +462,4 @@
         await asyncio.sleep(LATER_S)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        assert backend.pool.take("i-1") is None
+        assert backend.pool.acquire("i-1") is None
--- a/tests/cases/rate_limits.py
+++ b/tests/cases/rate_limits.py
@@ -243,7 +243,7 @@
 
     def read(*values: str, name: str = "Server-Limit"):
         told = [work.Header(name, value) for value in values]
-        return wire.signals(connection.Reply(200, told)).rate_limit
+        return wire.read_signals(connection.Reply(200, told)).rate_limit
 
     assert read() == Ok(None)
     good = {"4.7": 4.7, " 4 ": 4.0, "0": 0.0, "0.25": 0.25, "1000000": 1e6}
--- a/tests/sim/large_fleets.py
+++ b/tests/sim/large_fleets.py
@@ -326,7 +326,7 @@
             running=len(engine.ends_s),
             waiting=0,
             slots=16,
-            orders_taken=engine.taken,
+            accepted_orders=engine.taken,
         )
         await self.daemon.gate.passed()
         return Ok(got)
@@ -372,7 +372,7 @@
         self, engine, order: backend.Order, *, is_late: bool
     ) -> bool:
         """Returns whether it is taken, or holds already."""
-        is_next = order.orders_taken in (-1, engine.taken)
+        is_next = order.expected_accepted_orders in (-1, engine.taken)
         if engine.loads or not is_next:
             return False
         version = int(order.value)
