--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -533,18 +533,20 @@
 class _Echo:
     """Answers an envelope with the like."""
 
-    def exchanged(self, told: peer_pb2.Envelope) -> peer_pb2.Envelope:
+    def handle_exchange(self, told: peer_pb2.Envelope) -> peer_pb2.Envelope:
         return told
 
-    def told(
+    def handle_news(
         self, sender_id: str, news: peer_pb2.News, reader: wire.NewsReader
     ) -> None:
         """Takes news."""
 
-    def table(self, asked: peer_pb2.TableRequest) -> peer_pb2.TableReply:
+    def handle_table_request(
+        self, asked: peer_pb2.TableRequest
+    ) -> peer_pb2.TableReply:
         return peer_pb2.TableReply(version=asked.known_version)
 
-    def report(self) -> peer_pb2.ReportReply:
+    def handle_report_request(self) -> peer_pb2.ReportReply:
         return peer_pb2.ReportReply()
 
 
--- a/bench/peers.py
+++ b/bench/peers.py
@@ -93,7 +93,7 @@
             member_id=self.member.member_id, refutation=self.member.refutation
         )
 
-    def exchanged(self, told: peer_pb2.Envelope) -> peer_pb2.Envelope:
+    def handle_exchange(self, told: peer_pb2.Envelope) -> peer_pb2.Envelope:
         """Answers a probe; has whatever table the daemon has."""
         self.version = told.table_version
         for update in told.updates:
@@ -111,14 +111,16 @@
             )
         return answer
 
-    def told(self, sender_id: str, news: peer_pb2.News) -> None:
+    def handle_news(self, sender_id: str, news: peer_pb2.News) -> None:
         """Takes news."""
 
-    def table(self, asked: peer_pb2.TableRequest) -> peer_pb2.TableReply:
+    def handle_table_request(
+        self, asked: peer_pb2.TableRequest
+    ) -> peer_pb2.TableReply:
         """Has no newer table."""
         return peer_pb2.TableReply(version=asked.known_version)
 
-    def report(self) -> peer_pb2.ReportReply:
+    def handle_report_request(self) -> peer_pb2.ReportReply:
         """Has counted nothing."""
         return peer_pb2.ReportReply(report_json="{}")
 
--- a/src/godwittack/daemon/announcing.py
+++ b/src/godwittack/daemon/announcing.py
@@ -19,7 +19,7 @@
 class Spreader(Protocol):
     """Sends one message to many daemons, with no word of its arrival."""
 
-    def spread(self, peers: Iterable[str], news: peer_pb2.News) -> None:
+    def broadcast(self, peers: Iterable[str], news: peer_pb2.News) -> None:
         """Sends `news` once to each of these addresses."""
 
 
@@ -58,7 +58,7 @@
                 )
             ]
         )
-        self._spreader.spread(
+        self._spreader.broadcast(
             (
                 member.peer_address
                 for member in self._news.audience(sent.target)
--- a/src/godwittack/daemon/gossip.py
+++ b/src/godwittack/daemon/gossip.py
@@ -164,7 +164,7 @@
         self.members.expected = len(own | addresses)
         self._seeds = tuple(sorted(own | addresses))
 
-    def exchanged(self, told: peer_pb2.Envelope) -> peer_pb2.Envelope:
+    def handle_exchange(self, told: peer_pb2.Envelope) -> peer_pb2.Envelope:
         """Takes in a probe and answers it."""
         is_known = self._complete_sender(told)
         sender = told.sender.member_id
@@ -185,17 +185,19 @@
             )
         return answer
 
-    def told(
+    def handle_news(
         self, sender_id: str, news: peer_pb2.News, reader: wire.NewsReader
     ) -> None:
         """Takes in a peer's news."""
         self._news.take(sender_id, news, reader)
 
-    def table(self, asked: peer_pb2.TableRequest) -> peer_pb2.TableReply:
+    def handle_table_request(
+        self, asked: peer_pb2.TableRequest
+    ) -> peer_pb2.TableReply:
         """Returns the table where it is newer than the one named."""
         return self._table_writer.reply(self._keeper.table, asked)
 
-    def report(self) -> peer_pb2.ReportReply:
+    def handle_report_request(self) -> peer_pb2.ReportReply:
         """Returns this daemon's counts."""
         counts = self._counts.counts()
         return peer_pb2.ReportReply(report_json=counts.model_dump_json())
--- a/src/godwittack/daemon/news.py
+++ b/src/godwittack/daemon/news.py
@@ -150,7 +150,7 @@
     def publish_doubt(self, doubted: effects.Doubt) -> None:
         """Has the daemons that serve a target ask a server for themselves."""
         for outbox in self._outboxes_of(self.audience(doubted.target)):
-            outbox.pending.doubted.add(doubted.server_id)
+            outbox.pending.suspected.add(doubted.server_id)
             outbox.wake()
 
     def publish_crashes(self, seen: effects.TellCrashes) -> None:
@@ -200,7 +200,9 @@
             version: Version of the list with them.
         """
         for outbox in self._outboxes_of(self._members.live()):
-            outbox.pending.add_listed(changes, before=before, version=version)
+            outbox.pending.add_list_changes(
+                changes, before=before, version=version
+            )
             outbox.wake()
 
     def take(
--- a/src/godwittack/daemon/outbox.py
+++ b/src/godwittack/daemon/outbox.py
@@ -132,7 +132,7 @@
             news, self.pending = self.pending, pending.PendingNews()
             if await self._send(news):
                 continue
-            self.pending = news.followed_by(self.pending)
+            self.pending = news.merged_with(self.pending)
             await asyncio.sleep(RETRY_MS / 1000)
             self._due.set()
 
--- a/src/godwittack/peer/datagram.py
+++ b/src/godwittack/peer/datagram.py
@@ -17,10 +17,10 @@
     from collections.abc import Callable, Iterable
 
 # Fits one packet on every usual network, so that it is lost or arrives whole.
-MAX_BYTES = 1_200
+MAX_DATAGRAM_BYTES = 1_200
 RESEND_MS = 150
-_ASK = b"\x01"
-_ANSWER = b"\x02"
+_REQUEST = b"\x01"
+_RESPONSE = b"\x02"
 _NEWS = b"\x03"
 _NONCE_BYTES = 8
 _PROOF_BYTES = 16
@@ -31,7 +31,7 @@
 class ProbeHandler(Protocol):
     """What a daemon does with a probe."""
 
-    def exchanged(self, told: peer_pb2.Envelope) -> peer_pb2.Envelope:
+    def handle_exchange(self, told: peer_pb2.Envelope) -> peer_pb2.Envelope:
         """Takes in an envelope and returns the own one."""
 
 
@@ -67,7 +67,9 @@
         self._timeout_ms = timeout_ms
         self._count_bytes = count_bytes
         self._transport: asyncio.DatagramTransport | None = None
-        self._waiting: dict[bytes, asyncio.Future[peer_pb2.Envelope]] = {}
+        self._pending_replies: dict[
+            bytes, asyncio.Future[peer_pb2.Envelope]
+        ] = {}
 
     async def start(self, address: str, *, handler: ProbeHandler) -> None:
         """Listens on `address` and hands probes to `handler`.
@@ -86,9 +88,9 @@
     ) -> Result[peer_pb2.Envelope, exchange.PeerError]:
         """Sends an envelope and returns the peer's."""
         nonce = secrets.token_bytes(_NONCE_BYTES)
-        packet = self._pack(_ASK, nonce, message)
+        packet = self._pack_envelope(_REQUEST, nonce, message)
         answered = asyncio.get_running_loop().create_future()
-        self._waiting[nonce] = answered
+        self._pending_replies[nonce] = answered
         left_ms = self._timeout_ms
         try:
             while left_ms > 0:
@@ -99,7 +101,7 @@
                 if answered.done():
                     return Ok(answered.result())
         finally:
-            del self._waiting[nonce]
+            del self._pending_replies[nonce]
         return Err(
             exchange.PeerError(
                 step="probe",
@@ -108,10 +110,10 @@
             )
         )
 
-    def spread(self, peers: Iterable[str], news: peer_pb2.News) -> None:
+    def broadcast(self, peers: Iterable[str], news: peer_pb2.News) -> None:
         """Sends news once to each peer, with no word of its arrival."""
         nonce = secrets.token_bytes(_NONCE_BYTES)
-        packet = self._seal(_NEWS, nonce, news.SerializeToString())
+        packet = self._sign(_NEWS, nonce, news.SerializeToString())
         for address in peers:
             self._send(packet, addresses.split(address))
 
@@ -130,11 +132,11 @@
             told = peer_pb2.Envelope.FromString(payload)
         except proto.DecodeError:
             return
-        if kind == _ASK and self._handler is not None:
-            answer = self._handler.exchanged(told)
-            self._send(self._pack(_ANSWER, nonce, answer), addr)
-        elif kind == _ANSWER and nonce in self._waiting:
-            answered = self._waiting[nonce]
+        if kind == _REQUEST and self._handler is not None:
+            answer = self._handler.handle_exchange(told)
+            self._send(self._pack_envelope(_RESPONSE, nonce, answer), addr)
+        elif kind == _RESPONSE and nonce in self._pending_replies:
+            answered = self._pending_replies[nonce]
             if not answered.done():
                 answered.set_result(told)
 
@@ -148,16 +150,16 @@
             self._count_bytes(len(packet))
             self._transport.sendto(packet, addr)
 
-    def _pack(
+    def _pack_envelope(
         self, kind: bytes, nonce: bytes, message: peer_pb2.Envelope
     ) -> bytes:
-        excess = message.ByteSize() - (MAX_BYTES - _HEAD_BYTES)
+        excess = message.ByteSize() - (MAX_DATAGRAM_BYTES - _HEAD_BYTES)
         while excess > 0:
             # Passed on with a later probe, or by somebody else.
             excess -= message.updates.pop().ByteSize()
-        return self._seal(kind, nonce, message.SerializeToString())
+        return self._sign(kind, nonce, message.SerializeToString())
 
-    def _seal(self, kind: bytes, nonce: bytes, payload: bytes) -> bytes:
+    def _sign(self, kind: bytes, nonce: bytes, payload: bytes) -> bytes:
         return kind + nonce + self._proof(kind, nonce, payload) + payload
 
     def _proof(self, kind: bytes, nonce: bytes, payload: bytes) -> bytes:
--- a/src/godwittack/peer/exchange.py
+++ b/src/godwittack/peer/exchange.py
@@ -74,7 +74,7 @@
         self._count_bytes = count_bytes
         self._headers = {PROOF_HEADER: proof(secret)}
         self._timeout_s = timeout_ms / 1000
-        self._opened: aiohttp.ClientSession | None = None
+        self._open_session: aiohttp.ClientSession | None = None
 
     async def exchange(
         self, address: str, message: peer_pb2.Envelope
@@ -124,18 +124,18 @@
 
     async def close(self) -> None:
         """Closes all connections."""
-        if self._opened is not None:
-            await self._opened.close()
+        if self._open_session is not None:
+            await self._open_session.close()
 
     def _session(self) -> aiohttp.ClientSession:
         # A session belongs to the event loop in which it is made.
-        if self._opened is None:
-            self._opened = aiohttp.ClientSession(
+        if self._open_session is None:
+            self._open_session = aiohttp.ClientSession(
                 connector=aiohttp.TCPConnector(
                     limit=0, keepalive_timeout=30, socket_factory=_open_socket
                 )
             )
-        return self._opened
+        return self._open_session
 
     async def _call(
         self,
@@ -159,7 +159,9 @@
             ):
                 body = await response.read()
             if response.status != 200:
-                return _error(step, address, _refusal(response.status, body))
+                return _error(
+                    step, address, _status_detail(response.status, body)
+                )
             answer = kind.FromString(body)
         except TimeoutError:
             limit_ms = round(self._timeout_s * 1000)
@@ -191,7 +193,7 @@
         self._count_bytes = count_bytes
         self._on_broken = on_broken
         self._socket: aiohttp.ClientWebSocketResponse | None = None
-        self._watching: asyncio.Task[None] | None = None
+        self._watch_task: asyncio.Task[None] | None = None
 
     async def send(self, news: peer_pb2.News) -> Result[None, PeerError]:
         """Sends a message; after an error the stream is of no more use."""
@@ -209,15 +211,15 @@
 
     def close(self) -> None:
         """Ends the stream."""
-        if self._watching is not None:
-            self._watching.cancel()
+        if self._watch_task is not None:
+            self._watch_task.cancel()
 
     async def _open(self) -> aiohttp.ClientWebSocketResponse:
         socket = await self._session.ws_connect(
             f"http://{self._address}{NEWS_PATH}",
             headers=self._headers,
         )
-        self._watching = asyncio.create_task(self._watch(socket))
+        self._watch_task = asyncio.create_task(self._watch(socket))
         return socket
 
     async def _watch(self, socket: aiohttp.ClientWebSocketResponse) -> None:
@@ -253,7 +255,7 @@
     return sock
 
 
-def _refusal(status: int, body: bytes) -> str:
+def _status_detail(status: int, body: bytes) -> str:
     return f"status {status} {body[:200].decode(errors='replace')}"
 
 
--- a/src/godwittack/peer/pending.py
+++ b/src/godwittack/peer/pending.py
@@ -23,7 +23,7 @@
         draining: Servers that get no work while they load weights.
         listed: Changed entries of the instance list by name, None for one
             that is no longer listed.
-        doubted: Servers that gave no sign of life.
+        suspected: Servers that gave no sign of life.
         list_before: Version of the list before the entries; 0 where the list
             has none.
         list_version: Version of the list with them.
@@ -41,7 +41,7 @@
     )
     leaving: dict[str, str] = dataclasses.field(default_factory=dict)
     draining: set[str] = dataclasses.field(default_factory=set)
-    doubted: set[str] = dataclasses.field(default_factory=set)
+    suspected: set[str] = dataclasses.field(default_factory=set)
     listed: dict[str, platform.Instance | None] = dataclasses.field(
         default_factory=dict
     )
@@ -64,7 +64,7 @@
             self.digests,
             self.leaving,
             self.draining,
-            self.doubted,
+            self.suspected,
             self.listed,
             self.crashes,
             self.completions,
@@ -72,7 +72,7 @@
         )
         return not any(told) and self.demands is None
 
-    def add_listed(
+    def add_list_changes(
         self,
         changes: dict[str, platform.Instance | None],
         *,
@@ -94,7 +94,7 @@
         self.list_before = self.list_before or before
         self.list_version = version or self.list_version
 
-    def followed_by(self, later: PendingNews) -> PendingNews:
+    def merged_with(self, later: PendingNews) -> PendingNews:
         """Returns both as one; of each figure the newest."""
         digests = self.digests + later.digests
         both = PendingNews(
@@ -104,7 +104,7 @@
             digests=digests[-MAX_DIGESTS:],
             leaving={**self.leaving, **later.leaving},
             draining=self.draining | later.draining,
-            doubted=self.doubted | later.doubted,
+            suspected=self.suspected | later.suspected,
             listed=self.listed,
             list_before=self.list_before,
             list_version=self.list_version,
@@ -114,7 +114,7 @@
             rate_limits={**self.rate_limits, **later.rate_limits},
         )
         if later.listed:
-            both.add_listed(
+            both.add_list_changes(
                 later.listed,
                 before=later.list_before,
                 version=later.list_version,
--- a/src/godwittack/peer/server.py
+++ b/src/godwittack/peer/server.py
@@ -21,24 +21,26 @@
 # daemons connect within one probing period.
 BACKLOG = 1_024
 # For a peer to answer the end of its stream, and for calls under way.
-STOP_S = 0.1
+STOP_TIMEOUT_S = 0.1
 
 
 class PeerHandler(Protocol):
     """What a daemon does with messages of others."""
 
-    def exchanged(self, told: peer_pb2.Envelope) -> peer_pb2.Envelope:
+    def handle_exchange(self, told: peer_pb2.Envelope) -> peer_pb2.Envelope:
         """Takes in an envelope and returns the own one."""
 
-    def told(
+    def handle_news(
         self, sender_id: str, news: peer_pb2.News, reader: wire.NewsReader
     ) -> None:
         """Takes in the next message of a stream, which `reader` reads."""
 
-    def table(self, asked: peer_pb2.TableRequest) -> peer_pb2.TableReply:
+    def handle_table_request(
+        self, asked: peer_pb2.TableRequest
+    ) -> peer_pb2.TableReply:
         """Returns the table where it is newer than the one named."""
 
-    def report(self) -> peer_pb2.ReportReply:
+    def handle_report_request(self) -> peer_pb2.ReportReply:
         """Returns this daemon's counts."""
 
 
@@ -57,17 +59,18 @@
         self._count_bytes = count_bytes
         self._expected = exchange.proof(secret)
         self._calls: dict[str, Callable[[bytes], proto.Message]] = {
-            exchange.EXCHANGE_PATH: lambda body: handler.exchanged(
+            exchange.EXCHANGE_PATH: lambda body: handler.handle_exchange(
                 peer_pb2.Envelope.FromString(body)
             ),
-            exchange.TABLE_PATH: lambda body: handler.table(
+            exchange.TABLE_PATH: lambda body: handler.handle_table_request(
                 peer_pb2.TableRequest.FromString(body)
             ),
-            exchange.REPORT_PATH: lambda body: handler.report(),
+            exchange.REPORT_PATH: lambda body: handler.handle_report_request(),
         }
         self._sockets: set[web.WebSocketResponse] = set()
         self._runner = web.ServerRunner(
-            web.Server(self._answer, access_log=None), shutdown_timeout=STOP_S
+            web.Server(self._answer, access_log=None),
+            shutdown_timeout=STOP_TIMEOUT_S,
         )
 
     async def start(self, address: str) -> None:
@@ -96,7 +99,7 @@
         if not hmac.compare_digest(told.encode(), self._expected.encode()):
             return web.Response(status=401, text="not a daemon of this cluster")
         if request.path == exchange.NEWS_PATH:
-            return await self._take_news(request)
+            return await self._receive_news(request)
         call = self._calls.get(request.path)
         if call is None:
             return web.Response(status=404, text="no such call")
@@ -109,8 +112,10 @@
         self._count_bytes(len(body) + len(payload))
         return web.Response(body=payload)
 
-    async def _take_news(self, request: web.BaseRequest) -> web.StreamResponse:
-        socket = web.WebSocketResponse(timeout=STOP_S, compress=False)
+    async def _receive_news(
+        self, request: web.BaseRequest
+    ) -> web.StreamResponse:
+        socket = web.WebSocketResponse(timeout=STOP_TIMEOUT_S, compress=False)
         await socket.prepare(request)
         self._sockets.add(socket)
         sender_id, reader = "", wire.NewsReader()
@@ -121,7 +126,7 @@
                 self._count_bytes(len(message.data))
                 news = peer_pb2.News.FromString(message.data)
                 sender_id = sender_id or news.sender_id
-                self._handler.told(sender_id, news, reader)
+                self._handler.handle_news(sender_id, news, reader)
         except proto.DecodeError as error:
             logging.warning(
                 "event=news_unreadable peer=%s detail=%r", sender_id, error
--- a/src/godwittack/peer/tables.py
+++ b/src/godwittack/peer/tables.py
@@ -14,7 +14,7 @@
     from godwittack.table import model
 
 # Longest table read from a peer, unpacked.
-MAX_BYTES = 32 << 20
+MAX_TABLE_BYTES = 32 << 20
 
 
 class TableWriter:
@@ -56,15 +56,17 @@
         return schema.table_from_json(reply.table_json)
     unpacker = zlib.decompressobj()
     try:
-        text = unpacker.decompress(reply.table_deflated, MAX_BYTES)
+        text = unpacker.decompress(reply.table_deflated, MAX_TABLE_BYTES)
     except zlib.error as error:
         return Err(f"table of a peer is not deflated: {error}")
     if not unpacker.eof:
-        return Err(f"table of a peer is cut, or longer than {MAX_BYTES} bytes")
+        return Err(
+            f"table of a peer is cut, or longer than {MAX_TABLE_BYTES} bytes"
+        )
     try:
         return schema.table_from_json(text.decode())
     except UnicodeDecodeError as error:
         return Err(f"table of a peer is not UTF-8: {error}")
 
 
-__all__ = ["MAX_BYTES", "TableWriter", "read"]
+__all__ = ["MAX_TABLE_BYTES", "TableWriter", "read"]
--- a/src/godwittack/peer/wire.py
+++ b/src/godwittack/peer/wire.py
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Known:
+class _KnownServer:
     ref: int
     identity: ServerIdentity
     slots: int = -1
@@ -37,7 +37,7 @@
 
     def __init__(self) -> None:
         """Has named no server."""
-        self._servers: dict[str, _Known] = {}
+        self._servers: dict[str, _KnownServer] = {}
 
     def write(self, told: pending.PendingNews, *, now_ms: int) -> peer_pb2.News:
         """Returns the next message."""
@@ -53,7 +53,7 @@
                 for server_id, start in sorted(told.leaving.items())
             ],
             draining_servers=sorted(told.draining),
-            doubted_servers=sorted(told.doubted),
+            doubted_servers=sorted(told.suspected),
             list_before=told.list_before,
             list_version=told.list_version,
             listed=[
@@ -85,7 +85,7 @@
             age_ms=max(0, now_ms - load.at_ms + load.age_ms),
             leaving=load.leaving,
         )
-        known = self._name(message, load)
+        known = self._set_server(message, load)
         if load.slots != known.slots:
             known.slots = message.slots = load.slots
         return message
@@ -97,19 +97,19 @@
             cleared=digest.cleared,
             tokens=digest.tokens,
         )
-        self._name(message, digest)
+        self._set_server(message, digest)
         return message
 
-    def _name(
+    def _set_server(
         self,
         message: peer_pb2.Load | peer_pb2.Digest,
         told: server_inputs.LoadReported | server_inputs.CacheDigest,
-    ) -> _Known:
+    ) -> _KnownServer:
         """Names a message's server, by its number where it is known."""
         identity = _identity(told)
         known = self._servers.get(told.server_id)
         if known is None:
-            known = _Known(len(self._servers) + 1, identity)
+            known = _KnownServer(len(self._servers) + 1, identity)
             self._servers[told.server_id] = known
             is_named = False
         else:
@@ -128,7 +128,7 @@
 
     def __init__(self) -> None:
         """Knows no server."""
-        self._servers: dict[int, _Known] = {}
+        self._servers: dict[int, _KnownServer] = {}
 
     def loads(
         self, told: peer_pb2.News, *, now_ms: int
@@ -136,7 +136,7 @@
         """Returns a message's load reports."""
         found: list[server_inputs.LoadReported] = []
         for load in told.loads:
-            known = self._known(load)
+            known = self._resolve_server(load)
             if known is None:
                 continue
             known.slots = load.slots or known.slots
@@ -163,7 +163,7 @@
         """Returns a message's cache digests."""
         found: list[server_inputs.CacheDigest] = []
         for digest in told.digests:
-            known = self._known(digest)
+            known = self._resolve_server(digest)
             if known is None:
                 continue
             found.append(
@@ -180,7 +180,9 @@
             )
         return found
 
-    def _known(self, told: peer_pb2.Load | peer_pb2.Digest) -> _Known | None:
+    def _resolve_server(
+        self, told: peer_pb2.Load | peer_pb2.Digest
+    ) -> _KnownServer | None:
         """Returns a message's server, or None for one never named."""
         known = self._servers.get(told.server_ref)
         if not told.server_id:
@@ -189,7 +191,7 @@
             told.server_id, told.incarnation, told.weights_version
         )
         if known is None:
-            known = self._servers[told.server_ref] = _Known(
+            known = self._servers[told.server_ref] = _KnownServer(
                 told.server_ref, identity, slots=0
             )
         known.identity = identity
--- a/tests/cases/availability.py
+++ b/tests/cases/availability.py
@@ -75,7 +75,7 @@
     """Guards against news that take the next start of a server for this one."""
     told = pending.PendingNews(leaving={"x": STARTED})
     later = pending.PendingNews(leaving={"x": STARTED_AGAIN})
-    message = wire.NewsWriter().write(told.followed_by(later), now_ms=0)
+    message = wire.NewsWriter().write(told.merged_with(later), now_ms=0)
     (leaving,) = message.leaving
     assert (leaving.server_id, leaving.incarnation) == ("x", STARTED_AGAIN)
 
--- a/tests/cases/freshness.py
+++ b/tests/cases/freshness.py
@@ -371,18 +371,18 @@
     drop the other reader's word of version 5, and go on with the server.
     """
     first = pending.PendingNews()
-    first.add_listed({"x": _instance("x")}, before=3, version=4)
+    first.add_list_changes({"x": _instance("x")}, before=3, version=4)
     later = pending.PendingNews()
-    later.add_listed({"y": _instance("y")}, before=5, version=6)
-    merged = first.followed_by(later)
-    first.add_listed({"y": _instance("y")}, before=5, version=6)
+    later.add_list_changes({"y": _instance("y")}, before=5, version=6)
+    merged = first.merged_with(later)
+    first.add_list_changes({"y": _instance("y")}, before=5, version=6)
     for news in (merged, first):
         peer, _, known, _ = _list(is_reader=False)
         peer.told({"b": _instance("b")}, 0, 3)
         peer.told(news.listed, news.list_before, news.list_version)
         assert known.version == 3 and known.behind_since_ms >= 0
     whole = pending.PendingNews()
-    whole.add_listed({"x": _instance("x")}, before=3, version=4)
-    whole.add_listed({"y": None}, before=4, version=5)
+    whole.add_list_changes({"x": _instance("x")}, before=3, version=4)
+    whole.add_list_changes({"y": None}, before=4, version=5)
     assert (whole.list_before, whole.list_version) == (3, 5)
     assert set(whole.listed) == {"x", "y"}
--- a/tests/cases/peers.py
+++ b/tests/cases/peers.py
@@ -34,20 +34,20 @@
     def __init__(self) -> None:
         self.news: list[tuple[str, list[str]]] = []
 
-    def exchanged(self, told):
+    def handle_exchange(self, told):
         """Returns the same."""
         return told
 
-    def told(self, sender_id, news, reader):
+    def handle_news(self, sender_id, news, reader):
         """Keeps the servers named as leaving."""
         del reader
         self.news.append((sender_id, [told.server_id for told in news.leaving]))
 
-    def table(self, asked):
+    def handle_table_request(self, asked):
         """Returns a table."""
         return peer_pb2.TableReply(version=asked.known_version + 1)
 
-    def report(self):
+    def handle_report_request(self):
         """Returns nothing."""
         return peer_pb2.ReportReply()
 
@@ -197,8 +197,8 @@
     address = await _start_datagrams(hearing)
     await _start_datagrams(stranger)
     await _start_datagrams(sending)
-    stranger.spread([address], told)
-    sending.spread(["127.0.0.1:9", address], told)
+    stranger.broadcast([address], told)
+    sending.broadcast(["127.0.0.1:9", address], told)
     await _until(lambda: heard)
     await asyncio.sleep(0.02)
     for peers in (hearing, sending, stranger):
@@ -379,7 +379,7 @@
     asked = peer_pb2.TableRequest(accepts_deflate=True)
     whole = tables.TableWriter().reply(routed_core.table(3), asked)
     packed = whole.table_deflated
-    bomb = zlib.compress(b" " * (tables.MAX_BYTES + 1))
+    bomb = zlib.compress(b" " * (tables.MAX_TABLE_BYTES + 1))
     for spoiled in (packed[:-9], b"no table", packed[:20] + packed[30:], bomb):
         reply = peer_pb2.TableReply(version=3, table_deflated=spoiled)
         read = tables.read(reply)
--- a/tests/sim/ways.py
+++ b/tests/sim/ways.py
@@ -86,7 +86,7 @@
         other = await self._reach(address)
         if other is None:
             return self._lost(address)
-        answer = other.gossiper.exchanged(message)
+        answer = other.gossiper.handle_exchange(message)
         self.fleet.traffic.add(answer)
         if not await self._back(address):
             return self._lost(address)
@@ -102,7 +102,7 @@
         if other is None:
             return self._lost(address)
         asked = peer_pb2.TableRequest(known_version=known_version)
-        answer = other.gossiper.table(asked)
+        answer = other.gossiper.handle_table_request(asked)
         await asyncio.sleep(self.fleet.fetch_s)
         if not await self._back(address):
             return self._lost(address)
@@ -153,7 +153,7 @@
         if self.address in self.peers.fleet.deaf_to_news:
             # Lost after it was handed to the connection.
             return Ok(None)
-        other.gossiper.told(self.sender_id, message, self.reader)
+        other.gossiper.handle_news(self.sender_id, message, self.reader)
         return Ok(None)
 
     def close(self) -> None:
