--- a/src/godwittack/backend/__init__.py
+++ b/src/godwittack/backend/__init__.py
@@ -1,1 +1,1 @@
-"""Backend servers: model engines and plain services."""
+"""Clients of backend servers, which are model engines or plain services."""
--- a/src/godwittack/backend/advertised_limits.py
+++ b/src/godwittack/backend/advertised_limits.py
@@ -1,4 +1,4 @@
-"""Tells the limits that servers name with their answers."""
+"""Reports the rate limits that servers advertise in their answers."""
 
 from __future__ import annotations
 
@@ -16,42 +16,44 @@
 
 
 class AdvertisedLimits:
-    """Turns what answers say of limits into inputs, where it says something.
+    """Turns advertised rate limits into inputs for the core.
 
     Attributes:
-        on_named: Told each limit, and that a server names none any more.
-        is_known: Whether a limit of a server is known.
+        on_limit: Called with each advertised limit, and when a server no
+            longer advertises one.
+        has_limit: Whether a limit of a server is known.
     """
 
     def __init__(self, *, clock: Clock) -> None:
-        """Dates what is told by `clock`."""
+        """Uses `clock` for the time of each input."""
         self._clock = clock
         self.on_limit: Callable[[server_inputs.RateLimitEchoed], None]
-        self.on_limit = lambda told: None
+        self.on_limit = lambda limit: None
         self.has_limit: Callable[[str], bool] = lambda server_id: False
         self._unreadable = unreadable.UnreadableLog("server_limit_unreadable")
 
     def report(
         self,
         server_id: str,
-        named: Result[float | None, str],
+        advertised: Result[float | None, str],
         *,
         may_lift: bool,
     ) -> None:
-        """Takes in what an answer names.
+        """Reports the limit in an answer to the core.
 
         Args:
             server_id: The server that answered.
-            named: Requests a second, None for no limit; what could not be read.
-            may_lift: Whether an answer without a limit says that none holds,
-                as one to a request that was run does.
+            advertised: Requests a second, None for no limit; the header's text
+                where it can't be read.
+            may_lift: Whether an answer without a limit lifts the known one;
+                true for answers to requests that were run.
         """
-        if isinstance(named, Err):
-            self._unreadable.log(server_id, named.err_value)
+        if isinstance(advertised, Err):
+            self._unreadable.log(server_id, advertised.err_value)
             return
-        limit_per_s = named.ok_value
-        says_none = may_lift and self.has_limit(server_id)
-        if limit_per_s is None and not says_none:
+        limit_per_s = advertised.ok_value
+        is_lifted = may_lift and self.has_limit(server_id)
+        if limit_per_s is None and not is_lifted:
             return
         self.on_limit(
             server_inputs.RateLimitEchoed(
--- a/src/godwittack/backend/connection.py
+++ b/src/godwittack/backend/connection.py
@@ -1,11 +1,11 @@
-"""One HTTP/1.1 connection to a backend server, read to the last byte.
+"""HTTP/1.1 client connection to a backend server that matches answers by id.
 
-aiohttp's client hands the next answer on a connection to the next request,
+aiohttp's client assigns the next answer on a connection to the next request,
 whichever request it belongs to. Servers may send a second answer late, or
-bytes after a complete one; callers would get the answer of another. Here each
-answer names the request it is for, others are read past, and a connection is
-used again only if it cannot hold anything that was not asked for. The parser
-is `httptools`, the one that aiohttp's own is made from.
+bytes after a complete one, and a caller would get another caller's answer.
+Here the reader checks which request each answer is for, skips all others, and
+reuses a connection only if no unrequested bytes can be left on it. The parser
+is `httptools`, which wraps the same C parser as aiohttp's own.
 """
 
 from __future__ import annotations
@@ -23,24 +23,25 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Bytes of one answer that wait for the reader; above it the socket is not read.
+# Unread body bytes above which reading from the socket is paused.
 HIGH_WATER_BYTES = 1 << 18
 
 
 class ReplyError(Exception):
-    """The server's bytes are no whole answer to the request."""
+    """The connection brought no complete, valid answer to the request."""
 
 
 @dataclasses.dataclass(slots=True)
 class Reply:
-    """One answer as it comes.
+    """One answer while it is being received.
 
     Attributes:
-        status: HTTP status; 0 until the head came.
+        status: HTTP status; 0 until the head was received.
         headers: In the order and case received.
-        is_complete: Whether the body's end was seen.
-        is_close_delimited: Whether only the connection's end marks it.
-        chunks: Pieces of the body that were not read yet.
+        is_complete: Whether the end of the body was received.
+        is_close_delimited: Whether the body ends only where the server closes
+            the connection.
+        chunks: Pieces of the body that have not been read yet.
     """
 
     status: int = 0
@@ -52,7 +53,7 @@
     )
 
     def header(self, name: str) -> str:
-        """Returns the first header of that name, or an empty text."""
+        """Returns the first header of that name, or an empty string."""
         lower = name.lower()
         for header in self.headers:
             if header.name.lower() == lower:
@@ -61,16 +62,17 @@
 
 
 class Connection(asyncio.Protocol):
-    """Sends one request at a time and reads what comes back.
+    """Sends one request at a time and reads the answer.
 
     Attributes:
-        used: Whether a request was sent on it before.
+        was_used: Whether a request was sent on it before.
         idle_since_ms: When its last answer ended.
-        keep_ms: How long the server keeps it open while idle.
+        keep_alive_ms: How long the server keeps it open while idle; 0 if
+            not stated.
     """
 
     def __init__(self) -> None:
-        """Waits for `asyncio` to connect it."""
+        """Creates an unconnected instance; `asyncio` connects it."""
         self.was_used = False
         self.idle_since_ms = 0
         self.keep_alive_ms = 0
@@ -78,15 +80,15 @@
         self._parser = httptools.HttpResponseParser(self)
         self._reply: Reply | None = None
         self._unread_replies: collections.deque[Reply] = collections.deque()
-        self._buffered = 0
+        self._unread_bytes = 0
         self._is_awaiting_reply = False
         self._progress = asyncio.Event()
         self._failure: str | None = None
-        self._paused = False
+        self._is_reading_paused = False
         self._is_unusable = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Sets the socket up so that a dead path shows."""
+        """Enables TCP keep-alive, so that a dead network path is detected."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         sock = transport.get_extra_info("socket")
@@ -94,11 +96,11 @@
             liveness.probe(sock)
 
     def data_received(self, data: bytes) -> None:
-        """Parses what came."""
+        """Parses received bytes; fails the connection if none are expected."""
         if self._is_unusable:
             return
         if not self._is_awaiting_reply:
-            # Nothing was asked: whatever this is, it is not for anybody.
+            # No request is open, so these bytes belong to no caller.
             self._abort("bytes without a request")
             return
         try:
@@ -108,7 +110,7 @@
         self._progress.set()
 
     def eof_received(self) -> bool:
-        """Ends an answer that has no length."""
+        """Completes an answer that is delimited by the connection's end."""
         reply = self._reply
         if reply is not None and reply.status and reply.is_close_delimited:
             reply.is_complete = True
@@ -116,15 +118,15 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Ends whatever was being read."""
+        """Fails the answer that was being read."""
         self._fail(f"connection lost: {exc}" if exc else "connection closed")
 
     def on_message_begin(self) -> None:
-        """Parser: the first byte of an answer."""
+        """Parser callback: the first byte of an answer."""
         self._reply = Reply()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Parser: one header."""
+        """Parser callback: one header."""
         if self._reply is not None:
             text = value.decode("latin-1")
             self._reply.headers.append(
@@ -132,7 +134,7 @@
             )
 
     def on_headers_complete(self) -> None:
-        """Parser: the head is whole."""
+        """Parser callback: the head is complete."""
         reply = self._reply
         if reply is None:
             return
@@ -146,33 +148,36 @@
         self._unread_replies.append(reply)
 
     def on_body(self, body: bytes) -> None:
-        """Parser: a piece of a body."""
+        """Parser callback: a piece of a body."""
         if self._reply is None:
             return
         self._reply.chunks.append(body)
-        self._buffered += len(body)
-        if self._buffered > HIGH_WATER_BYTES and not self._paused:
-            self._paused = True
+        self._unread_bytes += len(body)
+        if (
+            self._unread_bytes > HIGH_WATER_BYTES
+            and not self._is_reading_paused
+        ):
+            self._is_reading_paused = True
             if self._transport is not None:
                 self._transport.pause_reading()
 
     def on_message_complete(self) -> None:
-        """Parser: the answer's end."""
+        """Parser callback: the end of an answer."""
         if self._reply is not None and self._reply.status >= 200:
             self._reply.is_complete = True
 
     @property
     def is_open(self) -> bool:
-        """Whether a request could be sent."""
+        """Whether a request can be sent."""
         closing = self._transport is None or self._transport.is_closing()
         return not (self._is_unusable or self._failure or closing)
 
     def send(self, head: bytes, body: bytes) -> None:
-        """Writes a request; what the socket does not take yet is kept.
+        """Writes a request; bytes that the socket can't take yet are buffered.
 
-        A server may answer before it has read the whole body. The rest is
-        sent all the same, so that what follows on the connection is never
-        taken for it.
+        A server may answer before it has read the whole body. The rest of the
+        body is still sent, so that the server never reads the next request as
+        part of it.
         """
         assert self._transport is not None
         self.was_used = True
@@ -180,12 +185,12 @@
         self._transport.write(head + body)
 
     async def read_head(self, matches: Callable[[Reply], bool]) -> Reply:
-        """Returns the head of the answer that `matches` recognizes.
+        """Returns the answer for which `matches` is true, its body unread.
 
-        Answers to other requests that come before it are read past.
+        Answers to other requests that arrive before it are discarded.
 
         Raises:
-            ReplyError: The connection ended, or brought no answer.
+            ReplyError: The connection failed before such an answer arrived.
         """
         while True:
             while not self._unread_replies:
@@ -199,7 +204,7 @@
                 raise ReplyError("an answer to another request, without end")
 
     async def read_chunk(self, reply: Reply) -> bytes:
-        """Returns the next bytes of a body; none at its end.
+        """Returns the next bytes of a body, or empty bytes at its end.
 
         Raises:
             ReplyError: The connection ended before the body did.
@@ -211,17 +216,17 @@
             await self._wait_for_progress()
         data = b"".join(reply.chunks)
         reply.chunks.clear()
-        self._buffered -= len(data)
-        if self._paused and self._transport is not None:
-            self._paused = False
+        self._unread_bytes -= len(data)
+        if self._is_reading_paused and self._transport is not None:
+            self._is_reading_paused = False
             self._transport.resume_reading()
         return data
 
     async def read_body(self, reply: Reply, *, limit: int = 32 << 20) -> bytes:
-        """Returns a whole body.
+        """Returns the complete body.
 
         Raises:
-            ReplyError: It is not whole, or longer than `limit`.
+            ReplyError: The body is incomplete, or longer than `limit` bytes.
         """
         parts: list[bytes] = []
         size = 0
@@ -233,9 +238,9 @@
         return b"".join(parts)
 
     def finish(self, reply: Reply, *, now_ms: int) -> bool:
-        """Ends an exchange; returns whether another one may follow."""
+        """Ends an exchange; returns whether the connection is reusable."""
         self.idle_since_ms = now_ms
-        clean = (
+        is_clean = (
             reply.is_complete
             and not reply.is_close_delimited
             and not self._unread_replies
@@ -245,10 +250,10 @@
         self.keep_alive_ms = _keep_alive_ms(reply)
         self._reply = None
         self._is_awaiting_reply = False
-        return clean and self.is_open
+        return is_clean and self.is_open
 
     def close(self) -> None:
-        """Closes at once; the server sees its caller gone."""
+        """Closes at once; the server then sees that its caller is gone."""
         self._is_unusable = True
         if self._transport is not None:
             self._transport.abort()
@@ -274,7 +279,7 @@
 
 
 def _keep_alive_ms(reply: Reply) -> int:
-    """Returns the server's idle limit, 0 where it names none."""
+    """Returns the server's idle limit, 0 where its headers have none."""
     for part in reply.header("keep-alive").split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.isdigit():
--- a/src/godwittack/backend/headers.py
+++ b/src/godwittack/backend/headers.py
@@ -1,4 +1,4 @@
-"""Headers that are not handed on, and numbers that headers hold."""
+"""Selects the headers to forward, and parses numbers in headers."""
 
 from __future__ import annotations
 
@@ -25,32 +25,35 @@
     }
 )
 REGENERATED = frozenset({"content-length", "date", "server"})
-# More make no sense in any header, and Python refuses thousands.
+# Longer numbers make no sense in any header, and Python's `int` raises an error
+# on thousands of digits.
 MAX_DIGITS = 15
-# Characters shown of a header that can't be read.
+# Characters of an unreadable header that go into the log.
 MAX_SHOWN_CHARS = 100
 
 
 def end_to_end(
-    found: Iterable[work.Header],
+    all_headers: Iterable[work.Header],
     *,
     connection: str,
     dropped: Collection[str] = (),
 ) -> tuple[work.Header, ...]:
-    """Returns the headers that are handed on.
+    """Returns the headers of a message that are forwarded.
 
     Args:
-        found: All headers of a message.
+        all_headers: All headers of the message.
         connection: Its `Connection` header, which names more to drop.
-        dropped: Further names, in lower case.
+        dropped: Further names to drop, in lower case.
     """
-    named = {part.strip().lower() for part in connection.split(",")}
-    named |= HOP_BY_HOP | REGENERATED | set(dropped)
-    return tuple(header for header in found if header.name.lower() not in named)
+    excluded = {part.strip().lower() for part in connection.split(",")}
+    excluded |= HOP_BY_HOP | REGENERATED | set(dropped)
+    return tuple(
+        header for header in all_headers if header.name.lower() not in excluded
+    )
 
 
 def parse_number(text: str) -> int | None:
-    """Returns a whole number that a header holds, None for anything else."""
+    """Returns a header's value as a whole number, None for anything else."""
     text = text.strip()
     is_number = text.isascii() and text.isdecimal() and len(text) <= MAX_DIGITS
     return int(text) if is_number else None
@@ -59,27 +62,29 @@
 def parse_decimal(
     headers: Iterable[work.Header], names: Collection[str]
 ) -> Result[float | None, str]:
-    """Returns the number, with or without a fraction, that headers hold.
+    """Returns the value of a numeric header, with or without a fraction.
 
     Args:
         headers: Headers of one message.
         names: Spellings of the header's name.
 
     Returns:
-        None without such a header; what they hold where that is no number, or
-        several of them differ.
+        The number, or None without such a header. An error with the header's
+        text if it is not a number, or if several such headers differ.
     """
-    known = {name.lower() for name in names}
-    told = [h.value.strip() for h in headers if h.name.lower() in known]
-    if not told:
+    accepted_names = {name.lower() for name in names}
+    values = [
+        h.value.strip() for h in headers if h.name.lower() in accepted_names
+    ]
+    if not values:
         return Ok(None)
-    if len(set(told)) > 1 or not is_decimal(told[0]):
-        return Err(", ".join(told)[:MAX_SHOWN_CHARS])
-    return Ok(float(told[0]))
+    if len(set(values)) > 1 or not is_decimal(values[0]):
+        return Err(", ".join(values)[:MAX_SHOWN_CHARS])
+    return Ok(float(values[0]))
 
 
 def is_decimal(text: str) -> bool:
-    """Returns whether a text is a number, with or without a fraction."""
+    """Returns whether a text is a decimal number; the fraction is optional."""
     whole, _, fraction = text.partition(".")
     digits = whole + fraction
     is_number = digits.isascii() and digits.isdecimal() and bool(whole)
--- a/src/godwittack/backend/http.py
+++ b/src/godwittack/backend/http.py
@@ -1,4 +1,4 @@
-"""Backend servers over HTTP in the OpenAI form with the engine's extras."""
+"""Client of backend servers that speak OpenAI's HTTP API with extensions."""
 
 from __future__ import annotations
 
@@ -43,19 +43,19 @@
         connect_timeout_ms: int,
         control_timeout_ms: int,
     ) -> None:
-        """Uses `pooled` for generations and `fresh` where state matters.
+        """Uses `pooled` for attempts and polls, and `fresh` for other calls.
 
         Args:
             pooled: Session that keeps connections.
             fresh: Session that opens a connection for each call.
-            clock: Dates what servers say.
-            connect_timeout_ms: Limit for opening a connection.
-            control_timeout_ms: Limit for load, probe and order calls.
+            clock: Time source for what servers report.
+            connect_timeout_ms: Timeout for opening a connection.
+            control_timeout_ms: Timeout for load, probe and order calls.
         """
         self._pooled = pooled
         self._fresh = fresh
         self.signal_reporter = signals.SignalReporter(clock=clock)
-        # The core watches for silence; here only connecting is limited.
+        # The core times out silent attempts; only connecting is limited here.
         self._attempt_timeout = aiohttp.ClientTimeout(
             total=None, sock_connect=connect_timeout_ms / 1000
         )
@@ -78,7 +78,7 @@
         try:
             await self._send(dispatch, call, sink)
         except aiohttp.ClientConnectorError as error:
-            # Raised before a byte of the request is written.
+            # aiohttp raises it before it writes a byte of the request.
             sink.failed(
                 inputs.FailurePhase.CONNECT,
                 _connect_cause(error),
@@ -107,27 +107,27 @@
         self, address: str, *, server_id: str = ""
     ) -> Result[protocol.EngineLoad, protocol.BackendError]:
         """Returns the server's load, on a fresh connection."""
-        got = await self._control("load", address, "GET", "/load")
-        if isinstance(got, Err):
-            return got
-        return _parse(address, "load", schema.load, got.ok_value)
+        result = await self._control("load", address, "GET", "/load")
+        if isinstance(result, Err):
+            return result
+        return _parse(address, "load", schema.load, result.ok_value)
 
     async def poll_load(
         self, address: str, *, server_id: str = ""
     ) -> Result[protocol.EngineLoad, protocol.BackendError]:
         """Returns the server's load, on a connection kept between polls."""
-        got = await self._control(
+        result = await self._control(
             "poll load", address, "GET", "/load", session=self._pooled
         )
-        if isinstance(got, Err):
-            return got
-        return _parse(address, "poll load", schema.load, got.ok_value)
+        if isinstance(result, Err):
+            return result
+        return _parse(address, "poll load", schema.load, result.ok_value)
 
     async def cache_events(
         self, address: str, *, after: int, server_id: str = ""
     ) -> Result[protocol.CacheEvents, protocol.BackendError]:
-        """Waits for cache events."""
-        got = await self._control(
+        """Returns the cache events after a sequence number; waits for them."""
+        result = await self._control(
             "cache events",
             address,
             "GET",
@@ -135,23 +135,23 @@
             session=self._pooled,
             timeout=self._events_timeout,
         )
-        if isinstance(got, Err):
-            return got
-        return _parse(address, "cache events", schema.events, got.ok_value)
+        if isinstance(result, Err):
+            return result
+        return _parse(address, "cache events", schema.events, result.ok_value)
 
     async def order(
         self, address: str, order: protocol.Order
     ) -> Result[None, protocol.BackendError]:
-        """Gives an order."""
+        """Sends an order."""
         body = {
             "kind": order.kind.value,
             "fencing": order.fencing,
             "value": order.value,
         }
-        got = await self._control(
+        result = await self._control(
             "order", address, "POST", "/orders", json.dumps(body).encode()
         )
-        return got if isinstance(got, Err) else Ok(None)
+        return result if isinstance(result, Err) else Ok(None)
 
     async def export_kv(
         self, address: str, level_key: int
@@ -162,9 +162,9 @@
     async def import_kv(
         self, address: str, data: bytes
     ) -> Result[None, protocol.BackendError]:
-        """Hands cached state to an engine."""
-        got = await self._control("import", address, "POST", "/kv", data)
-        return got if isinstance(got, Err) else Ok(None)
+        """Sends cached state to an engine."""
+        result = await self._control("import", address, "POST", "/kv", data)
+        return result if isinstance(result, Err) else Ok(None)
 
     async def _send(
         self,
@@ -201,20 +201,20 @@
     def _report_signals(
         self, dispatch: effects.Dispatch, response: aiohttp.ClientResponse
     ) -> None:
-        """Takes in the rest that a server asks for where it declines."""
-        found = [
+        """Reports the rest that a server requests where it declines."""
+        all_headers = [
             work.Header(name, value) for name, value in response.headers.items()
         ]
         rest = signals.read_rest(
-            response.status, found, is_declined=dispatch.stamp is not None
+            response.status, all_headers, is_declined=dispatch.stamp is not None
         )
-        sender = signals.SignalOrigin(
+        origin = signals.SignalOrigin(
             server_id=dispatch.server_id,
             incarnation=dispatch.stamp.incarnation if dispatch.stamp else "",
             request_id=dispatch.request_id,
         )
         self.signal_reporter.report(
-            sender, signals.ServerSignals(rest=rest), may_lift_limit=False
+            origin, signals.ServerSignals(rest=rest), may_lift_limit=False
         )
 
     async def _read_generation(
@@ -230,20 +230,20 @@
             weights_version=headers.get("x-weights-version", ""),
             incarnation=headers.get("x-incarnation", ""),
         )
-        echoed = headers.get("x-stream-id", "")
-        streamed = headers.get("content-type", "").startswith(
+        stream_id = headers.get("x-stream-id", "")
+        is_stream = headers.get("content-type", "").startswith(
             "text/event-stream"
         )
-        if streamed:
-            sink.opened(echoed, stamp)
+        if is_stream:
+            sink.opened(stream_id, stamp)
         if "x-prompt-tokens" in headers and not dispatch.resume_stream:
             sink.usage(
                 prompt=int(headers["x-prompt-tokens"]),
                 cached=int(headers.get("x-cached-tokens", "0")),
                 generated=0,
             )
-        if not streamed:
-            sink.answer(echoed, await _read_answer(response), stamp)
+        if not is_stream:
+            sink.answer(stream_id, await _read_answer(response), stamp)
             return
         await _read_frames(dispatch, response, sink)
 
@@ -293,12 +293,12 @@
 
 
 class _SendOnce:
-    """Stops the HTTP library from sending one attempt a second time.
+    """Stops aiohttp from sending one attempt a second time.
 
-    aiohttp repeats PUT and DELETE on its own when the connection breaks
-    before the answer. A stall released that way would be released twice, and
-    no record here would show it. The library calls its middlewares for each
-    try, so that the second one can be refused.
+    aiohttp retries PUT and DELETE on its own when the connection breaks
+    before the answer. A DELETE that releases a resource would release it
+    twice, and no record here would show it. aiohttp calls its middlewares for
+    each try, so that this one can fail the second.
     """
 
     def __init__(self) -> None:
@@ -328,8 +328,8 @@
         await sink.frames(frames)
         if frames[-1].terminal:
             return
-    # The connection closed in order, but the stream's last frame is missing:
-    # it must not look whole.
+    # The connection was closed cleanly, but the stream's last frame is
+    # missing, so the stream must not pass for complete.
     sink.failed(
         inputs.FailurePhase.SENT,
         inputs.FailureCause.BROKEN,
@@ -342,12 +342,12 @@
     dispatch: effects.Dispatch,
     sink: protocol.AttemptSink,
 ) -> bool:
-    """Reports an engine's refusal; other statuses are answers."""
+    """Reports an engine's refusal to `sink`; returns False for an answer."""
     if dispatch.resume_stream:
-        gone = response.status in GONE_STATUSES
+        is_gone = response.status in GONE_STATUSES
         cause = (
             inputs.FailureCause.STREAM_GONE
-            if gone
+            if is_gone
             else inputs.FailureCause.BROKEN
         )
     elif response.status in REFUSED_STATUSES:
@@ -376,10 +376,14 @@
 
 def _is_end_to_end(name: str, connection: str) -> bool:
     lower = name.lower()
-    named = {part.strip().lower() for part in connection.split(",")}
-    # These are set anew towards the caller.
-    length = lower in headers.REGENERATED
-    return lower not in headers.HOP_BY_HOP and lower not in named and not length
+    excluded = {part.strip().lower() for part in connection.split(",")}
+    # The daemon sets these itself in its answer to the caller.
+    is_regenerated = lower in headers.REGENERATED
+    return (
+        lower not in headers.HOP_BY_HOP
+        and lower not in excluded
+        and not is_regenerated
+    )
 
 
 def _headers(
--- a/src/godwittack/backend/pool.py
+++ b/src/godwittack/backend/pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to backend servers, within each server's limits."""
+"""Pool of idle connections to backend servers, within their idle limits."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 if TYPE_CHECKING:
     from godwittack.clock import Clock
 
-# Used again this long before the server's own limit, so that a request and
-# the server's close do not cross on the way.
+# A connection expires this long before the server's own idle limit, so that a
+# request and the server's close do not cross on the network.
 IDLE_MARGIN_MS = 1_500
-# Idle time after which a connection is not used where no limit is named.
+# Idle limit of a connection whose server does not state one.
 DEFAULT_IDLE_LIMIT_MS = 3_000
 MAX_IDLE_PER_ADDRESS = 32
 
 
 class Pool:
-    """Opens connections and keeps those that may be used again."""
+    """Opens connections and keeps reusable ones."""
 
     def __init__(self, *, clock: Clock, connect_timeout_ms: int) -> None:
-        """Keeps nothing yet."""
+        """Starts without connections."""
         self._clock = clock
         self._connect_timeout_s = connect_timeout_ms / 1000
         self._idle: dict[str, collections.deque[connections.Connection]] = (
@@ -32,48 +32,48 @@
         )
 
     def acquire(self, key: str) -> connections.Connection | None:
-        """Returns the kept connection that was used last, if one is good."""
+        """Returns the most recently used idle connection, if one is usable."""
         idle = self._idle.get(key)
         while idle:
-            found = idle.pop()
-            if found.is_open and not self._is_expired(found):
-                return found
-            found.close()
+            candidate = idle.pop()
+            if candidate.is_open and not self._is_expired(candidate):
+                return candidate
+            candidate.close()
         return None
 
     async def open(self, address: str) -> connections.Connection:
         """Opens a connection.
 
         Raises:
-            OSError: Refused, reset, or not opened in time.
+            OSError: The connection was refused, reset, or not opened in time.
         """
         host, port = addresses.split(address)
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(self._connect_timeout_s):
-                _, made = await loop.create_connection(
+                _, connection = await loop.create_connection(
                     connections.Connection, host, port
                 )
         except TimeoutError as error:
             raise OSError("no connection in time") from error
-        return made
+        return connection
 
     def release(
         self,
         key: str,
-        used: connections.Connection,
+        connection: connections.Connection,
         reply: connections.Reply,
     ) -> None:
-        """Keeps a connection after a whole answer, or closes it."""
+        """Keeps a connection after a complete answer, or closes it."""
         idle = self._idle[key]
-        reusable = used.finish(reply, now_ms=self._clock.now_ms())
+        reusable = connection.finish(reply, now_ms=self._clock.now_ms())
         if not reusable or len(idle) >= MAX_IDLE_PER_ADDRESS:
-            used.close()
+            connection.close()
             return
-        idle.append(used)
+        idle.append(connection)
 
     def close_expired(self) -> None:
-        """Closes what has been idle for too long."""
+        """Closes connections that are closed by the server or expired."""
         for key, idle in list(self._idle.items()):
             while idle and (not idle[0].is_open or self._is_expired(idle[0])):
                 idle.popleft().close()
@@ -81,17 +81,17 @@
                 del self._idle[key]
 
     def close(self) -> None:
-        """Closes all."""
+        """Closes all idle connections."""
         for idle in self._idle.values():
-            for kept in idle:
-                kept.close()
+            for connection in idle:
+                connection.close()
         self._idle.clear()
 
-    def _is_expired(self, kept: connections.Connection) -> bool:
+    def _is_expired(self, connection: connections.Connection) -> bool:
         limit_ms = DEFAULT_IDLE_LIMIT_MS
-        if kept.keep_alive_ms:
-            limit_ms = max(0, kept.keep_alive_ms - IDLE_MARGIN_MS)
-        return self._clock.now_ms() - kept.idle_since_ms >= limit_ms
+        if connection.keep_alive_ms:
+            limit_ms = max(0, connection.keep_alive_ms - IDLE_MARGIN_MS)
+        return self._clock.now_ms() - connection.idle_since_ms >= limit_ms
 
 
 __all__ = ["Pool"]
--- a/src/godwittack/backend/protocol.py
+++ b/src/godwittack/backend/protocol.py
@@ -1,4 +1,4 @@
-"""What the daemon asks of backend servers, and how they answer."""
+"""Interface of clients of backend servers, with its requests and results."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class BackendError:
-    """A call of a backend server that brought no answer.
+    """A call to a backend server that failed.
 
     Attributes:
-        step: What was being done.
+        step: Operation that failed.
         peer: Address of the backend server.
-        detail: One line for people.
-        status: HTTP status of the answer; 0 where none came.
+        detail: Human-readable cause in one line.
+        status: HTTP status of the answer; 0 where none was received.
         may_have_run: Whether a byte of the call may have reached the server.
         connection_refused: Whether nothing listens at its address.
     """
@@ -39,14 +39,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Call:
-    """A caller's request as it is sent on.
+    """A caller's request in the form in which it is forwarded.
 
     Attributes:
         path: Path and query at the backend server.
         headers: End-to-end headers.
         body: Body bytes.
-        request_id: The caller's id, which an answer must echo; empty where
-            the interface has none.
+        request_id: The caller's id, which an answer must echo; empty if the
+            interface has none.
     """
 
     method: str
@@ -57,7 +57,7 @@
 
 
 class AttemptSink(Protocol):
-    """Receives what happens on one attempt."""
+    """Receives the events of one attempt."""
 
     def opened(
         self,
@@ -65,13 +65,13 @@
         stamp: work.Stamp,
         head: work.Head | None = None,
     ) -> None:
-        """The head of a stream came."""
+        """Handles the head of a stream."""
 
     def usage(self, *, prompt: int, cached: int, generated: int) -> None:
-        """The engine told what it took from its cache."""
+        """Handles the token usage that the engine reported."""
 
     async def frames(self, frames: tuple[work.Frame, ...]) -> None:
-        """Frames came; returns once there is room for more."""
+        """Handles frames; returns once there is room for more."""
 
     def answer(
         self,
@@ -79,7 +79,7 @@
         answer: work.Answer,
         stamp: work.Stamp | None,
     ) -> None:
-        """A whole answer came."""
+        """Handles a complete answer."""
 
     def failed(
         self,
@@ -87,16 +87,16 @@
         cause: inputs.FailureCause,
         detail: str,
     ) -> None:
-        """The attempt ended without an answer."""
+        """Handles the end of an attempt without an answer."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class EngineLoad:
-    """An engine's or service's account of its load.
+    """Load report of an engine or service.
 
     Attributes:
-        accepted_orders: Orders accepted so far; -1 where it does not count them.
-        is_executing_order: Whether it is carrying out an order.
+        accepted_orders: Orders accepted so far; -1 if it doesn't count them.
+        is_executing_order: Whether it is executing an order.
     """
 
     incarnation: str
@@ -112,7 +112,7 @@
 
 
 class CacheEventKind(enum.StrEnum):
-    """What happened to a cached level."""
+    """Kind of a change to the engine's cached levels."""
 
     STORED = "stored"
     REMOVED = "removed"
@@ -121,9 +121,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """One entry of an engine's event stream; `sequence` counts up by one.
+    """One entry of an engine's event stream.
 
     Attributes:
+        sequence: Number of the event, one higher than the last one's.
         tokens: Tokens of the level that are stored now; 0 for all.
     """
 
@@ -135,13 +136,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class CacheEvents:
-    """A piece of an engine's event stream.
+    """A section of an engine's event stream.
 
     Attributes:
         oldest: Sequence of the oldest event that the engine still has.
-        epoch: Changes with each restart of the numbering; empty where the
-            incarnation does.
-        next_after: What to ask for events after; -1 for the last one's sequence.
+        epoch: Changes whenever the numbering restarts; empty where it restarts
+            only with a new incarnation.
+        next_after: Sequence after which to request the next events; -1 for
+            that of the last event.
     """
 
     incarnation: str
@@ -153,7 +155,7 @@
 
 
 class OrderKind(enum.StrEnum):
-    """What an engine can be ordered to do."""
+    """Kind of an order to an engine."""
 
     LOAD_WEIGHTS = "load_weights"
     LOAD_ADAPTER = "load_adapter"
@@ -166,14 +168,14 @@
 
     Attributes:
         fencing: Number of the lease under which it is given; engines that
-            check it refuse a lower one than they have seen.
+            check it reject a lower one than they have seen.
         value: Weights version, adapter or role.
         target: Model or service of the server.
-        server_id: Server that must get it, for servers that check.
-        holder: Daemon that gives it.
-        expected_accepted_orders: Orders that the server must have accepted before, so
-            that one on its way for seconds does not follow a newer one; -1
-            for any number.
+        server_id: Intended server, for servers that check it.
+        holder: Daemon that gives the order.
+        expected_accepted_orders: Number of orders that the server must have
+            accepted so far, so that an order delayed by seconds is not
+            executed after a newer one; -1 for any number.
     """
 
     kind: OrderKind
@@ -186,12 +188,12 @@
 
 
 class BackendClient(Protocol):
-    """All calls to backend servers."""
+    """Client for all calls to backend servers."""
 
     async def send(
         self, dispatch: effects.Dispatch, call: Call, sink: AttemptSink
     ) -> None:
-        """Runs one attempt to its end; every result goes to `sink`."""
+        """Runs one attempt to its end and passes all results to `sink`."""
 
     async def cancel(self, address: str, stream_id: str) -> None:
         """Ends a stream on an engine; failures are ignored."""
@@ -206,18 +208,18 @@
     ) -> Result[EngineLoad, BackendError]:
         """Returns the server's load, on a connection kept between polls.
 
-        One that went silent costs one poll: it is closed then.
+        A connection that stops responding costs one poll and is then closed.
         """
 
     async def cache_events(
         self, address: str, *, after: int, server_id: str = ""
     ) -> Result[CacheEvents, BackendError]:
-        """Waits for cache events after a sequence number."""
+        """Returns the cache events after a sequence number; waits for them."""
 
     async def order(
         self, address: str, order: Order
     ) -> Result[None, BackendError]:
-        """Gives an order."""
+        """Sends an order."""
 
     async def export_kv(
         self, address: str, level_key: int
@@ -227,7 +229,7 @@
     async def import_kv(
         self, address: str, data: bytes
     ) -> Result[None, BackendError]:
-        """Hands cached state to an engine, which checks the stamp."""
+        """Sends cached state to an engine, which checks its stamp."""
 
 
 __all__ = [
--- a/src/godwittack/backend/retry_after.py
+++ b/src/godwittack/backend/retry_after.py
@@ -1,4 +1,4 @@
-"""Reads `Retry-After`, by which a server asks for rest."""
+"""Parses `Retry-After`, by which a server requests a rest."""
 
 from __future__ import annotations
 
@@ -16,45 +16,52 @@
     from godwittack.core import work
 
 HEADER = "retry-after"
-# Longer ones are taken for this: a day.
+# Longer times are cut to a day.
 MAX_REST_MS = 86_400_000
 
 
-def read(found: Iterable[work.Header]) -> Result[int | None, str]:
-    """Returns the milliseconds that an answer's headers ask for.
+def read(answer_headers: Iterable[work.Header]) -> Result[int | None, str]:
+    """Returns the rest in milliseconds that an answer's headers request.
 
-    Seconds, with or without a fraction, or a date (RFC 9110, 10.2.3), which
-    is counted from the answer's own `Date`, so that no two clocks are compared.
+    The header holds seconds, with or without a fraction, or a date (RFC 9110,
+    10.2.3). A date is compared with the answer's own `Date`, so that the
+    clocks of two hosts are never compared.
 
     Args:
-        found: Headers of one answer. Of several such ones the longest counts.
+        answer_headers: Headers of one answer. Of several `Retry-After` headers
+            the longest time counts.
 
     Returns:
-        None without such a header; their text where none can be read.
+        The time, or None without such a header. An error with the headers'
+        text where none of them can be read.
     """
-    found = list(found)
-    told = [h.value.strip() for h in found if h.name.lower() == HEADER]
-    if not told:
+    answer_headers = list(answer_headers)
+    values = [
+        h.value.strip() for h in answer_headers if h.name.lower() == HEADER
+    ]
+    if not values:
         return Ok(None)
-    dated = next((h.value for h in found if h.name.lower() == "date"), "")
-    read_ms = [_parse_ms(value, dated) for value in told]
-    known_ms = [value for value in read_ms if value is not None]
-    if not known_ms:
-        return Err(", ".join(told)[: headers.MAX_SHOWN_CHARS])
-    return Ok(min(max(known_ms), MAX_REST_MS))
+    date = next(
+        (h.value for h in answer_headers if h.name.lower() == "date"), ""
+    )
+    parsed_ms = [_parse_ms(value, date) for value in values]
+    valid_ms = [value for value in parsed_ms if value is not None]
+    if not valid_ms:
+        return Err(", ".join(values)[: headers.MAX_SHOWN_CHARS])
+    return Ok(min(max(valid_ms), MAX_REST_MS))
 
 
-def _parse_ms(value: str, dated: str) -> int | None:
+def _parse_ms(value: str, date: str) -> int | None:
     if headers.is_decimal(value):
         return math.ceil(float(value) * 1000)
-    until_s, made_s = _parse_date_s(value), _parse_date_s(dated)
-    if until_s is None or made_s is None:
+    until_s, sent_s = _parse_date_s(value), _parse_date_s(date)
+    if until_s is None or sent_s is None:
         return None
-    return max(0, (until_s - made_s) * 1000)
+    return max(0, (until_s - sent_s) * 1000)
 
 
 def _parse_date_s(text: str) -> int | None:
-    """Returns a date's Unix seconds, None for what is no date."""
+    """Returns a date as Unix time in seconds, None if it is not a date."""
     parsed = email.utils.parsedate_tz(text)
     if parsed is None:
         return None
--- a/src/godwittack/backend/routed.py
+++ b/src/godwittack/backend/routed.py
@@ -1,4 +1,4 @@
-"""Runs attempts on backend servers whose answers are handed on unchanged."""
+"""Runs attempts on backend servers whose answers are relayed unchanged."""
 
 from __future__ import annotations
 
@@ -22,26 +22,26 @@
     from godwittack.core import effects
 
 EVENT_STREAM = "text/event-stream"
-# Time in which a server that turns a connection away has reset it: a round
-# trip between failure domains of 2 ms, and 1 ms in which it accepts.
+# Wait after opening a connection until a server that rejects it has reset it: a
+# round trip between failure domains takes 2 ms, and the accept 1 ms.
 RESET_WAIT_MS = 4
 
-
-# Names of kept connections beside those of callers' requests.
+# Names of pooled connections that are kept apart from those of callers'
+# requests.
 CONTROL_CONNECTION = "control"
 EVENTS_CONNECTION = "events/control"
 
 
 class ConnectionRejectedError(ConnectionResetError):
-    """The server accepted a connection and reset it unused."""
+    """The server accepted a connection and reset it before it was used."""
 
 
 class WithheldError(Exception):
-    """The server wanted no work any more before anything was sent."""
+    """The server stopped accepting work before anything was sent."""
 
 
 class DeadlineExceededError(Exception):
-    """The time for an answer was over before anything was sent."""
+    """The deadline for an answer passed before anything was sent."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
@@ -50,8 +50,9 @@
 
     Attributes:
         head: Request line and headers, with the blank line.
-        step: What it does, for errors.
-        wait_ms: How long the server may hold it open.
+        step: Operation, for error messages.
+        wait_ms: How long the server may delay its answer, beyond the timeout
+            of control calls.
     """
 
     step: str
@@ -62,14 +63,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _ControlReply:
-    """Answer to a control call, with what it says of its server."""
+    """Answer to a control call, with the signals of its server."""
 
     body: bytes
     signals: signals.ServerSignals
 
 
 class ServerFormat(Protocol):
-    """How requests to servers are written, and their answers read."""
+    """Formats requests to servers and parses their answers."""
 
     def request_head(
         self, dispatch: effects.Dispatch, call: protocol.Call, remaining_ms: int
@@ -78,8 +79,8 @@
 
         Args:
             dispatch: The attempt.
-            call: What is asked.
-            left_ms: Time that is left for the answer; 0 for no limit.
+            call: The caller's request.
+            remaining_ms: Time left for the answer; 0 for no limit.
         """
 
     def matches(self, reply: connections.Reply, call: protocol.Call) -> bool:
@@ -91,28 +92,34 @@
         """Returns why the server did not run the request, None if it did."""
 
     def read_signals(self, reply: connections.Reply) -> signals.ServerSignals:
-        """Returns all that an answer says of its server."""
+        """Returns all that an answer reports about its server."""
 
     def load_call(self, address: str, server_id: str) -> ControlCall:
-        """Returns the call for a server's report of its state."""
+        """Returns the call that requests a server's load report."""
 
     def read_load(self, body: bytes, server_id: str) -> protocol.EngineLoad:
-        """Reads a report; raises ValueError for anything else."""
+        """Parses a load report; raises ValueError if it is invalid."""
 
     def events_call(
         self, address: str, server_id: str, after: int
     ) -> ControlCall:
-        """Returns the call for cache events."""
+        """Returns the call that requests cache events."""
 
     def read_events(self, body: bytes, server_id: str) -> protocol.CacheEvents:
-        """Reads cache events; raises ValueError for anything else."""
+        """Parses cache events; raises ValueError if they are invalid."""
 
     def order_call(self, address: str, order: protocol.Order) -> ControlCall:
-        """Returns the call for an order."""
+        """Returns the call that sends an order."""
 
 
 class RoutedBackend:
-    """Implements `BackendClient` over kept connections of our own."""
+    """Implements `BackendClient` over pooled `Connection` objects.
+
+    Attributes:
+        signal_reporter: Passes the signals in answers to the core.
+        may_send: Checked directly before a request is written; False fails
+            the attempt as not sent.
+    """
 
     def __init__(
         self,
@@ -122,7 +129,7 @@
         clock: Clock,
         control_timeout_ms: int,
     ) -> None:
-        """Speaks `server_format` over connections of `pool`."""
+        """Uses `server_format` over connections of `pool`."""
         self._pool = pool
         self._format = server_format
         self._clock = clock
@@ -138,12 +145,12 @@
         sink: protocol.AttemptSink,
     ) -> None:
         """Runs one attempt to its end."""
-        used = None
+        connection = None
         if not dispatch.fresh_connection:
-            used = self._pool.acquire(dispatch.server_id)
-        if used is None:
+            connection = self._pool.acquire(dispatch.server_id)
+        if connection is None:
             try:
-                used = await self._open(dispatch)
+                connection = await self._open(dispatch)
             except OSError as error:
                 sink.failed(
                     inputs.FailurePhase.CONNECT,
@@ -151,10 +158,10 @@
                     str(error),
                 )
                 return
-        ended_well = False
+        is_finished = False
         try:
-            await self._exchange(used, dispatch, call, sink)
-            ended_well = True
+            await self._exchange(connection, dispatch, call, sink)
+            is_finished = True
         except WithheldError as error:
             sink.failed(
                 inputs.FailurePhase.CONNECT,
@@ -174,82 +181,84 @@
                 str(error),
             )
         finally:
-            # Also where the attempt was cancelled: the server stops the work
-            # of a caller whose connection closes.
-            if not ended_well:
-                used.close()
+            # A cancelled attempt closes its connection as well: the server
+            # then stops working on the request.
+            if not is_finished:
+                connection.close()
 
     async def _open(self, dispatch: effects.Dispatch) -> connections.Connection:
-        """Opens a connection, and lets its server turn it away.
+        """Opens a connection, and waits until the server may have reset it.
 
         A server with a long queue accepts connections and resets them. A call
-        that had been written to one may have run for all we know, and one
-        that may run once would end there; nothing written, it goes elsewhere.
+        written to such a connection may have run, so that one that may run
+        only once could not be retried; with nothing written, it can be sent to
+        another server.
 
         Raises:
-            TurnedAwayError: Accepted and reset before anything was sent.
-            OSError: Not opened.
+            ConnectionRejectedError: The server accepted the connection and
+                reset it before anything was sent.
+            OSError: The connection could not be opened.
         """
-        used = await self._pool.open(dispatch.address)
+        connection = await self._pool.open(dispatch.address)
         if not dispatch.fresh_connection:
-            return used
+            return connection
         try:
             await asyncio.sleep(RESET_WAIT_MS / 1000)
         except asyncio.CancelledError:
-            used.close()
+            connection.close()
             raise
-        if not used.is_open:
-            used.close()
+        if not connection.is_open:
+            connection.close()
             raise ConnectionRejectedError("reset before anything was sent")
-        return used
+        return connection
 
     async def cancel(self, address: str, stream_id: str) -> None:
-        """Does nothing: a closed connection is what ends a server's work."""
+        """Does nothing: closing the connection ends the server's work."""
 
     async def load(
         self, address: str, *, server_id: str = ""
     ) -> Result[protocol.EngineLoad, protocol.BackendError]:
-        """Returns the server's own report."""
+        """Returns the server's load report."""
         call = self._format.load_call(address, server_id)
-        got = await self._control(
+        result = await self._control(
             address, server_id, call, connection_name=CONTROL_CONNECTION
         )
-        if isinstance(got, Err):
-            return got
-        answered = got.ok_value
+        if isinstance(result, Err):
+            return result
+        reply = result.ok_value
         try:
-            told = self._format.read_load(answered.body, server_id)
+            load = self._format.read_load(reply.body, server_id)
         except ValueError as error:
             return _error(call.step, address, str(error))
-        is_leaving = told.leaving or answered.signals.is_leaving
-        return Ok(dataclasses.replace(told, leaving=is_leaving))
+        is_leaving = load.leaving or reply.signals.is_leaving
+        return Ok(dataclasses.replace(load, leaving=is_leaving))
 
     poll_load = load
 
     async def cache_events(
         self, address: str, *, after: int, server_id: str = ""
     ) -> Result[protocol.CacheEvents, protocol.BackendError]:
-        """Waits for cache events."""
+        """Returns the cache events after a sequence number; waits for them."""
         call = self._format.events_call(address, server_id, after)
-        got = await self._control(
+        result = await self._control(
             address, server_id, call, connection_name=EVENTS_CONNECTION
         )
-        if isinstance(got, Err):
-            return got
+        if isinstance(result, Err):
+            return result
         try:
-            return Ok(self._format.read_events(got.ok_value.body, server_id))
+            return Ok(self._format.read_events(result.ok_value.body, server_id))
         except ValueError as error:
             return _error(call.step, address, str(error))
 
     async def order(
         self, address: str, order: protocol.Order
     ) -> Result[None, protocol.BackendError]:
-        """Gives an order."""
+        """Sends an order."""
         call = self._format.order_call(address, order)
-        got = await self._control(
+        result = await self._control(
             address, order.server_id, call, connection_name=CONTROL_CONNECTION
         )
-        return got if isinstance(got, Err) else Ok(None)
+        return result if isinstance(result, Err) else Ok(None)
 
     async def export_kv(
         self, address: str, level_key: int
@@ -265,7 +274,7 @@
 
     async def _exchange(
         self,
-        used: connections.Connection,
+        connection: connections.Connection,
         dispatch: effects.Dispatch,
         call: protocol.Call,
         sink: protocol.AttemptSink,
@@ -273,24 +282,24 @@
         remaining_ms = self._remaining_ms(dispatch)
         if not self.may_send(dispatch):
             raise WithheldError(f"{dispatch.server_id} wants no work any more")
-        used.send(
+        connection.send(
             self._format.request_head(dispatch, call, remaining_ms), call.body
         )
-        reply = await used.read_head(
+        reply = await connection.read_head(
             lambda reply: self._format.matches(reply, call)
         )
-        sender = signals.SignalOrigin(
+        origin = signals.SignalOrigin(
             server_id=dispatch.server_id,
             incarnation=dispatch.incarnation,
             request_id=dispatch.request_id,
         )
         declined = self._format.decline_cause(reply, dispatch.server_id)
         self._report_signals(
-            sender, reply, declined=declined, may_lift_limit=declined is None
+            origin, reply, declined=declined, may_lift_limit=declined is None
         )
         if declined is not None:
-            await used.read_body(reply)
-            self._pool.release(dispatch.server_id, used, reply)
+            await connection.read_body(reply)
+            self._pool.release(dispatch.server_id, connection, reply)
             sink.failed(
                 inputs.FailurePhase.DECLINED,
                 declined,
@@ -298,11 +307,11 @@
             )
             return
         if _is_stream(reply) and dispatch.stamp is not None:
-            await _relay(used, reply, dispatch, sink)
-            self._pool.release(dispatch.server_id, used, reply)
+            await _relay(connection, reply, dispatch, sink)
+            self._pool.release(dispatch.server_id, connection, reply)
             return
-        body = await used.read_body(reply)
-        self._pool.release(dispatch.server_id, used, reply)
+        body = await connection.read_body(reply)
+        self._pool.release(dispatch.server_id, connection, reply)
         answer = work.Answer(reply.status, _end_to_end(reply), body)
         sink.answer(dispatch.attempt_id, answer, dispatch.stamp)
 
@@ -310,33 +319,36 @@
         """Returns the time left for an answer; 0 for no limit.
 
         Raises:
-            OutOfTimeError: Opening the connection has taken what was left.
+            DeadlineExceededError: Opening the connection took all that was
+                left.
         """
         if not dispatch.ends_at_ms:
             return 0
-        left_ms = dispatch.ends_at_ms - self._clock.now_ms()
-        if left_ms <= 0:
+        remaining_ms = dispatch.ends_at_ms - self._clock.now_ms()
+        if remaining_ms <= 0:
             raise DeadlineExceededError("its time was over before it was sent")
-        return left_ms
+        return remaining_ms
 
     def _report_signals(
         self,
-        sender: signals.SignalOrigin,
+        origin: signals.SignalOrigin,
         reply: connections.Reply,
         *,
         declined: inputs.FailureCause | None,
         may_lift_limit: bool = False,
     ) -> signals.ServerSignals:
-        """Takes in what an answer says of its server.
+        """Passes the signals of an answer to the core, and returns them.
 
-        One by another process that has the address says nothing of the server
-        that was meant.
+        An answer of another process that now has the address is ignored: its
+        signals don't apply to the intended server.
         """
         if declined is inputs.FailureCause.OTHER_SERVER:
             return signals.ServerSignals()
-        said = self._format.read_signals(reply)
-        self.signal_reporter.report(sender, said, may_lift_limit=may_lift_limit)
-        return said
+        server_signals = self._format.read_signals(reply)
+        self.signal_reporter.report(
+            origin, server_signals, may_lift_limit=may_lift_limit
+        )
+        return server_signals
 
     async def _control(
         self,
@@ -346,35 +358,39 @@
         *,
         connection_name: str,
     ) -> Result[_ControlReply, protocol.BackendError]:
-        # Not among the connections of callers' requests, where an answer to
-        # one of those may still come late.
+        # Kept apart from the connections of callers' requests, on which a late
+        # answer to one of those may still arrive.
         key = f"{server_id}/{connection_name}"
-        used = None
+        connection = None
         limit_s = (self._control_timeout_ms + call.wait_ms) / 1000
         try:
             async with asyncio.timeout(limit_s):
-                used = self._pool.acquire(key) or await self._pool.open(address)
-                used.send(call.head, call.body)
-                reply = await used.read_head(lambda reply: True)
-                body = await used.read_body(reply)
+                connection = self._pool.acquire(key) or await self._pool.open(
+                    address
+                )
+                connection.send(call.head, call.body)
+                reply = await connection.read_head(lambda reply: True)
+                body = await connection.read_body(reply)
         except TimeoutError:
-            _close(used)
+            _close(connection)
             detail = "no answer in time"
-            return _error(call.step, address, detail, sent=used is not None)
+            return _error(
+                call.step, address, detail, may_have_run=connection is not None
+            )
         except (OSError, connections.ReplyError) as error:
-            _close(used)
+            _close(connection)
             return _error(
                 call.step,
                 address,
                 str(error),
-                sent=used is not None,
-                ended=isinstance(error, ConnectionRefusedError),
+                may_have_run=connection is not None,
+                connection_refused=isinstance(error, ConnectionRefusedError),
             )
         except asyncio.CancelledError:
-            _close(used)
+            _close(connection)
             raise
-        self._pool.release(key, used, reply)
-        said = self._report_signals(
+        self._pool.release(key, connection, reply)
+        server_signals = self._report_signals(
             signals.SignalOrigin(server_id=server_id),
             reply,
             declined=self._format.decline_cause(reply, server_id),
@@ -386,11 +402,11 @@
                 f"status {reply.status}",
                 status=reply.status,
             )
-        return Ok(_ControlReply(body, said))
+        return Ok(_ControlReply(body, server_signals))
 
 
 def _connect_cause(error: OSError) -> inputs.FailureCause:
-    """Tells a live server without room from one that can't be reached."""
+    """Distinguishes a live but full server from an unreachable one."""
     if isinstance(error, ConnectionRejectedError):
         return inputs.FailureCause.REFUSED
     if isinstance(error, ConnectionRefusedError):
@@ -399,7 +415,7 @@
 
 
 async def _relay(
-    used: connections.Connection,
+    connection: connections.Connection,
     reply: connections.Reply,
     dispatch: effects.Dispatch,
     sink: protocol.AttemptSink,
@@ -407,8 +423,8 @@
     assert dispatch.stamp is not None
     head = work.Head(reply.status, _end_to_end(reply))
     sink.opened(dispatch.attempt_id, dispatch.stamp, head)
-    reader = sse.FrameReader(after=dispatch.after, done=b"")
-    while data := await used.read_chunk(reply):
+    reader = sse.FrameReader(after=dispatch.after, done_marker=b"")
+    while data := await connection.read_chunk(reply):
         frames = reader.feed(data)
         if frames:
             await sink.frames(frames)
@@ -426,9 +442,9 @@
     )
 
 
-def _close(used: connections.Connection | None) -> None:
-    if used is not None:
-        used.close()
+def _close(connection: connections.Connection | None) -> None:
+    if connection is not None:
+        connection.close()
 
 
 def _error(
@@ -437,8 +453,8 @@
     detail: str,
     *,
     status: int = 0,
-    sent: bool = True,
-    ended: bool = False,
+    may_have_run: bool = True,
+    connection_refused: bool = False,
 ) -> Err[protocol.BackendError]:
     return Err(
         protocol.BackendError(
@@ -446,8 +462,8 @@
             peer=address,
             detail=detail,
             status=status,
-            may_have_run=sent,
-            connection_refused=ended,
+            may_have_run=may_have_run,
+            connection_refused=connection_refused,
         )
     )
 
--- a/src/godwittack/backend/schema.py
+++ b/src/godwittack/backend/schema.py
@@ -1,4 +1,4 @@
-"""What backend servers answer about themselves, checked."""
+"""Validates load reports and cache events of backend servers."""
 
 from __future__ import annotations
 
@@ -32,29 +32,29 @@
 
 
 def load(data: bytes) -> protocol.EngineLoad:
-    """Returns a load report.
+    """Parses a load report.
 
     Raises:
-        pydantic.ValidationError: It is not one.
+        pydantic.ValidationError: `data` is not a valid report.
     """
-    told = _LoadJson.model_validate_json(data)
-    return protocol.EngineLoad(**told.model_dump())
+    report = _LoadJson.model_validate_json(data)
+    return protocol.EngineLoad(**report.model_dump())
 
 
 def events(data: bytes) -> protocol.CacheEvents:
-    """Returns a piece of the event stream.
+    """Parses a section of the event stream.
 
     Raises:
-        pydantic.ValidationError: It is not one.
+        pydantic.ValidationError: `data` is not a valid section.
     """
-    told = _EventsJson.model_validate_json(data)
+    section = _EventsJson.model_validate_json(data)
     return protocol.CacheEvents(
-        incarnation=told.incarnation,
-        weights_version=told.weights_version,
-        oldest=told.oldest,
+        incarnation=section.incarnation,
+        weights_version=section.weights_version,
+        oldest=section.oldest,
         events=tuple(
             protocol.CacheEvent(e.sequence, e.kind, e.level_key)
-            for e in told.events
+            for e in section.events
         ),
     )
 
--- a/src/godwittack/backend/signals.py
+++ b/src/godwittack/backend/signals.py
@@ -1,4 +1,4 @@
-"""What a server says of itself with an answer, whatever it answers to."""
+"""Reads what servers report about themselves in headers of any answer."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 STATUS_TOO_MANY = 429
 STATUS_UNAVAILABLE = 503
 
-# Rest of a server that asks for one of a length that can't be read.
+# Rest of a server that requests one of an unreadable length.
 DEFAULT_REST_MS = 1_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class EchoedLoad:
-    """Load that a server tells with an answer."""
+    """Load that a server reports with an answer."""
 
     running: int
     waiting: int
@@ -40,15 +40,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ServerSignals:
-    """All that an answer says of its server.
+    """All that an answer reports about its server.
 
     Attributes:
-        load: Its load; None where the answer tells none.
-        rate_limit: Requests a second that it takes from all daemons together,
-            None for no limit; the text where that can't be read.
+        load: The server's load; None where the answer has none.
+        rate_limit: Requests a second that it accepts from all daemons
+            together, None for no limit; the header's text where it can't be
+            read.
         is_leaving: Whether it is about to stop.
-        rest: Milliseconds for which it wants nothing from this daemon, None
-            where it asks for no rest; the text where that can't be read.
+        rest: Milliseconds during which this daemon must send it nothing, None
+            where it requests no rest; the header's text where it can't be
+            read.
     """
 
     load: EchoedLoad | None = None
@@ -63,13 +65,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class SignalHeaders:
-    """Names of the headers by which servers tell of themselves.
+    """Names of the headers by which servers report about themselves.
 
     Attributes:
-        load: Running, waiting and slots, separated by commas.
-        rate_limit: Requests a second from all daemons, in all spellings.
-        leaving: Present in answers of a server about to stop, as well.
-        not_run: Present where a request was declined.
+        load: Header with running, waiting and slots, separated by commas.
+        rate_limit: Headers with the requests a second from all daemons, in all
+            spellings.
+        leaving: Headers that mark a server about to stop, in all spellings.
+        not_run: Header that marks a declined request.
     """
 
     load: str
@@ -80,11 +83,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class SignalOrigin:
-    """Who said it, and in answer to what.
+    """Server and request that an answer with signals belongs to.
 
     Attributes:
-        incarnation: The start that the call was meant for; empty where it is
-            not known.
+        incarnation: Incarnation that the call was meant for; empty where it
+            is not known.
         request_id: Request that was answered; empty for other calls.
     """
 
@@ -94,18 +97,18 @@
 
 
 class SignalReporter:
-    """Hands what servers say of themselves to the core.
+    """Passes the signals of servers to the core.
 
     Attributes:
-        submit: Takes the inputs.
-        limits: What servers say of the rate that they take.
+        submit: Called with each input.
+        limits: Reports the servers' rate limits.
     """
 
     def __init__(self, *, clock: Clock) -> None:
-        """Dates what is told by `clock`."""
+        """Uses `clock` for the time of each input."""
         self._clock = clock
         self.submit: Callable[[server_inputs.ServerSignal], None]
-        self.submit = lambda told: None
+        self.submit = lambda signal: None
         self.limits = advertised_limits.AdvertisedLimits(clock=clock)
         self._unreadable = unreadable.UnreadableLog(
             "server_rest_unreadable", assumed_ms=DEFAULT_REST_MS
@@ -113,53 +116,53 @@
 
     def report(
         self,
-        sender: SignalOrigin,
+        origin: SignalOrigin,
         signals: ServerSignals,
         *,
         may_lift_limit: bool,
     ) -> None:
-        """Takes in what came with an answer.
+        """Submits the signals of an answer to the core.
 
         Args:
-            sender: The server that answered.
-            signals: What it said.
-            may_lift_limit: Whether an answer without a limit says that none
-                holds, as one to a request that was run does.
+            origin: Server and request of the answer.
+            signals: Signals of the answer.
+            may_lift_limit: Whether an answer without a limit lifts the known
+                one; true for answers to requests that were run.
         """
         now_ms = self._clock.now_ms()
         if signals.is_leaving:
             self.submit(
                 server_inputs.ServerLeaving(
                     now_ms,
-                    sender.server_id,
-                    incarnation=sender.incarnation,
+                    origin.server_id,
+                    incarnation=origin.incarnation,
                     source=server_inputs.Source.ANSWER,
-                    request_id=sender.request_id,
+                    request_id=origin.request_id,
                 )
             )
-        rest_ms = self._rest_ms(sender.server_id, signals.rest)
+        rest_ms = self._rest_ms(origin.server_id, signals.rest)
         if rest_ms:
             self.submit(
                 server_inputs.RestAsked(
                     at_ms=now_ms,
-                    server_id=sender.server_id,
-                    incarnation=sender.incarnation,
+                    server_id=origin.server_id,
+                    incarnation=origin.incarnation,
                     rest_ms=rest_ms,
-                    request_id=sender.request_id,
+                    request_id=origin.request_id,
                 )
             )
         if signals.load is not None:
             self.submit(
                 server_inputs.LoadEchoed(
                     at_ms=now_ms,
-                    server_id=sender.server_id,
+                    server_id=origin.server_id,
                     running=signals.load.running,
                     waiting=signals.load.waiting,
                     slots=signals.load.slots,
                 )
             )
         self.limits.report(
-            sender.server_id, signals.rate_limit, may_lift=may_lift_limit
+            origin.server_id, signals.rate_limit, may_lift=may_lift_limit
         )
 
     def _rest_ms(self, server_id: str, rest: Result[int | None, str]) -> int:
@@ -170,7 +173,7 @@
 
 
 def read(reply: connection.Reply, names: SignalHeaders) -> ServerSignals:
-    """Returns all that an answer says of its server."""
+    """Returns all that an answer reports about its server."""
     return ServerSignals(
         load=_parse_load(reply.header(names.load)),
         rate_limit=headers.parse_decimal(reply.headers, names.rate_limit),
@@ -184,17 +187,17 @@
 
 
 def read_rest(
-    status: int, found: Iterable[work.Header], *, is_declined: bool
+    status: int, answer_headers: Iterable[work.Header], *, is_declined: bool
 ) -> Result[int | None, str]:
-    """Returns the rest that a server asks for where it turns a call away.
+    """Returns the rest that a server requests where it rejects a call.
 
-    Too many calls of one kind are no wish for rest unless it is requests that
-    are declined by that: of event streams a server takes few at a time.
+    Status 429 requests a rest only where it declines a caller's request: a
+    server accepts few event streams at a time and rejects others with 429.
     """
-    asks = status == STATUS_UNAVAILABLE or (
+    requests_rest = status == STATUS_UNAVAILABLE or (
         status == STATUS_TOO_MANY and is_declined
     )
-    return retry_after.read(found) if asks else Ok(None)
+    return retry_after.read(answer_headers) if requests_rest else Ok(None)
 
 
 def _parse_load(text: str) -> EchoedLoad | None:
--- a/src/godwittack/backend/sse.py
+++ b/src/godwittack/backend/sse.py
@@ -1,4 +1,4 @@
-"""Cuts server-sent events into numbered frames."""
+"""Splits a stream of server-sent events into numbered frames."""
 
 from __future__ import annotations
 
@@ -9,14 +9,19 @@
 
 
 class FrameReader:
-    """Collects bytes and returns whole events as frames.
+    """Buffers bytes and returns complete events as frames.
 
-    An event without an `id:` line takes the number after the last one.
+    An event without an `id:` line gets the number after the previous event's.
     """
 
-    def __init__(self, *, after: int, done: bytes = DONE) -> None:
-        """Starts behind frame `after`; `done` marks the last event, if any."""
-        self._done = done
+    def __init__(self, *, after: int, done_marker: bytes = DONE) -> None:
+        """Starts after frame `after`.
+
+        Args:
+            after: Number of the last frame that was already received.
+            done_marker: Text in the stream's last event; empty for none.
+        """
+        self._done_marker = done_marker
         self._buffer = b""
         self._last_number = after
 
@@ -41,13 +46,13 @@
                 number = int(line[3:])
                 break
         self._last_number = number
-        done = bool(self._done) and self._done in event
-        return work.Frame(number, event + b"\n\n", done)
+        is_last = bool(self._done_marker) and self._done_marker in event
+        return work.Frame(number, event + b"\n\n", is_last)
 
     def finish(self) -> work.Frame:
-        """Returns the last frame of a stream that ended without a mark."""
-        rest, self._buffer = self._buffer, b""
-        return work.Frame(self._last_number + 1, rest, terminal=True)
+        """Returns the last frame of a stream that has no end marker."""
+        remainder, self._buffer = self._buffer, b""
+        return work.Frame(self._last_number + 1, remainder, terminal=True)
 
 
 __all__ = ["FrameReader"]
--- a/src/godwittack/backend/unreadable.py
+++ b/src/godwittack/backend/unreadable.py
@@ -1,24 +1,24 @@
-"""Logs what servers say and can't be read, without repeating it."""
+"""Logs unreadable values from servers, without repeating them."""
 
 from __future__ import annotations
 
 from absl import logging
 
-# Servers whose last such text is remembered.
+# Servers whose last unreadable value is remembered.
 MAX_SERVERS = 100
 
 
 class UnreadableLog:
-    """Writes a line where a server's unreadable text is another than before."""
+    """Writes a line when a server's unreadable value differs from its last."""
 
     def __init__(self, event: str, **fields: int) -> None:
-        """Names its lines `event`, and ends each with `fields`."""
+        """Logs lines with event name `event`, each ending with `fields`."""
         self._event = event
         self._fields = "".join(f" {k}={v}" for k, v in fields.items())
         self._last_detail: dict[str, str] = {}
 
     def log(self, server_id: str, detail: str) -> None:
-        """Takes in a text that can't be read."""
+        """Logs `detail` unless it equals the server's last one."""
         if self._last_detail.get(server_id) == detail:
             return
         self._last_detail[server_id] = detail
--- a/tests/cases/fuzz.py
+++ b/tests/cases/fuzz.py
@@ -162,7 +162,7 @@
     def check(cuts, end) -> None:
         data = b"".join(events)
         kept = data[: end % (len(data) + 1)]
-        reader = sse.FrameReader(after=0, done=b"")
+        reader = sse.FrameReader(after=0, done_marker=b"")
         frames = [
             frame for p in _pieces(kept, cuts) for frame in reader.feed(p)
         ]
