--- a/src/godwittack/peer/__init__.py
+++ b/src/godwittack/peer/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between daemons: calls, streams of news, and probes."""
+"""Messages between daemons: calls, update streams and datagrams."""
--- a/src/godwittack/peer/codec.py
+++ b/src/godwittack/peer/codec.py
@@ -1,4 +1,4 @@
-"""Converts between protobuf messages and the program's own types."""
+"""Converts between protobuf messages and domain types."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def member_to_proto(member: view.Member) -> peer_pb2.Member:
-    """Returns the message form of a member."""
+    """Returns a member as a protobuf message."""
     return peer_pb2.Member(
         member_id=member.member_id,
         peer_address=member.peer_address,
@@ -29,32 +29,32 @@
     )
 
 
-def member_from_proto(told: peer_pb2.Member) -> view.Member | None:
-    """Returns a member, or None for a state this release does not know."""
+def member_from_proto(message: peer_pb2.Member) -> view.Member | None:
+    """Returns a member, or None if its state is unknown to this release."""
     try:
-        state = view.MemberState(told.state)
+        state = view.MemberState(message.state)
     except ValueError:
         return None
     return view.Member(
-        member_id=told.member_id,
-        peer_address=told.peer_address,
-        http_address=told.http_address,
-        failure_domain=told.failure_domain,
-        refutation=told.refutation,
+        member_id=message.member_id,
+        peer_address=message.peer_address,
+        http_address=message.http_address,
+        failure_domain=message.failure_domain,
+        refutation=message.refutation,
         state=state,
-        capacity_millicores=told.capacity_millicores,
-        is_overloaded=told.is_overloaded,
+        capacity_millicores=message.capacity_millicores,
+        is_overloaded=message.is_overloaded,
     )
 
 
 def listed_from_proto(
-    told: Iterable[peer_pb2.Listed],
+    entries: Iterable[peer_pb2.Listed],
 ) -> dict[str, platform.Instance | None]:
-    """Returns changed entries of the instance list by name.
+    """Returns changed entries of the instance list by name, None if removed.
 
-    Entries of a role that this release does not know are left out.
+    Entries whose role is unknown to this release are left out.
     """
-    known = {role.value for role in platform.InstanceRole}
+    known_roles = {role.value for role in platform.InstanceRole}
     return {
         entry.name: (
             None
@@ -71,29 +71,29 @@
                 slots=entry.slots,
             )
         )
-        for entry in told
-        if entry.gone or entry.role in known
+        for entry in entries
+        if entry.gone or entry.role in known_roles
     }
 
 
 def belief_to_proto(belief: freshness.Belief) -> peer_pb2.Belief:
-    """Returns the message form of a belief."""
+    """Returns a belief as a protobuf message."""
     return peer_pb2.Belief(
         topic=int(belief.topic), version=belief.version, age_ms=belief.age_ms
     )
 
 
-def belief_from_proto(told: peer_pb2.Belief) -> freshness.Belief | None:
-    """Returns a belief, or None for a topic this release does not know."""
+def belief_from_proto(message: peer_pb2.Belief) -> freshness.Belief | None:
+    """Returns a belief, or None if its topic is unknown to this release."""
     try:
-        topic = freshness.Topic(told.topic)
+        topic = freshness.Topic(message.topic)
     except ValueError:
         return None
-    return freshness.Belief(topic, told.version, told.age_ms)
+    return freshness.Belief(topic, message.version, message.age_ms)
 
 
 def demand_to_proto(demand: inputs.CellDemand) -> peer_pb2.Demand:
-    """Returns the message form of a cell's demand."""
+    """Returns a cell's demand as a protobuf message."""
     return peer_pb2.Demand(
         cell=demand.cell,
         wanted=demand.wanted,
@@ -101,17 +101,17 @@
     )
 
 
-def demand_from_proto(told: peer_pb2.Demand) -> inputs.CellDemand:
+def demand_from_proto(message: peer_pb2.Demand) -> inputs.CellDemand:
     """Returns a cell's demand."""
     return inputs.CellDemand(
-        cell=told.cell,
-        wanted=told.wanted,
-        rate_per_s=told.rate_per_s,
+        cell=message.cell,
+        wanted=message.wanted,
+        rate_per_s=message.rate_per_s,
     )
 
 
 def crash_to_proto(crash: quarantine.Crash, *, now_ms: int) -> peer_pb2.Crash:
-    """Returns the message form of a crash."""
+    """Returns a crash as a protobuf message."""
     return peer_pb2.Crash(
         content=crash.content,
         start=crash.start,
@@ -120,64 +120,66 @@
     )
 
 
-def crash_from_proto(told: peer_pb2.Crash, *, now_ms: int) -> quarantine.Crash:
+def crash_from_proto(
+    message: peer_pb2.Crash, *, now_ms: int
+) -> quarantine.Crash:
     """Returns a crash."""
     return quarantine.Crash(
-        content=told.content,
-        start=told.start,
-        reporter=told.reporter,
-        at_ms=now_ms - told.age_ms,
+        content=message.content,
+        start=message.start,
+        reporter=message.reporter,
+        at_ms=now_ms - message.age_ms,
     )
 
 
 def completion_to_proto(
-    done: quarantine.Completion, *, now_ms: int
+    completion: quarantine.Completion, *, now_ms: int
 ) -> peer_pb2.Completion:
-    """Returns the message form of a run without a crash."""
+    """Returns a run without a crash as a protobuf message."""
     return peer_pb2.Completion(
-        content=done.content, age_ms=max(0, now_ms - done.at_ms)
+        content=completion.content, age_ms=max(0, now_ms - completion.at_ms)
     )
 
 
 def completion_from_proto(
-    told: peer_pb2.Completion, *, now_ms: int
+    message: peer_pb2.Completion, *, now_ms: int
 ) -> quarantine.Completion:
     """Returns a run without a crash."""
     return quarantine.Completion(
-        content=told.content, at_ms=now_ms - told.age_ms
+        content=message.content, at_ms=now_ms - message.age_ms
     )
 
 
 def rate_limit_to_proto(
-    named: effects.TellRateLimit, *, now_ms: int
+    limit: effects.TellRateLimit, *, now_ms: int
 ) -> peer_pb2.RateLimit:
-    """Returns the message form of a server's limit."""
+    """Returns a server's rate limit as a protobuf message."""
     return peer_pb2.RateLimit(
-        server_id=named.server_id,
-        incarnation=named.incarnation,
-        per_s=named.limit_per_s or 0.0,
-        is_lifted=named.limit_per_s is None,
-        age_ms=max(0, now_ms - named.at_ms),
+        server_id=limit.server_id,
+        incarnation=limit.incarnation,
+        per_s=limit.limit_per_s or 0.0,
+        is_lifted=limit.limit_per_s is None,
+        age_ms=max(0, now_ms - limit.at_ms),
     )
 
 
 def rate_limit_from_proto(
-    told: peer_pb2.RateLimit, *, now_ms: int
+    message: peer_pb2.RateLimit, *, now_ms: int
 ) -> server_inputs.RateLimitTold:
-    """Returns a server's limit as another daemon heard it."""
+    """Returns a server's rate limit as received from another daemon."""
     return server_inputs.RateLimitTold(
         at_ms=now_ms,
-        server_id=told.server_id,
-        incarnation=told.incarnation,
-        limit_per_s=None if told.is_lifted else told.per_s,
-        age_ms=told.age_ms,
+        server_id=message.server_id,
+        incarnation=message.incarnation,
+        limit_per_s=None if message.is_lifted else message.per_s,
+        age_ms=message.age_ms,
     )
 
 
 def listed_to_proto(
     name: str, instance: platform.Instance | None
 ) -> peer_pb2.Listed:
-    """Returns the message form of an entry, None for one that is gone."""
+    """Returns an entry as a message; `instance` is None for a removed one."""
     if instance is None:
         return peer_pb2.Listed(name=name, gone=True)
     return peer_pb2.Listed(
--- a/src/godwittack/peer/datagram.py
+++ b/src/godwittack/peer/datagram.py
@@ -1,4 +1,4 @@
-"""Probes and short-lived news between daemons as UDP datagrams."""
+"""Probes and short-lived updates between daemons as UDP datagrams."""
 
 from __future__ import annotations
 
@@ -16,9 +16,10 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-# Fits one packet on every usual network, so that it is lost or arrives whole.
+# Fits one packet on all common networks, so that a datagram is never split:
+# it arrives complete or is lost.
 MAX_DATAGRAM_BYTES = 1_200
-RESEND_MS = 150
+RESEND_INTERVAL_MS = 150
 _REQUEST = b"\x01"
 _RESPONSE = b"\x02"
 _NEWS = b"\x03"
@@ -29,28 +30,29 @@
 
 
 class ProbeHandler(Protocol):
-    """What a daemon does with a probe."""
+    """Handles probes of other daemons."""
 
-    def handle_exchange(self, told: peer_pb2.Envelope) -> peer_pb2.Envelope:
-        """Takes in an envelope and returns the own one."""
+    def handle_exchange(self, message: peer_pb2.Envelope) -> peer_pb2.Envelope:
+        """Applies a peer's envelope and returns this daemon's."""
 
 
 class DatagramPeers(asyncio.DatagramProtocol):
-    """Sends probes and answers those of others, on one socket.
+    """Sends probes and answers those of other daemons, on one socket.
 
-    A probe as a call costs 860 us of processor time at both ends together and
-    some 700 bytes on the wire; among hundreds of daemons that was most of what
-    control may use. A datagram has no connection that could go silent.
+    A probe as an HTTP call costs 860 us of processor time at both ends
+    together and some 700 bytes on the wire; among hundreds of daemons that is
+    most of the budget for control traffic. A datagram has no connection that
+    could stop responding.
 
-    Each carries a nonce, by which an answer finds its probe, and a proof that
-    its sender knows the cluster's secret. One sent again has the same nonce;
-    taking an envelope in twice changes nothing.
+    Each datagram carries a nonce, which matches an answer to its probe, and a
+    proof that its sender knows the cluster's secret. A resent probe has the
+    same nonce; applying an envelope twice changes nothing.
 
-    News sent so is not answered and may be lost. It is written once for all
-    peers, and read without a task that wakes for it.
+    An update sent as a datagram is not acknowledged and may be lost. It is
+    serialized once for all peers, and read without waking a task.
 
     Attributes:
-        on_news: Told the news of peers.
+        on_news: Called with each update from a peer.
     """
 
     def __init__(
@@ -60,7 +62,7 @@
         timeout_ms: int,
         count_bytes: Callable[[int], None] = lambda size: None,
     ) -> None:
-        """Proves itself with the cluster's secret; see `PeerClient`."""
+        """Authenticates with the cluster's secret; see `PeerClient`."""
         self._handler: ProbeHandler | None = None
         self.on_news: Callable[[peer_pb2.News], None] = lambda news: None
         self._key = hmac.digest(secret, _PROOF_LABEL, "sha256")
@@ -72,7 +74,7 @@
         ] = {}
 
     async def start(self, address: str, *, handler: ProbeHandler) -> None:
-        """Listens on `address` and hands probes to `handler`.
+        """Listens on `address` and passes probes to `handler`.
 
         Raises:
             OSError: The address is in use.
@@ -86,20 +88,20 @@
     async def exchange(
         self, address: str, message: peer_pb2.Envelope
     ) -> Result[peer_pb2.Envelope, exchange.PeerError]:
-        """Sends an envelope and returns the peer's."""
+        """Sends an envelope and returns the peer's; resends it until then."""
         nonce = secrets.token_bytes(_NONCE_BYTES)
         packet = self._pack_envelope(_REQUEST, nonce, message)
-        answered = asyncio.get_running_loop().create_future()
-        self._pending_replies[nonce] = answered
-        left_ms = self._timeout_ms
+        reply = asyncio.get_running_loop().create_future()
+        self._pending_replies[nonce] = reply
+        remaining_ms = self._timeout_ms
         try:
-            while left_ms > 0:
+            while remaining_ms > 0:
                 self._send(packet, addresses.split(address))
-                wait_ms = min(RESEND_MS, left_ms)
-                left_ms -= wait_ms
-                await asyncio.wait([answered], timeout=wait_ms / 1000)
-                if answered.done():
-                    return Ok(answered.result())
+                wait_ms = min(RESEND_INTERVAL_MS, remaining_ms)
+                remaining_ms -= wait_ms
+                await asyncio.wait([reply], timeout=wait_ms / 1000)
+                if reply.done():
+                    return Ok(reply.result())
         finally:
             del self._pending_replies[nonce]
         return Err(
@@ -111,14 +113,17 @@
         )
 
     def broadcast(self, peers: Iterable[str], news: peer_pb2.News) -> None:
-        """Sends news once to each peer, with no word of its arrival."""
+        """Sends an update once to each peer, without acknowledgement."""
         nonce = secrets.token_bytes(_NONCE_BYTES)
         packet = self._sign(_NEWS, nonce, news.SerializeToString())
         for address in peers:
             self._send(packet, addresses.split(address))
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Answers a probe, or hands an answer to the probe that waits."""
+        """Answers a probe, passes on an update, or completes a probe.
+
+        Datagrams without a valid proof are dropped.
+        """
         self._count_bytes(len(data))
         kind, nonce = data[:1], data[1 : 1 + _NONCE_BYTES]
         payload = data[_HEAD_BYTES:]
@@ -129,16 +134,16 @@
             if kind == _NEWS:
                 self.on_news(peer_pb2.News.FromString(payload))
                 return
-            told = peer_pb2.Envelope.FromString(payload)
+            envelope = peer_pb2.Envelope.FromString(payload)
         except proto.DecodeError:
             return
         if kind == _REQUEST and self._handler is not None:
-            answer = self._handler.handle_exchange(told)
+            answer = self._handler.handle_exchange(envelope)
             self._send(self._pack_envelope(_RESPONSE, nonce, answer), addr)
         elif kind == _RESPONSE and nonce in self._pending_replies:
-            answered = self._pending_replies[nonce]
-            if not answered.done():
-                answered.set_result(told)
+            reply = self._pending_replies[nonce]
+            if not reply.done():
+                reply.set_result(envelope)
 
     def close(self) -> None:
         """Closes the socket."""
@@ -155,7 +160,7 @@
     ) -> bytes:
         excess = message.ByteSize() - (MAX_DATAGRAM_BYTES - _HEAD_BYTES)
         while excess > 0:
-            # Passed on with a later probe, or by somebody else.
+            # A later probe or another daemon passes the dropped update on.
             excess -= message.updates.pop().ByteSize()
         return self._sign(kind, nonce, message.SerializeToString())
 
@@ -163,8 +168,8 @@
         return kind + nonce + self._proof(kind, nonce, payload) + payload
 
     def _proof(self, kind: bytes, nonce: bytes, payload: bytes) -> bytes:
-        whole = hmac.digest(self._key, kind + nonce + payload, "sha256")
-        return whole[:_PROOF_BYTES]
+        digest = hmac.digest(self._key, kind + nonce + payload, "sha256")
+        return digest[:_PROOF_BYTES]
 
 
 __all__ = ["DatagramPeers", "ProbeHandler"]
--- a/src/godwittack/peer/exchange.py
+++ b/src/godwittack/peer/exchange.py
@@ -1,4 +1,4 @@
-"""Calls and streams of news to other daemons, over HTTP and WebSockets."""
+"""Client of other daemons: HTTP calls, and update streams over WebSockets."""
 
 from __future__ import annotations
 
@@ -35,9 +35,9 @@
     """A message that another daemon did not answer.
 
     Attributes:
-        step: What was being done.
+        step: Operation that failed.
         peer: Address of the daemon.
-        detail: One line for people.
+        detail: Human-readable cause in one line.
     """
 
     step: str
@@ -52,9 +52,10 @@
 class PeerClient:
     """Sends messages to other daemons.
 
-    A message on a WebSocket costs 317 us of processor time at each end, timer
-    and decoding included; by gRPC, whose own thread polls beside the event
-    loop, it cost 568 us to send and 448 us to receive.
+    Streams use WebSockets rather than gRPC: a message costs 317 us of
+    processor time at each end, timer and decoding included. With gRPC, whose
+    own thread polls beside the event loop, it costs 568 us to send and 448 us
+    to receive.
     """
 
     def __init__(
@@ -64,17 +65,17 @@
         timeout_ms: int,
         count_bytes: Callable[[int], None] = lambda size: None,
     ) -> None:
-        """Proves itself with the cluster's secret.
+        """Authenticates with the cluster's secret.
 
         Args:
             secret: The cluster's secret.
-            timeout_ms: Limit for one call.
-            count_bytes: Told the size of each message sent and received.
+            timeout_ms: Timeout of one call.
+            count_bytes: Called with the size of each message sent or received.
         """
         self._count_bytes = count_bytes
         self._headers = {PROOF_HEADER: proof(secret)}
         self._timeout_s = timeout_ms / 1000
-        self._open_session: aiohttp.ClientSession | None = None
+        self._client_session: aiohttp.ClientSession | None = None
 
     async def exchange(
         self, address: str, message: peer_pb2.Envelope
@@ -87,14 +88,14 @@
     def open_news(
         self, address: str, *, on_broken: Callable[[], None]
     ) -> NewsStream:
-        """Returns a stream of news to a peer; opens with the first message.
+        """Returns a stream of updates to a peer; the first message opens it.
 
         Args:
-            address: The peer.
+            address: Address of the peer.
             on_broken: Called once if the open stream breaks.
         """
         return NewsStream(
-            session=self._session(),
+            session=self._get_session(),
             address=address,
             headers=self._headers,
             timeout_s=self._timeout_s,
@@ -106,36 +107,36 @@
         self, address: str, *, known_version: int
     ) -> Result[peer_pb2.TableReply, PeerError]:
         """Returns a peer's table."""
-        asked = peer_pb2.TableRequest(
+        request = peer_pb2.TableRequest(
             known_version=known_version, accepts_deflate=True
         )
         return await self._call(
-            "fetch table", address, TABLE_PATH, asked, peer_pb2.TableReply
+            "fetch table", address, TABLE_PATH, request, peer_pb2.TableReply
         )
 
     async def fetch_report(
         self, address: str
     ) -> Result[peer_pb2.ReportReply, PeerError]:
-        """Returns a peer's counts."""
-        asked = peer_pb2.ReportRequest()
+        """Returns a peer's counters."""
+        request = peer_pb2.ReportRequest()
         return await self._call(
-            "fetch report", address, REPORT_PATH, asked, peer_pb2.ReportReply
+            "fetch report", address, REPORT_PATH, request, peer_pb2.ReportReply
         )
 
     async def close(self) -> None:
         """Closes all connections."""
-        if self._open_session is not None:
-            await self._open_session.close()
+        if self._client_session is not None:
+            await self._client_session.close()
 
-    def _session(self) -> aiohttp.ClientSession:
-        # A session belongs to the event loop in which it is made.
-        if self._open_session is None:
-            self._open_session = aiohttp.ClientSession(
+    def _get_session(self) -> aiohttp.ClientSession:
+        # A session belongs to the event loop in which it is created.
+        if self._client_session is None:
+            self._client_session = aiohttp.ClientSession(
                 connector=aiohttp.TCPConnector(
                     limit=0, keepalive_timeout=30, socket_factory=_open_socket
                 )
             )
-        return self._open_session
+        return self._client_session
 
     async def _call(
         self,
@@ -143,15 +144,14 @@
         address: str,
         path: str,
         message: proto.Message,
-        kind: type[_Message],
+        reply_type: type[_Message],
     ) -> Result[_Message, PeerError]:
         self._count_bytes(message.ByteSize())
         try:
-            # A connection on which a call timed out is closed by that: the
-            # next call goes over another.
+            # A timeout closes the connection, and the next call uses another.
             async with (
                 asyncio.timeout(self._timeout_s),
-                self._session().post(
+                self._get_session().post(
                     f"http://{address}{path}",
                     data=message.SerializeToString(),
                     headers=self._headers,
@@ -162,7 +162,7 @@
                 return _error(
                     step, address, _status_detail(response.status, body)
                 )
-            answer = kind.FromString(body)
+            answer = reply_type.FromString(body)
         except TimeoutError:
             limit_ms = round(self._timeout_s * 1000)
             return _error(step, address, f"no answer within {limit_ms} ms")
@@ -173,7 +173,7 @@
 
 
 class NewsStream:
-    """One stream of news to a peer."""
+    """Stream of updates to one peer."""
 
     def __init__(
         self,
@@ -185,7 +185,7 @@
         count_bytes: Callable[[int], None],
         on_broken: Callable[[], None],
     ) -> None:
-        """Opens a connection of its own with the first message."""
+        """Prepares a stream; the first message opens its connection."""
         self._session = session
         self._address = address
         self._headers = headers
@@ -196,7 +196,7 @@
         self._watch_task: asyncio.Task[None] | None = None
 
     async def send(self, news: peer_pb2.News) -> Result[None, PeerError]:
-        """Sends a message; after an error the stream is of no more use."""
+        """Sends a message; after an error the stream is closed for good."""
         payload = news.SerializeToString()
         self._count_bytes(len(payload))
         try:
@@ -206,7 +206,7 @@
                 await self._socket.send_bytes(payload)
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
             self.close()
-            return _error("tell news", self._address, repr(error))
+            return _error("send news", self._address, repr(error))
         return Ok(None)
 
     def close(self) -> None:
@@ -225,8 +225,8 @@
     async def _watch(self, socket: aiohttp.ClientWebSocketResponse) -> None:
         """Waits until the stream ends.
 
-        Nobody sends on it but this daemon. Not read, it would not show that
-        the peer has closed it, and the next news would go into the void.
+        The peer sends nothing on it. Only a pending read detects that the peer
+        has closed it; without one the next update would be lost unnoticed.
         """
         try:
             await socket.receive()
@@ -236,19 +236,19 @@
 
 
 def proof(secret: bytes) -> str:
-    """Returns what shows that a daemon knows the cluster's secret."""
+    """Returns the proof that a daemon knows the cluster's secret."""
     return hmac.new(secret, _PROOF_LABEL, hashlib.sha256).hexdigest()
 
 
 def _open_socket(info: aiohttp.AddrInfoType) -> socket.socket:
-    """Returns a socket whose dead path shows.
+    """Returns a socket that detects a dead network path by TCP keep-alive.
 
-    An open connection can go silent for good while new ones work, and what
-    is written to it would be lost unseen. Pings of the stream itself would
-    cost each of sixty daemons fifteen wake-ups a second.
+    An open connection can stop working for good while new ones work, and
+    writes to it would be lost unnoticed. WebSocket pings would cost each of
+    sixty daemons fifteen wake-ups a second.
     """
-    family, kind, number, _, _ = info
-    sock = socket.socket(family, kind, number)
+    family, kind, protocol, _, _ = info
+    sock = socket.socket(family, kind, protocol)
     sock.setblocking(False)
     liveness.probe(sock)
     liveness.limit_unacknowledged(sock)
--- a/src/godwittack/peer/pending.py
+++ b/src/godwittack/peer/pending.py
@@ -1,4 +1,4 @@
-"""What a daemon has to tell to one other daemon."""
+"""Updates that wait to be sent to one other daemon."""
 
 from __future__ import annotations
 
@@ -14,23 +14,25 @@
 
 @dataclasses.dataclass(slots=True)
 class PendingNews:
-    """What waits to be told to one peer.
+    """Updates that wait to be sent to one peer.
 
     Attributes:
-        loads: Newest report of each server.
+        loads: Newest load report of each server.
         digests: Cache digests in order.
-        leaving: Servers seen leaving, each with the start that leaves.
+        leaving: Servers about to stop, each with the incarnation that leaves.
         draining: Servers that get no work while they load weights.
         listed: Changed entries of the instance list by name, None for one
             that is no longer listed.
-        suspected: Servers that gave no sign of life.
-        list_before: Version of the list before the entries; 0 where the list
-            has none.
-        list_version: Version of the list with them.
-        demands: This daemon's demand, None where the last told one holds.
-        crashes: Server starts that ended under requests.
+        suspected: Servers that did not respond.
+        list_before: Version of the list before the changes in `listed`; 0 if
+            the list has no versions.
+        list_version: Version of the list after them.
+        demands: This daemon's demand, None if it is unchanged since the last
+            message.
+        crashes: Incarnations of servers that ended while they ran requests.
         completions: Runs without a crash.
-        rate_limits: What servers take from all daemons, by server.
+        rate_limits: Rate that each server accepts from all daemons together,
+            by server.
     """
 
     loads: dict[str, server_inputs.LoadReported] = dataclasses.field(
@@ -58,8 +60,8 @@
     )
 
     def is_empty(self) -> bool:
-        """Returns whether there is nothing to tell."""
-        told = (
+        """Returns whether there is nothing to send."""
+        updates = (
             self.loads,
             self.digests,
             self.leaving,
@@ -70,7 +72,7 @@
             self.completions,
             self.rate_limits,
         )
-        return not any(told) and self.demands is None
+        return not any(updates) and self.demands is None
 
     def add_list_changes(
         self,
@@ -81,11 +83,12 @@
     ) -> None:
         """Adds changes of the instance list.
 
-        Changes between that this daemon heard of itself are told by their
-        reader. Told as one with these, a peer that lacks them would take its
-        list for the newest, drop the reader's word as older, and keep servers
-        that have left. What waits is dropped then: the peer sees the gap, and
-        reads the list.
+        Changes between the waiting ones and these may be missing here, because
+        another daemon read them and sends them to the peer itself. Merged
+        across that gap, the message would make the peer consider its list the
+        newest, reject the missing changes as older, and keep servers that have
+        left. The waiting changes are therefore dropped: the peer detects the
+        gap, and reads the list.
         """
         if self.list_version and before > self.list_version:
             self.listed = {}
@@ -95,12 +98,12 @@
         self.list_version = version or self.list_version
 
     def merged_with(self, later: PendingNews) -> PendingNews:
-        """Returns both as one; of each figure the newest."""
+        """Returns these updates merged with later ones, which take priority."""
         digests = self.digests + later.digests
-        both = PendingNews(
+        merged = PendingNews(
             loads={**self.loads, **later.loads},
-            # A peer that can't be reached must not fill our memory; what it
-            # misses costs a recomputation each.
+            # Bounds the memory for a peer that can't be reached; each digest
+            # that it misses costs a recomputation.
             digests=digests[-MAX_DIGESTS:],
             leaving={**self.leaving, **later.leaving},
             draining=self.draining | later.draining,
@@ -114,12 +117,12 @@
             rate_limits={**self.rate_limits, **later.rate_limits},
         )
         if later.listed:
-            both.add_list_changes(
+            merged.add_list_changes(
                 later.listed,
                 before=later.list_before,
                 version=later.list_version,
             )
-        return both
+        return merged
 
 
 __all__ = ["MAX_DIGESTS", "PendingNews"]
--- a/src/godwittack/peer/server.py
+++ b/src/godwittack/peer/server.py
@@ -17,31 +17,31 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Connections that may wait to be accepted: after a cut heals, hundreds of
-# daemons connect within one probing period.
+# Connections that may wait to be accepted: after a network partition heals,
+# hundreds of daemons connect within one probing period.
 BACKLOG = 1_024
-# For a peer to answer the end of its stream, and for calls under way.
+# Time for peers to acknowledge the end of their streams, and for open calls.
 STOP_TIMEOUT_S = 0.1
 
 
 class PeerHandler(Protocol):
-    """What a daemon does with messages of others."""
+    """Handles messages of other daemons."""
 
-    def handle_exchange(self, told: peer_pb2.Envelope) -> peer_pb2.Envelope:
-        """Takes in an envelope and returns the own one."""
+    def handle_exchange(self, message: peer_pb2.Envelope) -> peer_pb2.Envelope:
+        """Applies a peer's envelope and returns this daemon's."""
 
     def handle_news(
         self, sender_id: str, news: peer_pb2.News, reader: wire.NewsReader
     ) -> None:
-        """Takes in the next message of a stream, which `reader` reads."""
+        """Applies the next message of a stream; `reader` decodes it."""
 
     def handle_table_request(
-        self, asked: peer_pb2.TableRequest
+        self, request: peer_pb2.TableRequest
     ) -> peer_pb2.TableReply:
-        """Returns the table where it is newer than the one named."""
+        """Returns the table if it is newer than the version in the request."""
 
     def handle_report_request(self) -> peer_pb2.ReportReply:
-        """Returns this daemon's counts."""
+        """Returns this daemon's counters."""
 
 
 class PeerServer:
@@ -54,10 +54,10 @@
         secret: bytes,
         count_bytes: Callable[[int], None] = lambda size: None,
     ) -> None:
-        """Hands messages to `handler`, and their sizes to `count_bytes`."""
+        """Passes messages to `handler`, and their sizes to `count_bytes`."""
         self._handler = handler
         self._count_bytes = count_bytes
-        self._expected = exchange.proof(secret)
+        self._expected_proof = exchange.proof(secret)
         self._calls: dict[str, Callable[[bytes], proto.Message]] = {
             exchange.EXCHANGE_PATH: lambda body: handler.handle_exchange(
                 peer_pb2.Envelope.FromString(body)
@@ -95,8 +95,10 @@
         await self._runner.cleanup()
 
     async def _answer(self, request: web.BaseRequest) -> web.StreamResponse:
-        told = request.headers.get(exchange.PROOF_HEADER, "")
-        if not hmac.compare_digest(told.encode(), self._expected.encode()):
+        proof = request.headers.get(exchange.PROOF_HEADER, "")
+        if not hmac.compare_digest(
+            proof.encode(), self._expected_proof.encode()
+        ):
             return web.Response(status=401, text="not a daemon of this cluster")
         if request.path == exchange.NEWS_PATH:
             return await self._receive_news(request)
--- a/src/godwittack/peer/tables.py
+++ b/src/godwittack/peer/tables.py
@@ -1,4 +1,4 @@
-"""Writes and reads the operators' table as daemons pass it on."""
+"""Serializes the operators' table for other daemons, and parses it."""
 
 from __future__ import annotations
 
@@ -13,29 +13,29 @@
 if TYPE_CHECKING:
     from godwittack.table import model
 
-# Longest table read from a peer, unpacked.
+# Limit of a peer's table after decompression.
 MAX_TABLE_BYTES = 32 << 20
 
 
 class TableWriter:
-    """Writes the table for peers, compressed once a version.
+    """Serializes the table for peers, and compresses each version once.
 
     Load pattern: hundreds of daemons fetch each version within a second.
     """
 
     def __init__(self) -> None:
-        """Has compressed no table."""
+        """Starts without a compressed table."""
         self._table: model.Table | None = None
         self._deflated = b""
 
     def reply(
-        self, table: model.Table, asked: peer_pb2.TableRequest
+        self, table: model.Table, request: peer_pb2.TableRequest
     ) -> peer_pb2.TableReply:
-        """Returns the table where it is newer than the one the peer has."""
+        """Returns the table if it is newer than the peer's."""
         reply = peer_pb2.TableReply(version=table.version)
-        if table.version <= asked.known_version:
+        if table.version <= request.known_version:
             return reply
-        if asked.accepts_deflate:
+        if request.accepts_deflate:
             reply.table_deflated = self._compressed(table)
         else:
             reply.table_json = schema.table_to_json(table)
@@ -49,19 +49,20 @@
 
 
 def read(reply: peer_pb2.TableReply) -> Result[model.Table, str] | None:
-    """Returns the table of a reply, None where it holds none."""
+    """Returns the table in a reply, None if it has none."""
     if not reply.table_deflated:
         if not reply.table_json:
             return None
         return schema.table_from_json(reply.table_json)
-    unpacker = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        text = unpacker.decompress(reply.table_deflated, MAX_TABLE_BYTES)
+        text = decompressor.decompress(reply.table_deflated, MAX_TABLE_BYTES)
     except zlib.error as error:
-        return Err(f"table of a peer is not deflated: {error}")
-    if not unpacker.eof:
+        return Err(f"table of a peer can't be decompressed: {error}")
+    if not decompressor.eof:
         return Err(
-            f"table of a peer is cut, or longer than {MAX_TABLE_BYTES} bytes"
+            "table of a peer is truncated,"
+            f" or longer than {MAX_TABLE_BYTES} bytes"
         )
     try:
         return schema.table_from_json(text.decode())
--- a/src/godwittack/peer/wire.py
+++ b/src/godwittack/peer/wire.py
@@ -1,4 +1,4 @@
-"""Writes and reads the news on one stream, naming each server once."""
+"""Encodes and decodes the updates on one stream, naming each server once."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServerIdentity:
-    """What seldom changes of a backend server."""
+    """Properties of a backend server that seldom change."""
 
     server_id: str
     incarnation: str
@@ -29,48 +29,51 @@
 
 
 class NewsWriter:
-    """Turns news into the messages of one stream, from its beginning.
+    """Encodes updates as the messages of one stream, from its beginning.
 
-    A server is named in full once and where something of it changed; after
-    that a load report takes a third of the bytes.
+    A server's identity is written in full once and whenever it changes; without
+    it a load report takes a third of the bytes.
     """
 
     def __init__(self) -> None:
-        """Has named no server."""
+        """Starts without known servers."""
         self._servers: dict[str, _KnownServer] = {}
 
-    def write(self, told: pending.PendingNews, *, now_ms: int) -> peer_pb2.News:
+    def write(
+        self, updates: pending.PendingNews, *, now_ms: int
+    ) -> peer_pb2.News:
         """Returns the next message."""
         return peer_pb2.News(
-            has_demands=told.demands is not None,
-            demands=[codec.demand_to_proto(d) for d in told.demands or ()],
+            has_demands=updates.demands is not None,
+            demands=[codec.demand_to_proto(d) for d in updates.demands or ()],
             loads=[
-                self._load(load, now_ms=now_ms) for load in told.loads.values()
+                self._load(load, now_ms=now_ms)
+                for load in updates.loads.values()
             ],
-            digests=[self._digest(digest) for digest in told.digests],
+            digests=[self._digest(digest) for digest in updates.digests],
             leaving=[
-                peer_pb2.Leaving(server_id=server_id, incarnation=start)
-                for server_id, start in sorted(told.leaving.items())
+                peer_pb2.Leaving(server_id=server_id, incarnation=incarnation)
+                for server_id, incarnation in sorted(updates.leaving.items())
             ],
-            draining_servers=sorted(told.draining),
-            doubted_servers=sorted(told.suspected),
-            list_before=told.list_before,
-            list_version=told.list_version,
+            draining_servers=sorted(updates.draining),
+            doubted_servers=sorted(updates.suspected),
+            list_before=updates.list_before,
+            list_version=updates.list_version,
             listed=[
                 codec.listed_to_proto(name, instance)
-                for name, instance in told.listed.items()
+                for name, instance in updates.listed.items()
             ],
             crashes=[
                 codec.crash_to_proto(crash, now_ms=now_ms)
-                for crash in told.crashes
+                for crash in updates.crashes
             ],
             rate_limits=[
-                codec.rate_limit_to_proto(named, now_ms=now_ms)
-                for named in told.rate_limits.values()
+                codec.rate_limit_to_proto(limit, now_ms=now_ms)
+                for limit in updates.rate_limits.values()
             ],
             completions=[
-                codec.completion_to_proto(done, now_ms=now_ms)
-                for done in told.completions
+                codec.completion_to_proto(completion, now_ms=now_ms)
+                for completion in updates.completions
             ],
         )
 
@@ -103,19 +106,19 @@
     def _set_server(
         self,
         message: peer_pb2.Load | peer_pb2.Digest,
-        told: server_inputs.LoadReported | server_inputs.CacheDigest,
+        update: server_inputs.LoadReported | server_inputs.CacheDigest,
     ) -> _KnownServer:
-        """Names a message's server, by its number where it is known."""
-        identity = _identity(told)
-        known = self._servers.get(told.server_id)
+        """Sets a message's server, by number alone if the peer knows it."""
+        identity = _identity(update)
+        known = self._servers.get(update.server_id)
         if known is None:
             known = _KnownServer(len(self._servers) + 1, identity)
-            self._servers[told.server_id] = known
-            is_named = False
+            self._servers[update.server_id] = known
+            is_current = False
         else:
-            is_named = known.identity == identity
+            is_current = known.identity == identity
         message.server_ref = known.ref
-        if not is_named:
+        if not is_current:
             known.identity = identity
             message.server_id = identity.server_id
             message.incarnation = identity.incarnation
@@ -124,18 +127,18 @@
 
 
 class NewsReader:
-    """Reads the messages of one stream, from its beginning."""
+    """Decodes the messages of one stream, from its beginning."""
 
     def __init__(self) -> None:
-        """Knows no server."""
+        """Starts without known servers."""
         self._servers: dict[int, _KnownServer] = {}
 
     def loads(
-        self, told: peer_pb2.News, *, now_ms: int
+        self, news: peer_pb2.News, *, now_ms: int
     ) -> list[server_inputs.LoadReported]:
         """Returns a message's load reports."""
         found: list[server_inputs.LoadReported] = []
-        for load in told.loads:
+        for load in news.loads:
             known = self._resolve_server(load)
             if known is None:
                 continue
@@ -158,11 +161,11 @@
         return found
 
     def digests(
-        self, told: peer_pb2.News, *, now_ms: int
+        self, news: peer_pb2.News, *, now_ms: int
     ) -> list[server_inputs.CacheDigest]:
         """Returns a message's cache digests."""
         found: list[server_inputs.CacheDigest] = []
-        for digest in told.digests:
+        for digest in news.digests:
             known = self._resolve_server(digest)
             if known is None:
                 continue
@@ -181,28 +184,28 @@
         return found
 
     def _resolve_server(
-        self, told: peer_pb2.Load | peer_pb2.Digest
+        self, message: peer_pb2.Load | peer_pb2.Digest
     ) -> _KnownServer | None:
-        """Returns a message's server, or None for one never named."""
-        known = self._servers.get(told.server_ref)
-        if not told.server_id:
+        """Returns a message's server, or None if it was never identified."""
+        known = self._servers.get(message.server_ref)
+        if not message.server_id:
             return known
         identity = ServerIdentity(
-            told.server_id, told.incarnation, told.weights_version
+            message.server_id, message.incarnation, message.weights_version
         )
         if known is None:
-            known = self._servers[told.server_ref] = _KnownServer(
-                told.server_ref, identity, slots=0
+            known = self._servers[message.server_ref] = _KnownServer(
+                message.server_ref, identity, slots=0
             )
         known.identity = identity
         return known
 
 
 def _identity(
-    told: server_inputs.LoadReported | server_inputs.CacheDigest,
+    update: server_inputs.LoadReported | server_inputs.CacheDigest,
 ) -> ServerIdentity:
     return ServerIdentity(
-        told.server_id, told.incarnation, told.weights_version
+        update.server_id, update.incarnation, update.weights_version
     )
 
 
