--- a/src/godwittack/backend/connection.py
+++ b/src/godwittack/backend/connection.py
@@ -1,11 +1,11 @@
-"""One HTTP/1.1 connection to a backend server, read to the last byte.
+"""HTTP/1.1 client connection to a backend server that matches answers by id.
 
-aiohttp's client hands the next answer on a connection to the next request,
+aiohttp's client assigns the next answer on a connection to the next request,
 whichever request it belongs to. Servers may send a second answer late, or
-bytes after a complete one; callers would get the answer of another. Here each
-answer names the request it is for, others are read past, and a connection is
-used again only if it cannot hold anything that was not asked for. The parser
-is `httptools`, the one that aiohttp's own is made from.
+bytes after a complete one, and a caller would get another caller's answer.
+Here the reader checks which request each answer is for, skips all others, and
+reuses a connection only if no unrequested bytes can be left on it. The parser
+is `httptools`, which wraps the same C parser as aiohttp's own.
 """
 
 from __future__ import annotations
@@ -23,36 +23,37 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Bytes of one answer that wait for the reader; above it the socket is not read.
+# Unread body bytes above which reading from the socket is paused.
 HIGH_WATER_BYTES = 1 << 18
 
 
 class ReplyError(Exception):
-    """The server's bytes are no whole answer to the request."""
+    """The connection brought no complete, valid answer to the request."""
 
 
 @dataclasses.dataclass(slots=True)
 class Reply:
-    """One answer as it comes.
+    """One answer while it is being received.
 
     Attributes:
-        status: HTTP status; 0 until the head came.
+        status: HTTP status; 0 until the head was received.
         headers: In the order and case received.
-        is_whole: Whether the body's end was seen.
-        ends_with_connection: Whether only the connection's end marks it.
-        chunks: Pieces of the body that were not read yet.
+        is_complete: Whether the end of the body was received.
+        is_close_delimited: Whether the body ends only where the server closes
+            the connection.
+        chunks: Pieces of the body that have not been read yet.
     """
 
     status: int = 0
     headers: list[work.Header] = dataclasses.field(default_factory=list)
-    is_whole: bool = False
-    ends_with_connection: bool = False
+    is_complete: bool = False
+    is_close_delimited: bool = False
     chunks: collections.deque[bytes] = dataclasses.field(
         default_factory=collections.deque
     )
 
     def header(self, name: str) -> str:
-        """Returns the first header of that name, or an empty text."""
+        """Returns the first header of that name, or an empty string."""
         lower = name.lower()
         for header in self.headers:
             if header.name.lower() == lower:
@@ -61,32 +62,33 @@
 
 
 class Connection(asyncio.Protocol):
-    """Sends one request at a time and reads what comes back.
+    """Sends one request at a time and reads the answer.
 
     Attributes:
-        used: Whether a request was sent on it before.
+        was_used: Whether a request was sent on it before.
         idle_since_ms: When its last answer ended.
-        keep_ms: How long the server keeps it open while idle.
+        keep_alive_ms: How long the server keeps it open while idle; 0 if
+            not stated.
     """
 
     def __init__(self) -> None:
-        """Waits for `asyncio` to connect it."""
-        self.used = False
+        """Creates an unconnected instance; `asyncio` connects it."""
+        self.was_used = False
         self.idle_since_ms = 0
-        self.keep_ms = 0
+        self.keep_alive_ms = 0
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
         self._reply: Reply | None = None
-        self._heads: collections.deque[Reply] = collections.deque()
-        self._buffered = 0
-        self._awaited = False
-        self._changed = asyncio.Event()
-        self._lost: str | None = None
-        self._paused = False
-        self._spoiled = False
+        self._unread_replies: collections.deque[Reply] = collections.deque()
+        self._unread_bytes = 0
+        self._is_awaiting_reply = False
+        self._progress = asyncio.Event()
+        self._failure: str | None = None
+        self._is_reading_paused = False
+        self._is_unusable = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Sets the socket up so that a dead path shows."""
+        """Enables TCP keep-alive, so that a dead network path is detected."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         sock = transport.get_extra_info("socket")
@@ -94,37 +96,37 @@
             liveness.enable_keepalive(sock)
 
     def data_received(self, data: bytes) -> None:
-        """Parses what came."""
-        if self._spoiled:
+        """Parses received bytes; fails the connection if none are expected."""
+        if self._is_unusable:
             return
-        if not self._awaited:
-            # Nothing was asked: whatever this is, it is not for anybody.
-            self._spoil("bytes without a request")
+        if not self._is_awaiting_reply:
+            # No request is open, so these bytes belong to no caller.
+            self._abort("bytes without a request")
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self._spoil(f"not HTTP: {error}")
-        self._changed.set()
+            self._abort(f"not HTTP: {error}")
+        self._progress.set()
 
     def eof_received(self) -> bool:
-        """Ends an answer that has no length."""
+        """Completes an answer that is delimited by the connection's end."""
         reply = self._reply
-        if reply is not None and reply.status and reply.ends_with_connection:
-            reply.is_whole = True
+        if reply is not None and reply.status and reply.is_close_delimited:
+            reply.is_complete = True
         self._fail("the server closed the connection")
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Ends whatever was being read."""
+        """Fails the answer that was being read."""
         self._fail(f"connection lost: {exc}" if exc else "connection closed")
 
     def on_message_begin(self) -> None:
-        """Parser: the first byte of an answer."""
+        """Parser callback: the first byte of an answer."""
         self._reply = Reply()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Parser: one header."""
+        """Parser callback: one header."""
         if self._reply is not None:
             text = value.decode("latin-1")
             self._reply.headers.append(
@@ -132,7 +134,7 @@
             )
 
     def on_headers_complete(self) -> None:
-        """Parser: the head is whole."""
+        """Parser callback: the head is complete."""
         reply = self._reply
         if reply is None:
             return
@@ -142,90 +144,93 @@
         chunked = "chunked" in reply.header("transfer-encoding").lower()
         has_length = bool(reply.header("content-length"))
         no_body = reply.status in (204, 304)
-        reply.ends_with_connection = not (chunked or has_length or no_body)
-        self._heads.append(reply)
+        reply.is_close_delimited = not (chunked or has_length or no_body)
+        self._unread_replies.append(reply)
 
     def on_body(self, body: bytes) -> None:
-        """Parser: a piece of a body."""
+        """Parser callback: a piece of a body."""
         if self._reply is None:
             return
         self._reply.chunks.append(body)
-        self._buffered += len(body)
-        if self._buffered > HIGH_WATER_BYTES and not self._paused:
-            self._paused = True
+        self._unread_bytes += len(body)
+        if (
+            self._unread_bytes > HIGH_WATER_BYTES
+            and not self._is_reading_paused
+        ):
+            self._is_reading_paused = True
             if self._transport is not None:
                 self._transport.pause_reading()
 
     def on_message_complete(self) -> None:
-        """Parser: the answer's end."""
+        """Parser callback: the end of an answer."""
         if self._reply is not None and self._reply.status >= 200:
-            self._reply.is_whole = True
+            self._reply.is_complete = True
 
     @property
     def is_open(self) -> bool:
-        """Whether a request could be sent."""
+        """Whether a request can be sent."""
         closing = self._transport is None or self._transport.is_closing()
-        return not (self._spoiled or self._lost or closing)
+        return not (self._is_unusable or self._failure or closing)
 
     def send(self, head: bytes, body: bytes) -> None:
-        """Writes a request; what the socket does not take yet is kept.
+        """Writes a request; bytes that the socket can't take yet are buffered.
 
-        A server may answer before it has read the whole body. The rest is
-        sent all the same, so that what follows on the connection is never
-        taken for it.
+        A server may answer before it has read the whole body. The rest of the
+        body is still sent, so that the server never reads the next request as
+        part of it.
         """
         assert self._transport is not None
-        self.used = True
-        self._awaited = True
+        self.was_used = True
+        self._is_awaiting_reply = True
         self._transport.write(head + body)
 
-    async def read_head(self, is_mine: Callable[[Reply], bool]) -> Reply:
-        """Returns the head of the answer that `is_mine` recognizes.
+    async def read_head(self, matches: Callable[[Reply], bool]) -> Reply:
+        """Returns the answer for which `matches` is true, its body unread.
 
-        Answers to other requests that come before it are read past.
+        Answers to other requests that arrive before it are discarded.
 
         Raises:
-            ReplyError: The connection ended, or brought no answer.
+            ReplyError: The connection failed before such an answer arrived.
         """
         while True:
-            while not self._heads:
-                self._raise_if_lost()
-                await self._wait()
-            reply = self._heads.popleft()
-            if is_mine(reply):
+            while not self._unread_replies:
+                self._raise_if_failed()
+                await self._wait_for_progress()
+            reply = self._unread_replies.popleft()
+            if matches(reply):
                 return reply
             await self.read_body(reply)
-            if reply.ends_with_connection:
+            if reply.is_close_delimited:
                 raise ReplyError("an answer to another request, without end")
 
-    async def read_some(self, reply: Reply) -> bytes:
-        """Returns the next bytes of a body; none at its end.
+    async def read_chunk(self, reply: Reply) -> bytes:
+        """Returns the next bytes of a body, or empty bytes at its end.
 
         Raises:
             ReplyError: The connection ended before the body did.
         """
         while not reply.chunks:
-            if reply.is_whole:
+            if reply.is_complete:
                 return b""
-            self._raise_if_lost()
-            await self._wait()
+            self._raise_if_failed()
+            await self._wait_for_progress()
         data = b"".join(reply.chunks)
         reply.chunks.clear()
-        self._buffered -= len(data)
-        if self._paused and self._transport is not None:
-            self._paused = False
+        self._unread_bytes -= len(data)
+        if self._is_reading_paused and self._transport is not None:
+            self._is_reading_paused = False
             self._transport.resume_reading()
         return data
 
     async def read_body(self, reply: Reply, *, limit: int = 32 << 20) -> bytes:
-        """Returns a whole body.
+        """Returns the complete body.
 
         Raises:
-            ReplyError: It is not whole, or longer than `limit`.
+            ReplyError: The body is incomplete, or longer than `limit` bytes.
         """
         parts: list[bytes] = []
         size = 0
-        while data := await self.read_some(reply):
+        while data := await self.read_chunk(reply):
             parts.append(data)
             size += len(data)
             if size > limit:
@@ -233,48 +238,48 @@
         return b"".join(parts)
 
     def finish(self, reply: Reply, *, now_ms: int) -> bool:
-        """Ends an exchange; returns whether another one may follow."""
+        """Ends an exchange; returns whether the connection is reusable."""
         self.idle_since_ms = now_ms
-        clean = (
-            reply.is_whole
-            and not reply.ends_with_connection
-            and not self._heads
+        is_clean = (
+            reply.is_complete
+            and not reply.is_close_delimited
+            and not self._unread_replies
             and self._reply is reply
             and reply.header("connection").lower() != "close"
         )
-        self.keep_ms = _keep_ms(reply)
+        self.keep_alive_ms = _keep_alive_ms(reply)
         self._reply = None
-        self._awaited = False
-        return clean and self.is_open
+        self._is_awaiting_reply = False
+        return is_clean and self.is_open
 
     def close(self) -> None:
-        """Closes at once; the server sees its caller gone."""
-        self._spoiled = True
+        """Closes at once; the server then sees that its caller is gone."""
+        self._is_unusable = True
         if self._transport is not None:
             self._transport.abort()
 
-    async def _wait(self) -> None:
-        self._changed.clear()
-        await self._changed.wait()
+    async def _wait_for_progress(self) -> None:
+        self._progress.clear()
+        await self._progress.wait()
 
-    def _raise_if_lost(self) -> None:
-        if self._lost is not None:
-            raise ReplyError(self._lost)
+    def _raise_if_failed(self) -> None:
+        if self._failure is not None:
+            raise ReplyError(self._failure)
 
-    def _spoil(self, detail: str) -> None:
-        self._spoiled = True
+    def _abort(self, detail: str) -> None:
+        self._is_unusable = True
         self._fail(detail)
         if self._transport is not None:
             self._transport.abort()
 
     def _fail(self, detail: str) -> None:
-        if self._lost is None:
-            self._lost = detail
-        self._changed.set()
+        if self._failure is None:
+            self._failure = detail
+        self._progress.set()
 
 
-def _keep_ms(reply: Reply) -> int:
-    """Returns the server's idle limit, 0 where it names none."""
+def _keep_alive_ms(reply: Reply) -> int:
+    """Returns the server's idle limit, 0 where its headers have none."""
     for part in reply.header("keep-alive").split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.isdigit():
--- a/src/godwittack/daemon/dispatch_announcer.py
+++ b/src/godwittack/daemon/dispatch_announcer.py
@@ -19,7 +19,7 @@
 class DatagramSender(Protocol):
     """Sends one message to many daemons without acknowledgement."""
 
-    def spread(self, peers: Iterable[str], news: peer_pb2.News) -> None:
+    def broadcast(self, peers: Iterable[str], news: peer_pb2.News) -> None:
         """Sends `news` once to each of these addresses."""
 
 
@@ -58,7 +58,7 @@
                 )
             ]
         )
-        self._datagrams.spread(
+        self._datagrams.broadcast(
             (
                 member.peer_address
                 for member in self._news.audience(announcement.target)
--- a/src/godwittack/daemon/outbox.py
+++ b/src/godwittack/daemon/outbox.py
@@ -142,7 +142,7 @@
             updates, self.pending = self.pending, pending.PendingNews()
             if await self._send(updates):
                 continue
-            self.pending = updates.followed_by(self.pending)
+            self.pending = updates.merged_with(self.pending)
             await asyncio.sleep(RETRY_PAUSE_MS / 1000)
             self._send_requested.set()
 
--- a/src/godwittack/daemon/platform_daemon.py
+++ b/src/godwittack/daemon/platform_daemon.py
@@ -103,7 +103,7 @@
         )
         backend = routed.RoutedBackend(
             pool=self._pool,
-            wire=servers.ServerFormat(self._model_for),
+            server_format=servers.ServerFormat(self._model_for),
             clock=clock,
             control_timeout_ms=settings.control_timeout_ms,
         )
@@ -120,12 +120,12 @@
             ),
             clock=clock,
         )
-        backend.listener.submit = self.runtime.submit
+        backend.signal_reporter.submit = self.runtime.submit
         backend.may_send = lambda dispatch: availability.may_send(
             core.world, dispatch, now_ms=clock.now_ms()
         )
-        backend.listener.limits.on_named = self.runtime.submit
-        backend.listener.limits.is_known = functools.partial(
+        backend.signal_reporter.limits.on_limit = self.runtime.submit
+        backend.signal_reporter.limits.has_limit = functools.partial(
             rate_limits.is_limited, core.world
         )
         self._keeper = feed_table.FeedTableKeeper(
@@ -365,7 +365,7 @@
     async def _clean_up_forever(self) -> None:
         while True:
             await asyncio.sleep(CLEANUP_INTERVAL_MS / 1000)
-            self._pool.tidy()
+            self._pool.close_expired()
             table = self.runtime.core.world.table
             if table.forwarding is not None:
                 self._listeners.close_slow_connections(table.forwarding.limits)
--- a/src/godwittack/daemon/runtime.py
+++ b/src/godwittack/daemon/runtime.py
@@ -241,7 +241,8 @@
                 incarnation=result.ok_value.incarnation
                 if isinstance(result, Ok)
                 else "",
-                ended=isinstance(result, Err) and result.err_value.ended,
+                ended=isinstance(result, Err)
+                and result.err_value.connection_refused,
             )
         )
 
--- a/src/godwittack/peer/datagram.py
+++ b/src/godwittack/peer/datagram.py
@@ -1,4 +1,4 @@
-"""Probes and short-lived news between daemons as UDP datagrams."""
+"""Probes and short-lived updates between daemons as UDP datagrams."""
 
 from __future__ import annotations
 
@@ -16,11 +16,12 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-# Fits one packet on every usual network, so that it is lost or arrives whole.
-MAX_BYTES = 1_200
-RESEND_MS = 150
-_ASK = b"\x01"
-_ANSWER = b"\x02"
+# Fits one packet on all common networks, so that a datagram is never split:
+# it arrives complete or is lost.
+MAX_DATAGRAM_BYTES = 1_200
+RESEND_INTERVAL_MS = 150
+_REQUEST = b"\x01"
+_RESPONSE = b"\x02"
 _NEWS = b"\x03"
 _NONCE_BYTES = 8
 _PROOF_BYTES = 16
@@ -29,28 +30,29 @@
 
 
 class ProbeHandler(Protocol):
-    """What a daemon does with a probe."""
+    """Handles probes of other daemons."""
 
-    def exchanged(self, told: peer_pb2.Envelope) -> peer_pb2.Envelope:
-        """Takes in an envelope and returns the own one."""
+    def handle_exchange(self, message: peer_pb2.Envelope) -> peer_pb2.Envelope:
+        """Applies a peer's envelope and returns this daemon's."""
 
 
 class DatagramPeers(asyncio.DatagramProtocol):
-    """Sends probes and answers those of others, on one socket.
+    """Sends probes and answers those of other daemons, on one socket.
 
-    A probe as a call costs 860 us of processor time at both ends together and
-    some 700 bytes on the wire; among hundreds of daemons that was most of what
-    control may use. A datagram has no connection that could go silent.
+    A probe as an HTTP call costs 860 us of processor time at both ends
+    together and some 700 bytes on the wire; among hundreds of daemons that is
+    most of the budget for control traffic. A datagram has no connection that
+    could stop responding.
 
-    Each carries a nonce, by which an answer finds its probe, and a proof that
-    its sender knows the cluster's secret. One sent again has the same nonce;
-    taking an envelope in twice changes nothing.
+    Each datagram carries a nonce, which matches an answer to its probe, and a
+    proof that its sender knows the cluster's secret. A resent probe has the
+    same nonce; applying an envelope twice changes nothing.
 
-    News sent so is not answered and may be lost. It is written once for all
-    peers, and read without a task that wakes for it.
+    An update sent as a datagram is not acknowledged and may be lost. It is
+    serialized once for all peers, and read without waking a task.
 
     Attributes:
-        on_news: Told the news of peers.
+        on_news: Called with each update from a peer.
     """
 
     def __init__(
@@ -60,17 +62,19 @@
         timeout_ms: int,
         count_bytes: Callable[[int], None] = lambda size: None,
     ) -> None:
-        """Proves itself with the cluster's secret; see `PeerClient`."""
+        """Authenticates with the cluster's secret; see `PeerClient`."""
         self._handler: ProbeHandler | None = None
         self.on_news: Callable[[peer_pb2.News], None] = lambda news: None
         self._key = hmac.digest(secret, _PROOF_LABEL, "sha256")
         self._timeout_ms = timeout_ms
         self._count_bytes = count_bytes
         self._transport: asyncio.DatagramTransport | None = None
-        self._waiting: dict[bytes, asyncio.Future[peer_pb2.Envelope]] = {}
+        self._pending_replies: dict[
+            bytes, asyncio.Future[peer_pb2.Envelope]
+        ] = {}
 
     async def start(self, address: str, *, handler: ProbeHandler) -> None:
-        """Listens on `address` and hands probes to `handler`.
+        """Listens on `address` and passes probes to `handler`.
 
         Raises:
             OSError: The address is in use.
@@ -84,22 +88,22 @@
     async def exchange(
         self, address: str, message: peer_pb2.Envelope
     ) -> Result[peer_pb2.Envelope, exchange.PeerError]:
-        """Sends an envelope and returns the peer's."""
+        """Sends an envelope and returns the peer's; resends it until then."""
         nonce = secrets.token_bytes(_NONCE_BYTES)
-        packet = self._pack(_ASK, nonce, message)
-        answered = asyncio.get_running_loop().create_future()
-        self._waiting[nonce] = answered
-        left_ms = self._timeout_ms
+        packet = self._pack_envelope(_REQUEST, nonce, message)
+        reply = asyncio.get_running_loop().create_future()
+        self._pending_replies[nonce] = reply
+        remaining_ms = self._timeout_ms
         try:
-            while left_ms > 0:
+            while remaining_ms > 0:
                 self._send(packet, addresses.split(address))
-                wait_ms = min(RESEND_MS, left_ms)
-                left_ms -= wait_ms
-                await asyncio.wait([answered], timeout=wait_ms / 1000)
-                if answered.done():
-                    return Ok(answered.result())
+                wait_ms = min(RESEND_INTERVAL_MS, remaining_ms)
+                remaining_ms -= wait_ms
+                await asyncio.wait([reply], timeout=wait_ms / 1000)
+                if reply.done():
+                    return Ok(reply.result())
         finally:
-            del self._waiting[nonce]
+            del self._pending_replies[nonce]
         return Err(
             exchange.PeerError(
                 step="probe",
@@ -108,15 +112,18 @@
             )
         )
 
-    def spread(self, peers: Iterable[str], news: peer_pb2.News) -> None:
-        """Sends news once to each peer, with no word of its arrival."""
+    def broadcast(self, peers: Iterable[str], news: peer_pb2.News) -> None:
+        """Sends an update once to each peer, without acknowledgement."""
         nonce = secrets.token_bytes(_NONCE_BYTES)
-        packet = self._seal(_NEWS, nonce, news.SerializeToString())
+        packet = self._sign(_NEWS, nonce, news.SerializeToString())
         for address in peers:
             self._send(packet, addresses.split(address))
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Answers a probe, or hands an answer to the probe that waits."""
+        """Answers a probe, passes on an update, or completes a probe.
+
+        Datagrams without a valid proof are dropped.
+        """
         self._count_bytes(len(data))
         kind, nonce = data[:1], data[1 : 1 + _NONCE_BYTES]
         payload = data[_HEAD_BYTES:]
@@ -127,16 +134,16 @@
             if kind == _NEWS:
                 self.on_news(peer_pb2.News.FromString(payload))
                 return
-            told = peer_pb2.Envelope.FromString(payload)
+            envelope = peer_pb2.Envelope.FromString(payload)
         except proto.DecodeError:
             return
-        if kind == _ASK and self._handler is not None:
-            answer = self._handler.exchanged(told)
-            self._send(self._pack(_ANSWER, nonce, answer), addr)
-        elif kind == _ANSWER and nonce in self._waiting:
-            answered = self._waiting[nonce]
-            if not answered.done():
-                answered.set_result(told)
+        if kind == _REQUEST and self._handler is not None:
+            answer = self._handler.handle_exchange(envelope)
+            self._send(self._pack_envelope(_RESPONSE, nonce, answer), addr)
+        elif kind == _RESPONSE and nonce in self._pending_replies:
+            reply = self._pending_replies[nonce]
+            if not reply.done():
+                reply.set_result(envelope)
 
     def close(self) -> None:
         """Closes the socket."""
@@ -148,21 +155,21 @@
             self._count_bytes(len(packet))
             self._transport.sendto(packet, addr)
 
-    def _pack(
+    def _pack_envelope(
         self, kind: bytes, nonce: bytes, message: peer_pb2.Envelope
     ) -> bytes:
-        excess = message.ByteSize() - (MAX_BYTES - _HEAD_BYTES)
+        excess = message.ByteSize() - (MAX_DATAGRAM_BYTES - _HEAD_BYTES)
         while excess > 0:
-            # Passed on with a later probe, or by somebody else.
+            # A later probe or another daemon passes the dropped update on.
             excess -= message.updates.pop().ByteSize()
-        return self._seal(kind, nonce, message.SerializeToString())
+        return self._sign(kind, nonce, message.SerializeToString())
 
-    def _seal(self, kind: bytes, nonce: bytes, payload: bytes) -> bytes:
+    def _sign(self, kind: bytes, nonce: bytes, payload: bytes) -> bytes:
         return kind + nonce + self._proof(kind, nonce, payload) + payload
 
     def _proof(self, kind: bytes, nonce: bytes, payload: bytes) -> bytes:
-        whole = hmac.digest(self._key, kind + nonce + payload, "sha256")
-        return whole[:_PROOF_BYTES]
+        digest = hmac.digest(self._key, kind + nonce + payload, "sha256")
+        return digest[:_PROOF_BYTES]
 
 
 __all__ = ["DatagramPeers", "ProbeHandler"]
--- a/src/godwittack/platform/wire.py
+++ b/src/godwittack/platform/wire.py
@@ -8,7 +8,7 @@
 
 from godwittack.backend import headers
 
-_MAX_NUMBER = 10**headers.MOST_DIGITS
+_MAX_NUMBER = 10**headers.MAX_DIGITS
 Count = Annotated[int, pydantic.Field(ge=0, le=_MAX_NUMBER)]
 Positive = Annotated[int, pydantic.Field(ge=1, le=_MAX_NUMBER)]
 Amount = Annotated[float, pydantic.Field(ge=0, le=_MAX_NUMBER)]
