--- a/src/godwittack/daemon/announcing.py
+++ b/src/godwittack/daemon/announcing.py
@@ -11,7 +11,7 @@
     from collections.abc import Iterable
 
     from godwittack.core import effects
-    from godwittack.daemon import news as newses
+    from godwittack.daemon import peer_updates
     from godwittack.daemon import runtime as runtimes
     from godwittack.member import view
 
@@ -35,7 +35,7 @@
         self,
         *,
         members: view.View,
-        news: newses.News,
+        news: peer_updates.News,
         runtime: runtimes.Runtime,
         spreader: Spreader,
     ) -> None:
--- a/src/godwittack/daemon/base.py
+++ b/src/godwittack/daemon/base.py
@@ -23,8 +23,7 @@
     from collections.abc import Coroutine
 
     from godwittack.config import settings as configs
-    from godwittack.daemon import news as newses
-    from godwittack.daemon import runtime, tables
+    from godwittack.daemon import peer_updates, runtime, tables
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
@@ -103,7 +102,7 @@
         *,
         running: runtime.Runtime,
         keeper: tables.TableKeeper,
-        news: newses.News,
+        news: peer_updates.News,
     ) -> gossip.Gossiper:
         """Returns what probes the others and spreads membership."""
         return gossip.Gossiper(
--- a/src/godwittack/daemon/edge.py
+++ b/src/godwittack/daemon/edge.py
@@ -19,19 +19,19 @@
     announcing,
     base,
     crash_rows,
-    entries,
-    following,
+    feed_follower,
+    instance_rows,
     instances,
     keeping,
     lag,
     lead,
     listening,
     naming,
-    news,
     observer,
+    peer_updates,
     runtime,
+    server_watcher,
     stories,
-    watch,
 )
 from godwittack.entry import directory, forward
 from godwittack.lead import lease as leases
@@ -146,7 +146,7 @@
                 f"godwittack_is_{role.value}",
                 functools.partial(self._serving.has_role, role),
             )
-        self._news = news.News(
+        self._news = peer_updates.News(
             members=members,
             runtime=self.runtime,
             client=self._peers,
@@ -174,7 +174,7 @@
             known.topic: known
             for known in (self._keeper.known, self._servers_known)
         }
-        self._streams = watch.Streams()
+        self._streams = server_watcher.Streams()
         self._list = instances.InstanceFollower(
             core=self.runtime,
             decode=self._decode_instances,
@@ -193,14 +193,15 @@
             known=self._servers_known,
         )
         self._list.follower = self._server_rows
-        self._watcher = watch.ServerWatcher(
+        self._watcher = server_watcher.ServerWatcher(
             core=self.runtime,
             client=backend,
             members=members,
             news=self._news,
             streams=self._streams,
             load_poll_ms=settings.load_poll_ms,
-            follows=watch.Follows.ENGINE_LOADS | watch.Follows.CACHES,
+            follows=server_watcher.Follows.ENGINE_LOADS
+            | server_watcher.Follows.CACHES,
         )
         use_limit_ms = settings.policy().old_weights_limit_ms
         self._leader = lead.Leader(
@@ -354,8 +355,8 @@
         *,
         on_rows: Callable[[Mapping[str, stores.ChangedRow]], None],
         known: freshness.Freshness,
-    ) -> following.RowsFollower:
-        return following.RowsFollower(
+    ) -> feed_follower.RowsFollower:
+        return feed_follower.RowsFollower(
             feed=self._store,
             table=name,
             clock=self._clock,
@@ -391,8 +392,8 @@
 
     def _decode_instances(
         self, found: Mapping[str, stores.ChangedRow]
-    ) -> entries.Entries:
-        return entries.read(
+    ) -> instance_rows.Entries:
+        return instance_rows.read(
             found,
             list_rows.instance_from_row,
             failure_domains=self._settings.failure_domains,
--- a/src/godwittack/daemon/gossip.py
+++ b/src/godwittack/daemon/gossip.py
@@ -15,9 +15,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from godwittack.daemon import news as newses
+    from godwittack.daemon import peer_updates, tables
     from godwittack.daemon import runtime as runtimes
-    from godwittack.daemon import tables
     from godwittack.peer import wire
     from godwittack.report import ledger
 
@@ -54,7 +53,7 @@
         keeper: tables.TableKeeper,
         client: Prober,
         probes: Prober,
-        news: newses.News,
+        news: peer_updates.News,
         counts: ledger.Ledger,
         seeds: tuple[str, ...],
     ) -> None:
--- a/src/godwittack/daemon/instances.py
+++ b/src/godwittack/daemon/instances.py
@@ -6,13 +6,12 @@
 from typing import TYPE_CHECKING
 
 from godwittack.core import server_inputs
-from godwittack.daemon import entries, listing
+from godwittack.daemon import instance_rows, listing
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
-    from godwittack.daemon import following
-    from godwittack.daemon import news as newses
+    from godwittack.daemon import feed_follower, peer_updates
     from godwittack.daemon import runtime as runtimes
     from godwittack.member import freshness
     from godwittack.store import protocol
@@ -36,9 +35,9 @@
         core: runtimes.Runtime,
         decode: Callable[
             [Mapping[str, protocol.ChangedRow]],
-            entries.Entries,
+            instance_rows.Entries,
         ],
-        news: newses.News,
+        news: peer_updates.News,
         known: freshness.Freshness,
         is_reader: Callable[[], bool],
     ) -> None:
@@ -52,8 +51,8 @@
         self._missing: set[str] = set()
         # Changes since the version that peers know the list to be at.
         self._untold: listing.Changes = {}
-        self._refusals = entries.RefusalLog()
-        self.follower: following.RowsFollower | None = None
+        self._refusals = instance_rows.RefusalLog()
+        self.follower: feed_follower.RowsFollower | None = None
         news.on_versioned_list = self.told
 
     def rows_changed(self, rows: Mapping[str, protocol.ChangedRow]) -> None:
--- a/src/godwittack/daemon/lead.py
+++ b/src/godwittack/daemon/lead.py
@@ -11,8 +11,12 @@
 
 from godwittack.backend import protocol as backend
 from godwittack.core import incarnation, server_inputs
-from godwittack.daemon import model_state, rollout_log, watch
-from godwittack.daemon import news as newses
+from godwittack.daemon import (
+    model_state,
+    peer_updates,
+    rollout_log,
+    server_watcher,
+)
 from godwittack.lead import lease as leases
 from godwittack.lead import order_result, rollout, takeover
 from godwittack.member import assignment
@@ -26,7 +30,7 @@
     from godwittack.store import protocol as platform
 
 
-# Between two notices of one drain; each holds for `newses.DRAIN_MS`.
+# Between two notices of one drain; each holds for `peer_updates.DRAIN_MS`.
 DRAIN_REPEAT_MS = 1_000
 # Pause after a call of the store that brought nothing.
 STORE_RETRY_MS = 300
@@ -53,7 +57,7 @@
         client: backend.BackendClient,
         service: platform.ConditionalRows,
         members: view.View,
-        news: newses.News,
+        news: peer_updates.News,
         policy: leases.LeasePolicy,
         rollout_policy: rollout.RolloutPolicy | None = None,
         measures: rollout_log.Measures | None = None,
@@ -238,13 +242,15 @@
         daemon has told one that still holds.
         """
         now_ms = self._core.clock.now_ms()
-        until_ms = now_ms + newses.DRAIN_MS
+        until_ms = now_ms + peer_updates.DRAIN_MS
         servers = self._core.core.world.servers
         for server_id in server_ids:
             row = servers.get(server_id)
             drained_until_ms = 0 if row is None else row.draining_until_ms
             told_ms = led.drains_told_ms.get(server_id, -DRAIN_REPEAT_MS)
-            told_until_ms = min(drained_until_ms, told_ms + newses.DRAIN_MS)
+            told_until_ms = min(
+                drained_until_ms, told_ms + peer_updates.DRAIN_MS
+            )
             if until_ms - told_until_ms < DRAIN_REPEAT_MS:
                 continue
             led.drains_told_ms[server_id] = now_ms
@@ -392,7 +398,7 @@
         load = got.ok_value
         restarted = incarnation.is_older(server.incarnation, load.incarnation)
         if restarted or load.weights_version != server.weights_version:
-            told = watch.report(server, load, self._core)
+            told = server_watcher.report(server, load, self._core)
             self._core.submit(told)
             self._news.publish_load(told, server.target, now=True)
         return load
--- a/src/godwittack/daemon/listing.py
+++ b/src/godwittack/daemon/listing.py
@@ -15,8 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from godwittack.daemon import news as newses
-    from godwittack.daemon import runtime, watch
+    from godwittack.daemon import peer_updates, runtime, server_watcher
     from godwittack.member import view
 
 Changes = dict[str, platform.Instance | None]
@@ -44,8 +43,8 @@
         instances: platform.InstanceList,
         core: runtime.Runtime,
         members: view.View,
-        news: newses.News,
-        streams: watch.Streams,
+        news: peer_updates.News,
+        streams: server_watcher.Streams,
         on_entries: Callable[[frozenset[str]], None],
     ) -> None:
         """Reads `instances` into `streams`, daemons into `on_entries`."""
--- a/src/godwittack/daemon/serve.py
+++ b/src/godwittack/daemon/serve.py
@@ -19,11 +19,11 @@
     change,
     lead,
     listing,
-    news,
     observer,
+    peer_updates,
     runtime,
+    server_watcher,
     tables,
-    watch,
 )
 from godwittack.entry import calls, operate, status, token
 from godwittack.lead import lease as leases
@@ -90,14 +90,14 @@
             right=serving_lease.QuorumServingLease(settings.member_policy()),
             rng=rng,
         )
-        self._news = news.News(
+        self._news = peer_updates.News(
             members=members, runtime=self.runtime, client=self._peers
         )
         self.runtime.on_crashes = self._news.publish_crashes
         self.gossiper = parts.gossiper(
             running=self.runtime, keeper=self._keeper, news=self._news
         )
-        self._streams = watch.Streams()
+        self._streams = server_watcher.Streams()
         self._lists = listing.ListWatcher(
             instances=platform,
             core=self.runtime,
@@ -108,7 +108,7 @@
         )
         self.gossiper.list_hash = self._lists.list_hash
         self.gossiper.on_list_hash = self._lists.hash_told
-        self._servers = watch.ServerWatcher(
+        self._servers = server_watcher.ServerWatcher(
             core=self.runtime,
             client=backend,
             members=members,
--- a/src/godwittack/daemon/watch.py
+++ b/src/godwittack/daemon/server_watcher.py
@@ -14,8 +14,7 @@
 from godwittack.backend import protocol as backend
 from godwittack.core import cached_state, server_inputs
 from godwittack.daemon import digest as digests
-from godwittack.daemon import loads
-from godwittack.daemon import news as newses
+from godwittack.daemon import loads, peer_updates
 from godwittack.member import assignment
 
 if TYPE_CHECKING:
@@ -45,7 +44,9 @@
             subject.Subject()
         )
 
-    def connect(self, *, core: runtime.Runtime, news: newses.News) -> None:
+    def connect(
+        self, *, core: runtime.Runtime, news: peer_updates.News
+    ) -> None:
         """Subscribes the core, and the daemons that serve the model."""
         watched: reactivex.Observable[Watched] = self.watched
         watched.subscribe(on_next=lambda item: core.submit(item.told))
@@ -71,7 +72,7 @@
         core: runtime.Runtime,
         client: backend.BackendClient,
         members: view.View,
-        news: newses.News,
+        news: peer_updates.News,
         streams: Streams,
         load_poll_ms: int,
         follows: Follows = Follows.ALL,
@@ -211,7 +212,7 @@
         if row.target != cached_state.STORE_TARGET:
             return
         now_ms = self._core.clock.now_ms()
-        until_ms = now_ms + newses.DRAIN_MS
+        until_ms = now_ms + peer_updates.DRAIN_MS
         self._core.submit(
             server_inputs.ServerDraining(now_ms, row.server_id, until_ms)
         )
@@ -259,7 +260,7 @@
 class _Publisher:
     """Passes on what other daemons should hear of."""
 
-    def __init__(self, news: newses.News) -> None:
+    def __init__(self, news: peer_updates.News) -> None:
         self._news = news
         self._loads = loads.LoadFilter()
 
--- a/tests/cases/entries.py
+++ b/tests/cases/entries.py
@@ -7,8 +7,7 @@
 
 from cases import routed_core
 from godwittack.core import incarnation, inputs, server_inputs, work
-from godwittack.daemon import entries as reading
-from godwittack.daemon import naming
+from godwittack.daemon import instance_rows, naming
 from godwittack.lead import rollout
 from godwittack.platform import instances, rows, servers, table
 from godwittack.store import protocol
@@ -42,9 +41,9 @@
     return told
 
 
-def decode(**entries: dict | str) -> reading.Entries:
+def decode(**entries: dict | str) -> instance_rows.Entries:
     """Reads rows with these values."""
-    return reading.read(
+    return instance_rows.read(
         {
             key: protocol.ChangedRow(
                 key=key,
--- a/tests/cases/fleet_bounds.py
+++ b/tests/cases/fleet_bounds.py
@@ -10,7 +10,7 @@
 
 from cases import connections, one_lead, routed_core
 from godwittack.core import effects, entities, inputs, server_inputs, servers
-from godwittack.daemon import news
+from godwittack.daemon import peer_updates
 from godwittack.limit import budget
 from godwittack.member import assignment, view
 from sim import loop
@@ -270,7 +270,9 @@
         for other in others:
             members.apply(other, now_ms=clock.now_ms())
         streams = _Streams(clock)
-        teller = news.News(runtime=runtime, members=members, client=streams)
+        teller = peer_updates.News(
+            runtime=runtime, members=members, client=streams
+        )
         teller.publish_leaving("gone")
         task = asyncio.create_task(teller.tell_forever(news_ms=200))
         await asyncio.sleep(0.01)
--- a/tests/cases/following.py
+++ b/tests/cases/following.py
@@ -7,7 +7,7 @@
 from result import Err, Ok
 
 from godwittack.clock import ManualClock
-from godwittack.daemon import following
+from godwittack.daemon import feed_follower
 from godwittack.member import freshness
 from godwittack.store import protocol
 
@@ -75,7 +75,7 @@
         self.feed = FakeFeed(self.clock)
         self.told: list[dict[str, str]] = []
         self.confirmed: list[int] = []
-        self.follower = following.RowsFollower(
+        self.follower = feed_follower.RowsFollower(
             feed=self.feed,
             table="op",
             clock=self.clock,
--- a/tests/cases/freshness.py
+++ b/tests/cases/freshness.py
@@ -139,7 +139,7 @@
 def _list(*, is_reader: bool):
     from cases import one_lead
     from godwittack.clock import ManualClock
-    from godwittack.daemon import entries, instances
+    from godwittack.daemon import instance_rows, instances
 
     clock = ManualClock(cases.START_MS)
     news = _News()
@@ -148,7 +148,7 @@
     follower._clock = clock
     held = instances.InstanceFollower(
         core=one_lead.Runtime(clock),
-        decode=lambda rows: entries.Entries(dict(rows), {}),
+        decode=lambda rows: instance_rows.Entries(dict(rows), {}),
         news=news,
         known=known,
         is_reader=lambda: is_reader,
--- a/tests/cases/peers.py
+++ b/tests/cases/peers.py
@@ -17,7 +17,7 @@
 from cluster import processes
 from godwittack.clock import ManualClock
 from godwittack.core import inputs
-from godwittack.daemon import news as newses
+from godwittack.daemon import peer_updates
 from godwittack.limit import shares
 from godwittack.member import view
 from godwittack.peer import datagram, exchange, peer_pb2, server, tables
@@ -310,7 +310,7 @@
     assert len(streams.sent[0]) == 2, streams.sent
 
 
-def _news(streams: ScriptedStreams) -> newses.News:
+def _news(streams: ScriptedStreams) -> peer_updates.News:
     me, other = (
         view.Member(
             member_id=name,
@@ -325,7 +325,7 @@
         table=types.SimpleNamespace(targets=()),
     )
     world.shares.cells["workspace/desk"].demand = 3.0
-    told = newses.News(
+    told = peer_updates.News(
         members=types.SimpleNamespace(me=me, live=lambda: [me, other]),
         runtime=types.SimpleNamespace(
             core=types.SimpleNamespace(world=world),
--- a/tests/cases/rollout_bounds.py
+++ b/tests/cases/rollout_bounds.py
@@ -11,7 +11,7 @@
 from cases import one_lead
 from godwittack.backend import protocol as backend
 from godwittack.core import backlog, inputs, server_inputs
-from godwittack.daemon import lead, model_state, watch
+from godwittack.daemon import lead, model_state, server_watcher
 from godwittack.lead import lease, pacing, rollout
 from godwittack.member import assignment, view
 from sim import fakes, loop
@@ -85,7 +85,9 @@
                 load = got.ok_value
                 is_engine = row.target == one_lead.MODEL
                 if is_engine and load.weights_version != row.weights_version:
-                    self.runtime.submit(watch.report(row, load, self.runtime))
+                    self.runtime.submit(
+                        server_watcher.report(row, load, self.runtime)
+                    )
             await asyncio.sleep(0.1)
 
 
--- a/tests/sim/fleet.py
+++ b/tests/sim/fleet.py
@@ -15,10 +15,10 @@
     change,
     gossip,
     listing,
-    news,
+    peer_updates,
     runtime,
+    server_watcher,
     tables,
-    watch,
 )
 from godwittack.member import serving_lease, view
 from godwittack.report import ledger
@@ -81,7 +81,7 @@
             right=self.right,
             rng=rng,
         )
-        self.news = news.News(
+        self.news = peer_updates.News(
             members=members, runtime=self.runtime, client=peers
         )
         self.gossiper = gossip.Gossiper(
@@ -94,7 +94,7 @@
             counts=ledger.Ledger(daemon=name, clock=self.clock),
             seeds=tuple(fleet.seeds),
         )
-        streams = watch.Streams()
+        streams = server_watcher.Streams()
         streams.connect(core=self.runtime, news=self.news)
         self.lists = listing.ListWatcher(
             instances=ways.InstanceListFake(fleet, self),
--- a/tests/sim/large_fleets.py
+++ b/tests/sim/large_fleets.py
@@ -21,7 +21,7 @@
     server_inputs,
     weights,
 )
-from godwittack.daemon import lead, news
+from godwittack.daemon import lead, peer_updates
 from godwittack.lead import lease, rollout
 from godwittack.member import view
 from sim import (
@@ -290,7 +290,7 @@
         now_ms = self.daemon.clock.now_ms()
         self._tell(
             server_inputs.ServerDraining(
-                now_ms, server_id, now_ms + news.DRAIN_MS
+                now_ms, server_id, now_ms + peer_updates.DRAIN_MS
             )
         )
 
