--- a/src/godwittack/daemon/announcing.py
+++ b/src/godwittack/daemon/announcing.py
@@ -35,7 +35,7 @@
         self,
         *,
         members: view.View,
-        news: peer_updates.News,
+        news: peer_updates.PeerUpdates,
         runtime: runtimes.Runtime,
         spreader: Spreader,
     ) -> None:
--- a/src/godwittack/daemon/base.py
+++ b/src/godwittack/daemon/base.py
@@ -102,7 +102,7 @@
         *,
         running: runtime.Runtime,
         keeper: tables.TableKeeper,
-        news: peer_updates.News,
+        news: peer_updates.PeerUpdates,
     ) -> gossip.Gossiper:
         """Returns what probes the others and spreads membership."""
         return gossip.Gossiper(
@@ -111,7 +111,7 @@
             keeper=keeper,
             client=self.peers,
             probes=self.probes,
-            news=news,
+            updates=news,
             counts=self.counts,
             seeds=self.seeds,
         )
--- a/src/godwittack/daemon/edge.py
+++ b/src/godwittack/daemon/edge.py
@@ -146,7 +146,7 @@
                 f"godwittack_is_{role.value}",
                 functools.partial(self._serving.has_role, role),
             )
-        self._news = peer_updates.News(
+        self._news = peer_updates.PeerUpdates(
             members=members,
             runtime=self.runtime,
             client=self._peers,
@@ -160,7 +160,7 @@
         )
         self.runtime.on_announce = announcer.announce
         self._probes.on_news = announcer.heard
-        self.runtime.on_doubt = self._news.publish_doubt
+        self.runtime.on_doubt = self._news.publish_suspected
         self._crash_rows = crash_rows.CrashRows(
             service=self._store, runtime=self.runtime
         )
@@ -178,7 +178,7 @@
         self._list = instances.InstanceFollower(
             core=self.runtime,
             decode=self._decode_instances,
-            news=self._news,
+            updates=self._news,
             known=self._servers_known,
             is_reader=self._is_reader,
         )
@@ -197,7 +197,7 @@
             core=self.runtime,
             client=backend,
             members=members,
-            news=self._news,
+            updates=self._news,
             streams=self._streams,
             load_poll_ms=settings.load_poll_ms,
             follows=server_watcher.Follows.ENGINE_LOADS
@@ -209,7 +209,7 @@
             client=backend,
             service=self._store,
             members=members,
-            news=self._news,
+            updates=self._news,
             policy=leases.LeasePolicy(lease_ms=settings.lease_ms),
             rollout_policy=rollout.RolloutPolicy(
                 order_after_ms=ORDER_AFTER_MS,
@@ -291,7 +291,9 @@
         self._loops.start(
             self._gossiper.gossip_forever(gossip_ms=settings.gossip_ms)
         )
-        self._loops.start(self._news.tell_forever(news_ms=settings.news_ms))
+        self._loops.start(
+            self._news.flush_forever(min_interval_ms=settings.news_ms)
+        )
         self._loops.start(self._operator_rows.follow_forever())
         self._loops.start(self._server_rows.follow_forever())
         self._loops.start(self._list.drop_forever(every_ms=settings.gossip_ms))
--- a/src/godwittack/daemon/gossip.py
+++ b/src/godwittack/daemon/gossip.py
@@ -53,7 +53,7 @@
         keeper: tables.TableKeeper,
         client: Prober,
         probes: Prober,
-        news: peer_updates.News,
+        updates: peer_updates.PeerUpdates,
         counts: ledger.Ledger,
         seeds: tuple[str, ...],
     ) -> None:
@@ -66,7 +66,7 @@
             client: Reaches daemons of which only the address is known; its
                 answers may be of any size.
             probes: Reaches known members.
-            news: Takes in news.
+            updates: Takes in news.
             counts: What reports are made of.
             seeds: Peer addresses from the settings.
         """
@@ -78,7 +78,7 @@
         self._counts = counts
         self._settings_seeds = seeds
         self._seeds = seeds
-        self._news = news
+        self._updates = updates
         self.list_hash: Callable[[], int] = lambda: 0
         self.on_list_hash: Callable[[str, int], None] = lambda name, told: None
         self.carriers: Callable[[], tuple[str, ...]] = lambda: ()
@@ -188,7 +188,7 @@
         self, sender_id: str, news: peer_pb2.News, reader: wire.NewsReader
     ) -> None:
         """Takes in a peer's news."""
-        self._news.take(sender_id, news, reader)
+        self._updates.apply(sender_id, news, reader)
 
     def table(self, asked: peer_pb2.TableRequest) -> peer_pb2.TableReply:
         """Returns the table where it is newer than the one named."""
@@ -360,7 +360,9 @@
                 )
         if told.list_hash:
             self.on_list_hash(told.sender.member_id, told.list_hash)
-        self._news.crashes_compared(told.sender.member_id, told.crashes_digest)
+        self._updates.compare_crashes(
+            told.sender.member_id, told.crashes_digest
+        )
         self._compare_versions(told, now_ms)
         if changed:
             self._tell_core(now_ms)
@@ -392,7 +394,7 @@
         if (live, carriers, known) != before:
             for gone in self._told_live - live:
                 submit(inputs.PeerDemand(now_ms, gone, False))
-                self._news.peer_gone(gone)
+                self._updates.remove_peer(gone)
                 self._introduced.discard(gone)
             submit(
                 inputs.MembersChanged(
--- a/src/godwittack/daemon/instances.py
+++ b/src/godwittack/daemon/instances.py
@@ -37,14 +37,14 @@
             [Mapping[str, protocol.ChangedRow]],
             instance_rows.Entries,
         ],
-        news: peer_updates.News,
+        updates: peer_updates.PeerUpdates,
         known: freshness.Freshness,
         is_reader: Callable[[], bool],
     ) -> None:
         """Knows no servers yet."""
         self._core = core
         self._decode = decode
-        self._news = news
+        self._updates = updates
         self._known = known
         self._is_reader = is_reader
         self._seen: dict[str, protocol.Instance] = {}
@@ -53,7 +53,7 @@
         self._untold: listing.Changes = {}
         self._refusals = instance_rows.RefusalLog()
         self.follower: feed_follower.RowsFollower | None = None
-        news.on_versioned_list = self.told
+        updates.on_versioned_list = self.told
 
     def rows_changed(self, rows: Mapping[str, protocol.ChangedRow]) -> None:
         """Takes in the rows of servers, as read here.
@@ -168,7 +168,9 @@
         self, changes: listing.Changes, *, before: int, version: int
     ) -> None:
         if changes and self._is_reader():
-            self._news.publish_listed(changes, before=before, version=version)
+            self._updates.publish_listed(
+                changes, before=before, version=version
+            )
 
     async def drop_forever(self, *, every_ms: int) -> None:
         """Looks for entries that did not come back, again and again."""
--- a/src/godwittack/daemon/lead.py
+++ b/src/godwittack/daemon/lead.py
@@ -57,7 +57,7 @@
         client: backend.BackendClient,
         service: platform.ConditionalRows,
         members: view.View,
-        news: peer_updates.News,
+        updates: peer_updates.PeerUpdates,
         policy: leases.LeasePolicy,
         rollout_policy: rollout.RolloutPolicy | None = None,
         measures: rollout_log.Measures | None = None,
@@ -70,7 +70,7 @@
             client: Speaks to servers.
             service: Keeps the rows of leases.
             members: The other daemons.
-            news: Tells them of drains.
+            updates: Tells them of drains.
             policy: Times of a lease.
             rollout_policy: Times of a roll-out.
             measures: Takes figures of loads.
@@ -86,7 +86,7 @@
         self._client = client
         self._service = service
         self._members = members
-        self._news = news
+        self._updates = updates
         self._policy = policy
         self._led: dict[str, _Led] = {}
 
@@ -242,14 +242,14 @@
         daemon has told one that still holds.
         """
         now_ms = self._core.clock.now_ms()
-        until_ms = now_ms + peer_updates.DRAIN_MS
+        until_ms = now_ms + peer_updates.DRAIN_TTL_MS
         servers = self._core.core.world.servers
         for server_id in server_ids:
             row = servers.get(server_id)
             drained_until_ms = 0 if row is None else row.draining_until_ms
             told_ms = led.drains_told_ms.get(server_id, -DRAIN_REPEAT_MS)
             told_until_ms = min(
-                drained_until_ms, told_ms + peer_updates.DRAIN_MS
+                drained_until_ms, told_ms + peer_updates.DRAIN_TTL_MS
             )
             if until_ms - told_until_ms < DRAIN_REPEAT_MS:
                 continue
@@ -257,7 +257,7 @@
             self._core.submit(
                 server_inputs.ServerDraining(now_ms, server_id, until_ms)
             )
-            self._news.publish_draining(server_id, model)
+            self._updates.publish_draining(server_id, model)
 
     def _own_models(self) -> list[str]:
         """Returns models with servers that need new weights.
@@ -400,7 +400,7 @@
         if restarted or load.weights_version != server.weights_version:
             told = server_watcher.report(server, load, self._core)
             self._core.submit(told)
-            self._news.publish_load(told, server.target, now=True)
+            self._updates.publish_load(told, server.target, immediately=True)
         return load
 
 
--- a/src/godwittack/daemon/listing.py
+++ b/src/godwittack/daemon/listing.py
@@ -43,7 +43,7 @@
         instances: platform.InstanceList,
         core: runtime.Runtime,
         members: view.View,
-        news: peer_updates.News,
+        updates: peer_updates.PeerUpdates,
         streams: server_watcher.Streams,
         on_entries: Callable[[frozenset[str]], None],
     ) -> None:
@@ -51,7 +51,7 @@
         self._instances = instances
         self._core = core
         self._members = members
-        self._news = news
+        self._updates = updates
         self._streams = streams
         self._on_entries = on_entries
         self._seen: dict[str, platform.Instance] = {}
@@ -65,7 +65,7 @@
                 m.member_id for m in assignment.list_readers(live)
             )
         )
-        news.on_listed = self.told
+        updates.on_listed = self.told
 
     async def poll_forever(self, *, poll_ms: int) -> None:
         """Reads the list again and again, where that falls to this daemon."""
@@ -95,7 +95,7 @@
             {instance.name: instance for instance in got.ok_value}
         )
         if changes and self._is_reader() and not self._all_read():
-            self._news.publish_listed(changes)
+            self._updates.publish_listed(changes)
 
     def told(self, changes: Changes) -> None:
         """Takes in what a reader says has changed."""
--- a/src/godwittack/daemon/peer_updates.py
+++ b/src/godwittack/daemon/peer_updates.py
@@ -21,16 +21,16 @@
     from godwittack.store import protocol as platform
 
 # How long a drain holds at a daemon that hears no more of it.
-DRAIN_MS = 3_000
+DRAIN_TTL_MS = 3_000
 # Time between two messages to all peers together that need not be told at
 # once. With sixty peers, each told five times a second, news were two fifths
 # of a daemon's processor time.
-PEER_PAUSE_MS = 10
+FLUSH_INTERVAL_PER_PEER_MS = 10
 # Longest pause, as a part of the age from which load reports are stale.
-WAIT_PART = 0.25
+MAX_FLUSH_INTERVAL_RATIO = 0.25
 
 
-class News:
+class PeerUpdates:
     """This daemon's news to others, one stream a peer, and theirs to it.
 
     Probes go to few peers in turn and carry what every daemon must know; news
@@ -74,31 +74,32 @@
         # Servers told of as leaving, each with the start that leaves.
         self._known_leaving: dict[str, str] = {}
         self._audiences: dict[str, list[view.Member]] = {}
-        self._audiences_for: tuple[list[view.Member], tuple[str, ...]] = (
+        self._audiences_key: tuple[list[view.Member], tuple[str, ...]] = (
             [],
             (),
         )
 
-    async def tell_forever(self, *, news_ms: int) -> None:
+    async def flush_forever(self, *, min_interval_ms: int) -> None:
         """Sends what waits, each period, which grows with the peers told.
 
         The period stays below the age from which load reports are stale.
         """
         while True:
-            await asyncio.sleep(self._pause_ms(news_ms) / 1000)
+            await asyncio.sleep(self._flush_interval_ms(min_interval_ms) / 1000)
             self.flush()
 
-    def _pause_ms(self, news_ms: int) -> float:
+    def _flush_interval_ms(self, min_interval_ms: int) -> float:
         """Returns the pause for the peers told, short enough for loads."""
         stale_ms = self._runtime.core.world.policy.report_stale_ms
         pause_ms = min(
-            PEER_PAUSE_MS * len(self._outboxes), stale_ms * WAIT_PART
+            FLUSH_INTERVAL_PER_PEER_MS * len(self._outboxes),
+            stale_ms * MAX_FLUSH_INTERVAL_RATIO,
         )
-        return max(news_ms, pause_ms)
+        return max(min_interval_ms, pause_ms)
 
     def flush(self) -> None:
         """Sends what waits, and this daemon's demand where it changed."""
-        self._add_demands()
+        self._queue_demands()
         now_ms = self._runtime.clock.now_ms()
         for name, outbox in list(self._outboxes.items()):
             outbox.wake()
@@ -110,27 +111,27 @@
         load: server_inputs.LoadReported,
         target: str,
         *,
-        now: bool = False,
+        immediately: bool = False,
     ) -> None:
         """Queues a load report for the daemons that serve its model.
 
         Args:
             load: The report.
             target: The model.
-            now: Whether to send it at once, as where new weights are loaded:
-                until they hear of it, others send requests that the server
-                declines.
+            immediately: Whether to send it without waiting for the next
+                flush, as where new weights are loaded: until the others
+                receive it, they send requests that the server declines.
         """
-        for outbox in self._outboxes_of(self.audience(target)):
+        for outbox in self._outboxes_for(self.audience(target)):
             outbox.pending.loads[load.server_id] = load
-            if now:
+            if immediately:
                 outbox.wake()
 
     def publish_digest(
         self, digest: server_inputs.CacheDigest, target: str
     ) -> None:
         """Queues a cache digest for the daemons that serve its model."""
-        for outbox in self._outboxes_of(self.audience(target)):
+        for outbox in self._outboxes_for(self.audience(target)):
             outbox.pending.digests.append(digest)
             del outbox.pending.digests[: -pending.MAX_DIGESTS]
 
@@ -139,7 +140,7 @@
         if self._known_leaving.get(server_id) == incarnation:
             return
         self._known_leaving[server_id] = incarnation
-        for outbox in self._outboxes_of(self._members.live()):
+        for outbox in self._outboxes_for(self._members.live()):
             outbox.pending.leaving[server_id] = incarnation
             outbox.wake()
 
@@ -147,9 +148,9 @@
         """Allows a server's leaving to be told anew."""
         self._known_leaving.pop(server_id, None)
 
-    def publish_doubt(self, doubted: effects.Doubt) -> None:
+    def publish_suspected(self, doubted: effects.Doubt) -> None:
         """Has the daemons that serve a target ask a server for themselves."""
-        for outbox in self._outboxes_of(self.audience(doubted.target)):
+        for outbox in self._outboxes_for(self.audience(doubted.target)):
             outbox.pending.doubted.add(doubted.server_id)
             outbox.wake()
 
@@ -158,16 +159,16 @@
         members = self.audience(seen.target)
         if not seen.target:
             members = self._members.live()
-        for outbox in self._outboxes_of(members):
+        for outbox in self._outboxes_for(members):
             outbox.tell_crashes(seen.crashes, seen.completions)
 
     def publish_rate_limit(self, named: effects.TellRateLimit) -> None:
         """Tells the daemons that send to a server of the rate it takes."""
-        for outbox in self._outboxes_of(self.audience(named.target)):
+        for outbox in self._outboxes_for(self.audience(named.target)):
             outbox.pending.rate_limits[named.server_id] = named
             outbox.wake()
 
-    def crashes_compared(self, sender_id: str, digest: int) -> None:
+    def compare_crashes(self, sender_id: str, digest: int) -> None:
         """Tells a peer of crashes where it does not know the same.
 
         News may be lost, or older than the peer's process.
@@ -176,12 +177,12 @@
         if digest == known.digest():
             return
         peers = [m for m in self._members.live() if m.member_id == sender_id]
-        for outbox in self._outboxes_of(peers):
+        for outbox in self._outboxes_for(peers):
             outbox.tell_crashes_again(known)
 
     def publish_draining(self, server_id: str, target: str) -> None:
         """Tells the daemons that serve a model; lapses unless told again."""
-        for outbox in self._outboxes_of(self.audience(target)):
+        for outbox in self._outboxes_for(self.audience(target)):
             outbox.pending.draining.add(server_id)
             outbox.wake()
 
@@ -199,11 +200,11 @@
             before: Version of the list without them, where it has versions.
             version: Version of the list with them.
         """
-        for outbox in self._outboxes_of(self._members.live()):
+        for outbox in self._outboxes_for(self._members.live()):
             outbox.pending.add_listed(changes, before=before, version=version)
             outbox.wake()
 
-    def take(
+    def apply(
         self, sender_id: str, told: peer_pb2.News, reader: wire.NewsReader
     ) -> None:
         """Takes in a peer's news, as the reader of its stream reads them."""
@@ -214,7 +215,7 @@
         for digest in reader.digests(told, now_ms=now_ms):
             submit(digest)
         for server_id in told.draining_servers:
-            until_ms = now_ms + DRAIN_MS
+            until_ms = now_ms + DRAIN_TTL_MS
             submit(server_inputs.ServerDraining(now_ms, server_id, until_ms))
         for server_id in told.doubted_servers:
             submit(server_inputs.ServerDoubted(now_ms, server_id))
@@ -256,8 +257,8 @@
         """Returns the members that hear of a model's or service's servers."""
         members = self._members.live()
         targets = self._runtime.core.world.table.targets
-        if (members, targets) != self._audiences_for:
-            self._audiences_for = (members, targets)
+        if (members, targets) != self._audiences_key:
+            self._audiences_key = (members, targets)
             self._audiences.clear()
         found = self._audiences.get(target)
         if found is None:
@@ -265,7 +266,7 @@
             self._audiences[target] = found
         return found
 
-    def peer_gone(self, member_id: str) -> None:
+    def remove_peer(self, member_id: str) -> None:
         """Drops what waits for a dead peer."""
         outbox = self._outboxes.pop(member_id, None)
         if outbox is not None:
@@ -274,9 +275,9 @@
     def close(self) -> None:
         """Ends all streams."""
         for name in list(self._outboxes):
-            self.peer_gone(name)
+            self.remove_peer(name)
 
-    def _outboxes_of(
+    def _outboxes_for(
         self, members: Iterable[view.Member]
     ) -> list[outboxes.Outbox]:
         own = self._members.me.member_id
@@ -293,7 +294,7 @@
             )
         return outbox
 
-    def _add_demands(self) -> None:
+    def _queue_demands(self) -> None:
         """Queues each cell's demand for those that may split its limit."""
         demands = self._demands()
         told = demand.by_member(
@@ -302,7 +303,7 @@
             members=self._members.live(),
         )
         concerned = [m for m in self._members.live() if m.member_id in told]
-        self._outboxes_of(concerned)
+        self._outboxes_for(concerned)
         for name, outbox in self._outboxes.items():
             outbox.tell_demands(tuple(told.get(name, ())))
 
@@ -320,4 +321,4 @@
         return tuple(cell for cell in rounded if cell.wanted or cell.rate_per_s)
 
 
-__all__ = ["DRAIN_MS", "News"]
+__all__ = ["DRAIN_TTL_MS", "PeerUpdates"]
--- a/src/godwittack/daemon/serve.py
+++ b/src/godwittack/daemon/serve.py
@@ -90,7 +90,7 @@
             right=serving_lease.QuorumServingLease(settings.member_policy()),
             rng=rng,
         )
-        self._news = peer_updates.News(
+        self._news = peer_updates.PeerUpdates(
             members=members, runtime=self.runtime, client=self._peers
         )
         self.runtime.on_crashes = self._news.publish_crashes
@@ -102,7 +102,7 @@
             instances=platform,
             core=self.runtime,
             members=members,
-            news=self._news,
+            updates=self._news,
             streams=self._streams,
             on_entries=self.gossiper.entries_listed,
         )
@@ -112,7 +112,7 @@
             core=self.runtime,
             client=backend,
             members=members,
-            news=self._news,
+            updates=self._news,
             streams=self._streams,
             load_poll_ms=settings.load_poll_ms,
         )
@@ -121,7 +121,7 @@
             client=backend,
             service=platform,
             members=members,
-            news=self._news,
+            updates=self._news,
             policy=leases.LeasePolicy(lease_ms=settings.lease_ms),
             measures=self._meters,
         )
@@ -172,7 +172,9 @@
         self._loops.start(
             self.gossiper.gossip_forever(gossip_ms=settings.gossip_ms)
         )
-        self._loops.start(self._news.tell_forever(news_ms=settings.news_ms))
+        self._loops.start(
+            self._news.flush_forever(min_interval_ms=settings.news_ms)
+        )
         self._loops.start(
             self._keeper.poll_forever(poll_ms=settings.table_poll_ms)
         )
--- a/src/godwittack/daemon/server_watcher.py
+++ b/src/godwittack/daemon/server_watcher.py
@@ -45,7 +45,7 @@
         )
 
     def connect(
-        self, *, core: runtime.Runtime, news: peer_updates.News
+        self, *, core: runtime.Runtime, news: peer_updates.PeerUpdates
     ) -> None:
         """Subscribes the core, and the daemons that serve the model."""
         watched: reactivex.Observable[Watched] = self.watched
@@ -72,7 +72,7 @@
         core: runtime.Runtime,
         client: backend.BackendClient,
         members: view.View,
-        news: peer_updates.News,
+        updates: peer_updates.PeerUpdates,
         streams: Streams,
         load_poll_ms: int,
         follows: Follows = Follows.ALL,
@@ -82,7 +82,7 @@
         self._core = core
         self._client = client
         self._members = members
-        self._news = news
+        self._updates = updates
         self._streams = streams
         self._load_poll_ms = load_poll_ms
         self._tasks: dict[str, list[asyncio.Task[None]]] = {}
@@ -126,7 +126,7 @@
             self._duties = {
                 name
                 for name, row in servers.items()
-                if assignment.watcher(name, self._news.audience(row.target))
+                if assignment.watcher(name, self._updates.audience(row.target))
                 == own
             }
         return self._duties
@@ -144,7 +144,7 @@
             if not row.incarnation
             and any(
                 member.member_id == own
-                for member in self._news.audience(row.target)
+                for member in self._updates.audience(row.target)
             )
         ]
         await asyncio.gather(*(self._ask(row) for row in unknown))
@@ -199,9 +199,9 @@
         told = report(row, load, self._core)
         self._streams.watched.on_next(Watched(row.target, told))
         if load.leaving:
-            self._news.publish_leaving(row.server_id, load.incarnation)
+            self._updates.publish_leaving(row.server_id, load.incarnation)
         else:
-            self._news.forget_leaving(row.server_id)
+            self._updates.forget_leaving(row.server_id)
 
     def _events_lost(self, row: entities.ServerRow) -> None:
         """Keeps requests from a store of cached state that does not answer.
@@ -212,11 +212,11 @@
         if row.target != cached_state.STORE_TARGET:
             return
         now_ms = self._core.clock.now_ms()
-        until_ms = now_ms + peer_updates.DRAIN_MS
+        until_ms = now_ms + peer_updates.DRAIN_TTL_MS
         self._core.submit(
             server_inputs.ServerDraining(now_ms, row.server_id, until_ms)
         )
-        self._news.publish_draining(row.server_id, row.target)
+        self._updates.publish_draining(row.server_id, row.target)
 
     async def _follow_cache(self, row: entities.ServerRow) -> None:
         digester = digests.Digester(row.server_id)
@@ -260,7 +260,7 @@
 class _Publisher:
     """Passes on what other daemons should hear of."""
 
-    def __init__(self, news: peer_updates.News) -> None:
+    def __init__(self, news: peer_updates.PeerUpdates) -> None:
         self._news = news
         self._loads = loads.LoadFilter()
 
--- a/tests/cases/fleet_bounds.py
+++ b/tests/cases/fleet_bounds.py
@@ -270,11 +270,11 @@
         for other in others:
             members.apply(other, now_ms=clock.now_ms())
         streams = _Streams(clock)
-        teller = peer_updates.News(
+        teller = peer_updates.PeerUpdates(
             runtime=runtime, members=members, client=streams
         )
         teller.publish_leaving("gone")
-        task = asyncio.create_task(teller.tell_forever(news_ms=200))
+        task = asyncio.create_task(teller.flush_forever(min_interval_ms=200))
         await asyncio.sleep(0.01)
         teller.publish_load(
             server_inputs.LoadReported(
--- a/tests/cases/freshness.py
+++ b/tests/cases/freshness.py
@@ -149,7 +149,7 @@
     held = instances.InstanceFollower(
         core=one_lead.Runtime(clock),
         decode=lambda rows: instance_rows.Entries(dict(rows), {}),
-        news=news,
+        updates=news,
         known=known,
         is_reader=lambda: is_reader,
     )
--- a/tests/cases/one_lead.py
+++ b/tests/cases/one_lead.py
@@ -78,7 +78,7 @@
         del target
         self.drained.add(server_id)
 
-    def publish_load(self, load, target, *, now=False) -> None:
+    def publish_load(self, load, target, *, immediately=False) -> None:
         """A load report was told."""
 
 
@@ -121,7 +121,7 @@
             members=view.View(
                 me=me, policy=view.MemberPolicy(), rng=random.Random(1)
             ),
-            news=self.news,
+            updates=self.news,
             policy=lease.LeasePolicy(lease_ms=3_000),
             rollout_policy=rollout.RolloutPolicy(
                 order_after_ms=100, load_limit_ms=4_000
--- a/tests/cases/peers.py
+++ b/tests/cases/peers.py
@@ -310,7 +310,7 @@
     assert len(streams.sent[0]) == 2, streams.sent
 
 
-def _news(streams: ScriptedStreams) -> peer_updates.News:
+def _news(streams: ScriptedStreams) -> peer_updates.PeerUpdates:
     me, other = (
         view.Member(
             member_id=name,
@@ -325,7 +325,7 @@
         table=types.SimpleNamespace(targets=()),
     )
     world.shares.cells["workspace/desk"].demand = 3.0
-    told = peer_updates.News(
+    told = peer_updates.PeerUpdates(
         members=types.SimpleNamespace(me=me, live=lambda: [me, other]),
         runtime=types.SimpleNamespace(
             core=types.SimpleNamespace(world=world),
--- a/tests/sim/fleet.py
+++ b/tests/sim/fleet.py
@@ -81,11 +81,11 @@
             right=self.right,
             rng=rng,
         )
-        self.news = peer_updates.News(
+        self.news = peer_updates.PeerUpdates(
             members=members, runtime=self.runtime, client=peers
         )
         self.gossiper = gossip.Gossiper(
-            news=self.news,
+            updates=self.news,
             members=members,
             runtime=self.runtime,
             keeper=self.keeper,
@@ -100,7 +100,7 @@
             instances=ways.InstanceListFake(fleet, self),
             core=self.runtime,
             members=members,
-            news=self.news,
+            updates=self.news,
             streams=streams,
             on_entries=lambda _: None,
         )
--- a/tests/sim/large_fleets.py
+++ b/tests/sim/large_fleets.py
@@ -172,7 +172,7 @@
             client=Client(self),
             service=self.way,
             members=types.SimpleNamespace(me=self.me, serving=fleet.members),
-            news=News(self),
+            updates=News(self),
             policy=lease.LeasePolicy(lease_ms=sent_orders.LEASE_MS),
             rollout_policy=ROLLOUT_POLICY,
         )
@@ -290,13 +290,13 @@
         now_ms = self.daemon.clock.now_ms()
         self._tell(
             server_inputs.ServerDraining(
-                now_ms, server_id, now_ms + peer_updates.DRAIN_MS
+                now_ms, server_id, now_ms + peer_updates.DRAIN_TTL_MS
             )
         )
 
-    def publish_load(self, load, target, *, now=False) -> None:
+    def publish_load(self, load, target, *, immediately=False) -> None:
         """A load report is told."""
-        del target, now
+        del target, immediately
         self._tell(load)
 
     def _tell(self, told) -> None:
