--- a/src/godwittack/daemon/change.py
+++ b/src/godwittack/daemon/change.py
@@ -97,7 +97,7 @@
         committed_ms = clock.now_ms()
         majority_ms = 0
         while True:
-            await self._gossiper.spread_now()
+            await self._gossiper.probe_all()
             now_ms = clock.now_ms()
             confirmed, missing = self._standing(version)
             known = self._gossiper.members.expected_count()
--- a/src/godwittack/daemon/edge.py
+++ b/src/godwittack/daemon/edge.py
@@ -169,7 +169,7 @@
         self._gossiper = parts.gossiper(
             running=self.runtime, keeper=self._keeper, news=self._news
         )
-        self._gossiper.carriers = self._carriers
+        self._gossiper.serving_daemons = self._carriers
         self._gossiper.freshness = {
             known.topic: known
             for known in (self._keeper.known, self._servers_known)
@@ -388,7 +388,7 @@
         )
         if before and self._keeper.table.version > before:
             # Probed in turn, some daemons would hear of it a second later.
-            task = asyncio.create_task(self._gossiper.spread_now())
+            task = asyncio.create_task(self._gossiper.probe_all())
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
--- a/src/godwittack/daemon/gossip.py
+++ b/src/godwittack/daemon/gossip.py
@@ -21,9 +21,9 @@
     from godwittack.report import ledger
 
 
-LEAVE_MS = 3_000
-LEAVE_PAUSE_MS = 100
-SEEDS_AT_ONCE = 16
+LEAVE_TIMEOUT_MS = 3_000
+LEAVE_RETRY_MS = 100
+MAX_SEED_PROBES = 16
 
 
 class Prober(Protocol):
@@ -51,8 +51,8 @@
         members: view.View,
         runtime: runtimes.Runtime,
         keeper: tables.TableKeeper,
-        client: Prober,
-        probes: Prober,
+        seed_client: Prober,
+        member_client: Prober,
         updates: peer_updates.PeerUpdates,
         counts: ledger.Ledger,
         seeds: tuple[str, ...],
@@ -63,9 +63,9 @@
             members: The view to keep.
             runtime: Where the core is told.
             keeper: The table kept here.
-            client: Reaches daemons of which only the address is known; its
+            seed_client: Reaches daemons of which only the address is known; its
                 answers may be of any size.
-            probes: Reaches known members.
+            member_client: Reaches known members.
             updates: Takes in news.
             counts: What reports are made of.
             seeds: Peer addresses from the settings.
@@ -73,24 +73,24 @@
         self.members = members
         self._runtime = runtime
         self._keeper = keeper
-        self._client = client
-        self._probes = probes
+        self._seed_client = seed_client
+        self._member_client = member_client
         self._counts = counts
         self._settings_seeds = seeds
         self._seeds = seeds
         self._updates = updates
         self.list_hash: Callable[[], int] = lambda: 0
         self.on_list_hash: Callable[[str, int], None] = lambda name, told: None
-        self.carriers: Callable[[], tuple[str, ...]] = lambda: ()
+        self.serving_daemons: Callable[[], tuple[str, ...]] = lambda: ()
         self.freshness: dict[freshness.Topic, freshness.Freshness] = {}
-        keeper.on_adopted = self._adopted
+        keeper.on_adopted = self._record_adoption
         self._tasks: set[asyncio.Task[None]] = set()
         self._probing: set[str] = set()
-        self._told_live: frozenset[str] = frozenset()
-        self._told_carriers: tuple[str, ...] = ()
-        self._told_known = 0
+        self._reported_live: frozenset[str] = frozenset()
+        self._reported_serving: tuple[str, ...] = ()
+        self._reported_expected = 0
         self._announced = False
-        self._introduced: set[str] = set()
+        self._has_own_addresses: set[str] = set()
         self._table_writer = tables_wire.TableWriter()
 
     async def gossip_forever(self, *, gossip_ms: int) -> None:
@@ -109,13 +109,13 @@
         for member in self.members.probe_targets():
             self._start_probe(member.peer_address, member.member_id)
         self._probe_unknown_seeds()
-        self._tell_core(now_ms)
+        self._report_to_core(now_ms)
 
     async def join(self) -> None:
         """Asks seeds once, so that the first decisions know the members."""
         self._probe_unknown_seeds()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        self._tell_core(self._runtime.clock.now_ms())
+        self._report_to_core(self._runtime.clock.now_ms())
 
     def announce(self) -> None:
         """Lets others know of this daemon, once it listens to callers.
@@ -126,7 +126,7 @@
         self._announced = True
         self.tick()
 
-    async def spread_now(self) -> None:
+    async def probe_all(self) -> None:
         """Tells every live daemon at once and waits for their answers."""
         own = self.members.me.member_id
         live = self.members.live()
@@ -144,16 +144,16 @@
         """
         self.members.leave()
         clock = self._runtime.clock
-        ends_ms = clock.now_ms() + LEAVE_MS
+        ends_ms = clock.now_ms() + LEAVE_TIMEOUT_MS
         while True:
             started_ms = clock.now_ms()
-            await self.spread_now()
+            await self.probe_all()
             unheard = self.members.unresponsive(since_ms=started_ms)
             if not unheard or clock.now_ms() >= ends_ms:
                 return
-            await asyncio.sleep(LEAVE_PAUSE_MS / 1000)
+            await asyncio.sleep(LEAVE_RETRY_MS / 1000)
 
-    def entries_listed(self, addresses: frozenset[str]) -> None:
+    def record_listed_daemons(self, addresses: frozenset[str]) -> None:
         """Takes in the daemons that the platform's list names.
 
         The list lags, so that it only adds to whom there should be and to
@@ -168,7 +168,7 @@
         is_known = self._complete_sender(told)
         sender = told.sender.member_id
         is_new = sender not in self.members.rows
-        self._take_in(told)
+        self._apply(told)
         answer = self._envelope(sender, told.sender.peer_address)
         answer.who_is_it = not is_known
         if told.who_is_it and self._announced:
@@ -210,8 +210,8 @@
         # One answer names all members. Asked all at once, hundreds of new
         # connections would each take longer than a probe may, and every one
         # of them would be given up and opened again.
-        if len(unknown) > SEEDS_AT_ONCE:
-            unknown = self.members.rng.sample(unknown, SEEDS_AT_ONCE)
+        if len(unknown) > MAX_SEED_PROBES:
+            unknown = self.members.rng.sample(unknown, MAX_SEED_PROBES)
         for address in unknown:
             self._start_probe(address, "")
 
@@ -227,7 +227,7 @@
         message = self._envelope(member_id, address)
         # Not known here, it may take this daemon for one that knows it.
         message.who_is_it = not member_id
-        client = self._probes if member_id else self._client
+        client = self._member_client if member_id else self._seed_client
         started_ms = self._runtime.clock.now_ms()
         try:
             got = await client.exchange(address, message)
@@ -236,16 +236,16 @@
         now_ms = self._runtime.clock.now_ms()
         if isinstance(got, Err):
             if self.members.record_failure(member_id, now_ms=now_ms):
-                self._tell_core(now_ms)
+                self._report_to_core(now_ms)
             return
         answered = got.ok_value
         self._complete_sender(answered)
-        self._note_introduced(answered)
+        self._record_own_addresses_known(answered)
         if member_id and answered.sender.member_id != member_id:
             # Another process answers at this address now.
             self.members.record_failure(member_id, now_ms=now_ms)
-        self._take_in(answered)
-        self._take_beliefs(answered, started_ms)
+        self._apply(answered)
+        self._apply_beliefs(answered, started_ms)
         # Counted from before the probe: its answer may have waited in the
         # socket while this process was stopped, and says nothing of now.
         self.members.record_ack(
@@ -261,7 +261,7 @@
             updates=[
                 codec.member_to_proto(member)
                 for member in (
-                    *self._accusations(member_id, address),
+                    *self._entries_not_alive(member_id, address),
                     *self.members.updates(),
                 )
             ],
@@ -278,7 +278,7 @@
         )
         return [codec.belief_to_proto(belief) for belief in told if belief]
 
-    def _take_beliefs(
+    def _apply_beliefs(
         self, answered: peer_pb2.Envelope, asked_at_ms: int
     ) -> None:
         now_ms = self._runtime.clock.now_ms()
@@ -298,7 +298,7 @@
         if not self._announced:
             return peer_pb2.Member()
         me = self.members.me
-        if member_id not in self._introduced:
+        if member_id not in self._has_own_addresses:
             return codec.member_to_proto(me)
         return peer_pb2.Member(
             member_id=me.member_id,
@@ -307,14 +307,14 @@
             is_overloaded=me.is_overloaded,
         )
 
-    def _note_introduced(self, answered: peer_pb2.Envelope) -> None:
+    def _record_own_addresses_known(self, answered: peer_pb2.Envelope) -> None:
         member_id = answered.sender.member_id
         if answered.who_is_it or not self._announced:
-            self._introduced.discard(member_id)
+            self._has_own_addresses.discard(member_id)
         elif member_id:
             # One that does not listen yet tells no id; noted, seeds that are
             # not known would be told no addresses.
-            self._introduced.add(member_id)
+            self._has_own_addresses.add(member_id)
 
     def _complete_sender(self, told: peer_pb2.Envelope) -> bool:
         """Fills in what a sender left out; returns False if not known."""
@@ -332,7 +332,9 @@
         sender.capacity_millicores = row.member.capacity_millicores
         return True
 
-    def _accusations(self, member_id: str, address: str) -> list[view.Member]:
+    def _entries_not_alive(
+        self, member_id: str, address: str
+    ) -> list[view.Member]:
         """Returns what to tell a daemon that is not held to be alive here.
 
         Two that lost each other for long hold each other dead, and the news
@@ -349,7 +351,7 @@
             and row.member.state is not view.MemberState.ALIVE
         ]
 
-    def _take_in(self, told: peer_pb2.Envelope) -> None:
+    def _apply(self, told: peer_pb2.Envelope) -> None:
         now_ms = self._runtime.clock.now_ms()
         changed = False
         for message in (told.sender, *told.updates):
@@ -365,7 +367,7 @@
         )
         self._compare_versions(told, now_ms)
         if changed:
-            self._tell_core(now_ms)
+            self._report_to_core(now_ms)
 
     def _compare_versions(self, told: peer_pb2.Envelope, now_ms: int) -> None:
         own = self._keeper.table.version
@@ -379,31 +381,35 @@
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    def _adopted(self) -> None:
+    def _record_adoption(self) -> None:
         now_ms = self._runtime.clock.now_ms()
         own = self._keeper.table.version
         self._keeper.right.record_version(own=own, reported=own, now_ms=now_ms)
-        self._tell_core(now_ms)
+        self._report_to_core(now_ms)
 
-    def _tell_core(self, now_ms: int) -> None:
+    def _report_to_core(self, now_ms: int) -> None:
         live = frozenset(m.member_id for m in self.members.live())
         submit = self._runtime.submit
-        carriers = self.carriers()
+        carriers = self.serving_daemons()
         known = self.members.expected_address_count()
-        before = (self._told_live, self._told_carriers, self._told_known)
+        before = (
+            self._reported_live,
+            self._reported_serving,
+            self._reported_expected,
+        )
         if (live, carriers, known) != before:
-            for gone in self._told_live - live:
+            for gone in self._reported_live - live:
                 submit(inputs.PeerDemand(now_ms, gone, False))
                 self._updates.remove_peer(gone)
-                self._introduced.discard(gone)
+                self._has_own_addresses.discard(gone)
             submit(
                 inputs.MembersChanged(
                     now_ms, tuple(sorted(live)), carriers, known
                 )
             )
-            self._told_known = known
-            self._told_live = live
-            self._told_carriers = carriers
+            self._reported_expected = known
+            self._reported_live = live
+            self._reported_serving = carriers
         until_ms = self._keeper.right.valid_until_ms(
             self.members,
             own_version=self._keeper.table.version,
--- a/src/godwittack/daemon/serve.py
+++ b/src/godwittack/daemon/serve.py
@@ -104,7 +104,7 @@
             members=members,
             updates=self._news,
             streams=self._streams,
-            on_entries=self.gossiper.entries_listed,
+            on_entries=self.gossiper.record_listed_daemons,
         )
         self.gossiper.list_hash = self._lists.list_hash
         self.gossiper.on_list_hash = self._lists.hash_told
--- a/src/godwittack/entry/operate.py
+++ b/src/godwittack/entry/operate.py
@@ -126,7 +126,7 @@
     async def status(self, request: web.Request, who: str) -> web.Response:
         """Returns which daemon has which version."""
         del request, who
-        await self.gossiper.spread_now()
+        await self.gossiper.probe_all()
         world = self.runtime.core.world
         members = self.gossiper.members
         rows = [
--- a/tests/sim/fleet.py
+++ b/tests/sim/fleet.py
@@ -89,8 +89,8 @@
             members=members,
             runtime=self.runtime,
             keeper=self.keeper,
-            client=peers,
-            probes=peers,
+            seed_client=peers,
+            member_client=peers,
             counts=ledger.Ledger(daemon=name, clock=self.clock),
             seeds=tuple(fleet.seeds),
         )
