--- a/src/godwittack/daemon/edge.py
+++ b/src/godwittack/daemon/edge.py
@@ -179,7 +179,7 @@
             core=self.runtime,
             decode=self._decode_instances,
             updates=self._news,
-            known=self._servers_known,
+            table_freshness=self._servers_known,
             is_reader=self._is_reader,
         )
         self._operator_rows = self._follower(
@@ -189,7 +189,7 @@
         )
         self._server_rows = self._follower(
             names.SERVERS_TABLE,
-            on_rows=self._list.rows_changed,
+            on_rows=self._list.apply_rows,
             known=self._servers_known,
         )
         self._list.follower = self._server_rows
@@ -296,7 +296,9 @@
         )
         self._loops.start(self._operator_rows.follow_forever())
         self._loops.start(self._server_rows.follow_forever())
-        self._loops.start(self._list.drop_forever(every_ms=settings.gossip_ms))
+        self._loops.start(
+            self._list.drop_missing_forever(every_ms=settings.gossip_ms)
+        )
         self._loops.start(self._watcher.assign_forever())
         self._loops.start(
             self._leader.lead_forever(step_ms=settings.lead_step_ms)
@@ -394,8 +396,8 @@
 
     def _decode_instances(
         self, found: Mapping[str, stores.ChangedRow]
-    ) -> instance_rows.Entries:
-        return instance_rows.read(
+    ) -> instance_rows.ParsedRows:
+        return instance_rows.parse(
             found,
             list_rows.instance_from_row,
             failure_domains=self._settings.failure_domains,
--- a/src/godwittack/daemon/instance_rows.py
+++ b/src/godwittack/daemon/instance_rows.py
@@ -25,11 +25,11 @@
 
 # Rows refused that are remembered: a writer that floods the list must not
 # flood the log as well.
-MOST_REFUSED = 64
+MAX_LOGGED_REFUSALS = 64
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Entries:
+class ParsedRows:
     """What the rows of servers say.
 
     Attributes:
@@ -41,12 +41,12 @@
     refused: dict[str, str]
 
 
-def read(
+def parse(
     rows: Mapping[str, protocol.ChangedRow],
     decode: Decode,
     *,
     failure_domains: Collection[str] = (),
-) -> Entries:
+) -> ParsedRows:
     """Returns what rows by server id say.
 
     Args:
@@ -54,7 +54,7 @@
         decode: Decodes one of them.
         failure_domains: All that there are; empty to take any.
     """
-    found = Entries({}, {})
+    found = ParsedRows({}, {})
     for key, row in rows.items():
         if row.deleted:
             continue
@@ -67,19 +67,21 @@
             found.refused[key] = "unknown failure domain"
         else:
             found.listed[key] = got.ok_value
-    _refuse_unborn(found)
+    _refuse_without_start(found)
     _refuse_replaced(found)
     return found
 
 
-def _refuse_unborn(found: Entries) -> None:
+def _refuse_without_start(found: ParsedRows) -> None:
     """Refuses rows without a start where servers tell theirs.
 
     Most rows decide: one that another writer put there must neither pass
     among servers that all tell their start, nor end the use of those that
     never do.
     """
-    unborn = [key for key, one in found.listed.items() if not _born_ms(one)]
+    unborn = [
+        key for key, one in found.listed.items() if not _started_at_ms(one)
+    ]
     if 2 * len(unborn) >= len(found.listed):
         return
     for key in unborn:
@@ -87,21 +89,21 @@
         found.refused[key] = "tells no start, though others do"
 
 
-def _refuse_replaced(found: Entries) -> None:
+def _refuse_replaced(found: ParsedRows) -> None:
     """Refuses rows whose address belongs to a server that started later."""
     newest: dict[str, protocol.Instance] = {}
     for one in found.listed.values():
         other = newest.get(one.address)
-        if other is None or _born_ms(one) > _born_ms(other):
+        if other is None or _started_at_ms(one) > _started_at_ms(other):
             newest[one.address] = one
     for key, one in list(found.listed.items()):
         owner = newest[one.address]
-        if _born_ms(owner) > _born_ms(one):
+        if _started_at_ms(owner) > _started_at_ms(one):
             del found.listed[key]
             found.refused[key] = f"address of {owner.name}, started later"
 
 
-def _born_ms(instance: protocol.Instance) -> int:
+def _started_at_ms(instance: protocol.Instance) -> int:
     return incarnation.started_at_ms(instance.incarnation)
 
 
@@ -112,13 +114,13 @@
         """Knows no bad rows."""
         self._refused: dict[str, str] = {}
 
-    def note(
+    def record(
         self,
         rows: Mapping[str, protocol.ChangedRow],
         refused: Mapping[str, str],
     ) -> None:
         """Takes in which rows name no server now."""
-        now_refused = dict(list(refused.items())[:MOST_REFUSED])
+        now_refused = dict(list(refused.items())[:MAX_LOGGED_REFUSALS])
         for key, why in now_refused.items():
             if self._refused.get(key) != why:
                 logging.warning(
@@ -132,4 +134,4 @@
         self._refused = now_refused
 
 
-__all__ = ["Decode", "Entries", "RefusalLog", "read"]
+__all__ = ["Decode", "ParsedRows", "RefusalLog", "parse"]
--- a/src/godwittack/daemon/instances.py
+++ b/src/godwittack/daemon/instances.py
@@ -18,7 +18,7 @@
 
 # Entries that lapsed while the store was away come back within two seconds of
 # its return; what is missing after that is gone.
-LAPSED_MS = 2_300
+MISSING_GRACE_MS = 2_300
 
 
 class InstanceFollower:
@@ -35,27 +35,27 @@
         core: runtimes.Runtime,
         decode: Callable[
             [Mapping[str, protocol.ChangedRow]],
-            instance_rows.Entries,
+            instance_rows.ParsedRows,
         ],
         updates: peer_updates.PeerUpdates,
-        known: freshness.Freshness,
+        table_freshness: freshness.Freshness,
         is_reader: Callable[[], bool],
     ) -> None:
         """Knows no servers yet."""
         self._core = core
         self._decode = decode
         self._updates = updates
-        self._known = known
+        self._freshness = table_freshness
         self._is_reader = is_reader
-        self._seen: dict[str, protocol.Instance] = {}
+        self._instances: dict[str, protocol.Instance] = {}
         self._missing: set[str] = set()
         # Changes since the version that peers know the list to be at.
-        self._untold: listing.Changes = {}
+        self._unpublished: listing.Changes = {}
         self._refusals = instance_rows.RefusalLog()
         self.follower: feed_follower.RowsFollower | None = None
-        updates.on_versioned_list = self.told
+        updates.on_versioned_list = self.apply_changes
 
-    def rows_changed(self, rows: Mapping[str, protocol.ChangedRow]) -> None:
+    def apply_rows(self, rows: Mapping[str, protocol.ChangedRow]) -> None:
         """Takes in the rows of servers, as read here.
 
         Not where a peer's word is newer than the reading: an answer that was
@@ -63,29 +63,31 @@
         would bring them back at each daemon. The next answer holds all rows.
         """
         assert self.follower is not None
-        if self.follower.read_version < self._known.version:
+        if self.follower.read_version < self._freshness.version:
             return
         decoded = self._decode(rows)
         listed, refused = decoded.listed, decoded.refused
-        self._refusals.note(rows, refused)
+        self._refusals.record(rows, refused)
         changes: listing.Changes = {
             name: instance
             for name, instance in listed.items()
-            if self._seen.get(name) != instance
+            if self._instances.get(name) != instance
         }
         # A server whose row turned bad is no longer named by anything: unlike
         # one whose entry lapsed, it does not come back by itself.
-        changes.update(dict.fromkeys(self._seen.keys() & refused.keys()))
-        self._missing = self._seen.keys() - listed.keys() - refused.keys()
-        changes.update(self._take_missing())
-        self._put(changes)
-        self._tell(changes)
-
-    def told(self, changes: listing.Changes, before: int, version: int) -> None:
+        changes.update(dict.fromkeys(self._instances.keys() & refused.keys()))
+        self._missing = self._instances.keys() - listed.keys() - refused.keys()
+        changes.update(self._pop_missing())
+        self._apply(changes)
+        self._announce(changes)
+
+    def apply_changes(
+        self, changes: listing.Changes, before: int, version: int
+    ) -> None:
         """Takes in what a reader says has changed."""
-        if not before <= self._known.version <= version:
-            if version > self._known.version:
-                self._known.record_newer_version(
+        if not before <= self._freshness.version <= version:
+            if version > self._freshness.version:
+                self._freshness.record_newer_version(
                     now_ms=self._core.clock.now_ms()
                 )
             return
@@ -102,20 +104,20 @@
             # The list is whole with this: an entry that was kept back and is
             # not named here is listed again, and its reader has told the rest.
             self._missing = set()
-            self._untold.clear()
-        self._put(changes)
-        self._known.record_version(version)
+            self._unpublished.clear()
+        self._apply(changes)
+        self._freshness.record_version(version)
 
     def drop_missing(self) -> None:
         """Takes servers for gone whose entries did not come back."""
-        changes = self._take_missing()
-        self._put(changes)
+        changes = self._pop_missing()
+        self._apply(changes)
         assert self.follower is not None
-        is_untold = self._known.version < self.follower.version
+        is_untold = self._freshness.version < self.follower.version
         if not self._missing and (changes or is_untold):
-            self._tell(changes)
+            self._announce(changes)
 
-    def _tell(self, changes: listing.Changes) -> None:
+    def _announce(self, changes: listing.Changes) -> None:
         """Tells peers of changes, and of a newer list where that is all.
 
         While entries are kept back, what is known here is not the list at its
@@ -123,17 +125,17 @@
         word that those entries are gone, and go on with servers that have left.
         """
         assert self.follower is not None
-        before = self._known.version
-        self._untold.update(changes)
+        before = self._freshness.version
+        self._unpublished.update(changes)
         if self._missing:
             self._publish(changes, before=before, version=before)
             return
         version = max(before, self.follower.version)
-        untold, self._untold = self._untold, {}
-        self._known.record_version(version)
+        untold, self._unpublished = self._unpublished, {}
+        self._freshness.record_version(version)
         self._publish(untold, before=before, version=version)
 
-    def _take_missing(self) -> listing.Changes:
+    def _pop_missing(self) -> listing.Changes:
         """Returns the servers whose entries are gone for good.
 
         An entry lapses when its server can't renew it, also where the store
@@ -144,25 +146,25 @@
         assert follower is not None
         now_ms = self._core.clock.now_ms()
         since_ms = now_ms - follower.recovered_at_ms
-        if follower.failing_since_ms >= 0 or since_ms < LAPSED_MS:
+        if follower.failing_since_ms >= 0 or since_ms < MISSING_GRACE_MS:
             return {}
         gone, self._missing = self._missing, set()
         return dict.fromkeys(gone)
 
-    def _put(self, changes: listing.Changes) -> None:
+    def _apply(self, changes: listing.Changes) -> None:
         now_ms = self._core.clock.now_ms()
         for name, instance in changes.items():
             if instance is None:
                 self._missing.discard(name)
-                if self._seen.pop(name, None) is not None:
+                if self._instances.pop(name, None) is not None:
                     self._core.submit(
                         server_inputs.ServerListed(
                             at_ms=now_ms, server_id=name, gone=True
                         )
                     )
-            elif self._seen.get(name) != instance:
-                self._seen[name] = instance
-                self._core.submit(listing.listed(instance, now_ms))
+            elif self._instances.get(name) != instance:
+                self._instances[name] = instance
+                self._core.submit(listing.server_listed(instance, now_ms))
 
     def _publish(
         self, changes: listing.Changes, *, before: int, version: int
@@ -172,7 +174,7 @@
                 changes, before=before, version=version
             )
 
-    async def drop_forever(self, *, every_ms: int) -> None:
+    async def drop_missing_forever(self, *, every_ms: int) -> None:
         """Looks for entries that did not come back, again and again."""
         while True:
             await asyncio.sleep(every_ms / 1000)
--- a/src/godwittack/daemon/listing.py
+++ b/src/godwittack/daemon/listing.py
@@ -21,11 +21,11 @@
 Changes = dict[str, platform.Instance | None]
 
 # Age up to which a reading is told to others as the list's state.
-FRESH_MS = 5_000
+MAX_READING_AGE_MS = 5_000
 # A daemon that has heard of no reading for so long reads by itself.
-UNHEARD_MS = 60_000
+MAX_READER_SILENCE_MS = 60_000
 # Time in which news of a change should have come, where hashes differ.
-NEWS_MS = 3_000
+MAX_UPDATE_DELAY_MS = 3_000
 
 
 class ListWatcher:
@@ -54,18 +54,18 @@
         self._updates = updates
         self._streams = streams
         self._on_entries = on_entries
-        self._seen: dict[str, platform.Instance] = {}
+        self._instances_by_name: dict[str, platform.Instance] = {}
         self._hash = 0
-        self._read_at_ms = -UNHEARD_MS
-        self._heard_at_ms = -UNHEARD_MS
+        self._read_at_ms = -MAX_READER_SILENCE_MS
+        self._reader_contact_ms = -MAX_READER_SILENCE_MS
         self._differs_since_ms = 0
-        self._told_hash = 0
+        self._differing_hash = 0
         self._reader_ids = assignment.CachedAssignment(
             lambda live: frozenset(
                 m.member_id for m in assignment.list_readers(live)
             )
         )
-        updates.on_listed = self.told
+        updates.on_listed = self.apply_changes
 
     async def poll_forever(self, *, poll_ms: int) -> None:
         """Reads the list again and again, where that falls to this daemon."""
@@ -78,10 +78,10 @@
         """Returns whether to read the list now."""
         now_ms = self._core.clock.now_ms()
         missed = (
-            self._told_hash not in (0, self._hash)
-            and now_ms - self._differs_since_ms >= NEWS_MS
+            self._differing_hash not in (0, self._hash)
+            and now_ms - self._differs_since_ms >= MAX_UPDATE_DELAY_MS
         )
-        unheard = now_ms - self._heard_at_ms >= UNHEARD_MS
+        unheard = now_ms - self._reader_contact_ms >= MAX_READER_SILENCE_MS
         return missed or unheard or self._is_reader()
 
     async def poll_once(self) -> None:
@@ -90,41 +90,45 @@
         if isinstance(got, Err):
             return
         self._read_at_ms = self._core.clock.now_ms()
-        self._told_hash = 0
-        changes = self._put(
+        self._differing_hash = 0
+        changes = self._apply(
             {instance.name: instance for instance in got.ok_value}
         )
-        if changes and self._is_reader() and not self._all_read():
+        if changes and self._is_reader() and not self._is_mesh():
             self._updates.publish_listed(changes)
 
-    def told(self, changes: Changes) -> None:
+    def apply_changes(self, changes: Changes) -> None:
         """Takes in what a reader says has changed."""
-        listed = dict(self._seen)
+        listed = dict(self._instances_by_name)
         for name, instance in changes.items():
             if instance is None:
                 listed.pop(name, None)
             else:
                 listed[name] = instance
-        self._put(listed)
+        self._apply(listed)
 
     def list_hash(self) -> int:
         """Returns what a reader tells of the list; 0 for nothing to tell."""
         age_ms = self._core.clock.now_ms() - self._read_at_ms
-        if age_ms > FRESH_MS or self._all_read() or not self._is_reader():
+        if (
+            age_ms > MAX_READING_AGE_MS
+            or self._is_mesh()
+            or not self._is_reader()
+        ):
             return 0
         return self._hash
 
-    def hash_told(self, sender_id: str, told: int) -> None:
+    def record_list_hash(self, sender_id: str, reported_hash: int) -> None:
         """Takes in which list a reader has."""
         if sender_id not in self._readers():
             return
         now_ms = self._core.clock.now_ms()
-        self._heard_at_ms = now_ms
-        if told == self._hash:
-            self._told_hash = 0
-        elif self._told_hash == 0:
+        self._reader_contact_ms = now_ms
+        if reported_hash == self._hash:
+            self._differing_hash = 0
+        elif self._differing_hash == 0:
             self._differs_since_ms = now_ms
-            self._told_hash = told
+            self._differing_hash = reported_hash
 
     def _is_reader(self) -> bool:
         return self._members.me.member_id in self._readers()
@@ -132,22 +136,24 @@
     def _readers(self) -> frozenset[str]:
         return self._reader_ids.among(self._members.live())
 
-    def _all_read(self) -> bool:
+    def _is_mesh(self) -> bool:
         return len(self._members.live()) <= assignment.MESH_LIMIT
 
-    def _put(self, listed: dict[str, platform.Instance]) -> Changes:
+    def _apply(self, listed: dict[str, platform.Instance]) -> Changes:
         """Puts a list in force and returns what is new in it."""
         changes: Changes = {
             name: instance
             for name, instance in listed.items()
-            if self._seen.get(name) != instance
+            if self._instances_by_name.get(name) != instance
         }
-        changes.update(dict.fromkeys(self._seen.keys() - listed.keys()))
+        changes.update(
+            dict.fromkeys(self._instances_by_name.keys() - listed.keys())
+        )
         if not changes:
             return changes
         for name, instance in changes.items():
-            self._tell_core(name, instance)
-        self._seen = listed
+            self._report_to_core(name, instance)
+        self._instances_by_name = listed
         self._hash = fingerprint(listed)
         self._on_entries(
             frozenset(
@@ -158,16 +164,18 @@
         )
         return changes
 
-    def _tell_core(self, name: str, instance: platform.Instance | None) -> None:
+    def _report_to_core(
+        self, name: str, instance: platform.Instance | None
+    ) -> None:
         now_ms = self._core.clock.now_ms()
-        before = self._seen.get(name)
+        before = self._instances_by_name.get(name)
         known = instance or before
         if known is None or known.role is platform.InstanceRole.ENTRY:
             return
         self._streams.listed.on_next(
             server_inputs.ServerListed(at_ms=now_ms, server_id=name, gone=True)
             if instance is None
-            else listed(instance, now_ms)
+            else server_listed(instance, now_ms)
         )
 
 
@@ -177,7 +185,7 @@
     return xxhash.xxh3_64_intdigest(text.encode()) or 1
 
 
-def listed(
+def server_listed(
     instance: platform.Instance, now_ms: int
 ) -> server_inputs.ServerListed:
     """Returns what the core is told of an entry."""
@@ -194,4 +202,4 @@
     )
 
 
-__all__ = ["Changes", "ListWatcher", "fingerprint", "listed"]
+__all__ = ["Changes", "ListWatcher", "fingerprint", "server_listed"]
--- a/src/godwittack/daemon/serve.py
+++ b/src/godwittack/daemon/serve.py
@@ -107,7 +107,7 @@
             on_entries=self.gossiper.record_listed_daemons,
         )
         self.gossiper.list_hash = self._lists.list_hash
-        self.gossiper.on_list_hash = self._lists.hash_told
+        self.gossiper.on_list_hash = self._lists.record_list_hash
         self._servers = server_watcher.ServerWatcher(
             core=self.runtime,
             client=backend,
--- a/tests/cases/entries.py
+++ b/tests/cases/entries.py
@@ -41,9 +41,9 @@
     return told
 
 
-def decode(**entries: dict | str) -> instance_rows.Entries:
+def decode(**entries: dict | str) -> instance_rows.ParsedRows:
     """Reads rows with these values."""
-    return instance_rows.read(
+    return instance_rows.parse(
         {
             key: protocol.ChangedRow(
                 key=key,
--- a/tests/cases/freshness.py
+++ b/tests/cases/freshness.py
@@ -148,9 +148,9 @@
     follower._clock = clock
     held = instances.InstanceFollower(
         core=one_lead.Runtime(clock),
-        decode=lambda rows: instance_rows.Entries(dict(rows), {}),
+        decode=lambda rows: instance_rows.ParsedRows(dict(rows), {}),
         updates=news,
-        known=known,
+        table_freshness=known,
         is_reader=lambda: is_reader,
     )
     held.follower = follower
@@ -166,11 +166,11 @@
     """
     held, _, known, _ = _list(is_reader=False)
     known.record_version(5)
-    held.told({"s8": _instance("s8")}, 5, 6)
+    held.apply_changes({"s8": _instance("s8")}, 5, 6)
     assert known.version == 6 and known.behind_since_ms < 0
-    held.told({"s9": _instance("s9")}, 7, 8)
+    held.apply_changes({"s9": _instance("s9")}, 7, 8)
     assert known.version == 6 and known.behind_since_ms >= 0
-    assert "s9" not in held._seen
+    assert "s9" not in held._instances
 
 
 def a_gap_is_read_also_while_more_news_comes() -> None:
@@ -190,7 +190,9 @@
     known.record_version(6)
     known.record_confirmation(clock.now_ms())
     for version in (8, 9):
-        held.told({"s9": _instance(f"s{version}")}, version - 1, version)
+        held.apply_changes(
+            {"s9": _instance(f"s{version}")}, version - 1, version
+        )
         assert follower.may_rest()
         clock.advance(by_ms=300)
     assert not follower.may_rest()
@@ -208,17 +210,17 @@
     clock = held._core.clock
     both = {name: _instance(name) for name in ("a", "b")}
     follower.version = 5
-    held.rows_changed(both)
+    held.apply_rows(both)
     follower.recovered_at_ms = clock.now_ms()
     follower.version = 6
-    held.rows_changed({})
-    assert set(held._seen) == {"a", "b"}
+    held.apply_rows({})
+    assert set(held._instances) == {"a", "b"}
     clock.advance(by_ms=1_500)
     follower.version = 7
-    held.rows_changed({"a": both["a"]})
+    held.apply_rows({"a": both["a"]})
     clock.advance(by_ms=900)
     held.drop_missing()
-    assert set(held._seen) == {"a"}
+    assert set(held._instances) == {"a"}
     assert news.published[-1][0] == {"b": None}
 
 
@@ -232,9 +234,9 @@
     for is_reader in (True, False):
         held, follower, _, news = _list(is_reader=is_reader)
         follower.version = 5
-        held.rows_changed({"a": _instance("a")})
+        held.apply_rows({"a": _instance("a")})
         follower.version = 6
-        held.rows_changed({"a": _instance("a", leaving=True)})
+        held.apply_rows({"a": _instance("a", leaving=True)})
         assert held._core.core.world.servers["a"].leaving
         assert bool(news.published) == is_reader
 
@@ -255,19 +257,19 @@
     peer, _, known, _ = _list(is_reader=False)
     both = {name: _instance(name) for name in ("a", "b")}
     follower.version = 5
-    reader.rows_changed(both)
-    peer.told(*news.published[-1])
+    reader.apply_rows(both)
+    peer.apply_changes(*news.published[-1])
     follower.recovered_at_ms = reader._core.clock.now_ms()
     follower.version = 7
     changed = {"a": _instance("a", leaving=True)}
-    reader.rows_changed(changed)
-    peer.told(*news.published[-1])
+    reader.apply_rows(changed)
+    peer.apply_changes(*news.published[-1])
     assert peer._core.core.world.servers["a"].leaving
-    peer.told({"b": None}, 5, 6)
-    assert set(peer._seen) == {"a"}, peer._seen
+    peer.apply_changes({"b": None}, 5, 6)
+    assert set(peer._instances) == {"a"}, peer._instances
     reader._core.clock.advance(by_ms=2_400)
     reader.drop_missing()
-    peer.told(*news.published[-1])
+    peer.apply_changes(*news.published[-1])
     assert known.version == 7, known
     assert news.published[-1][0] == {**changed, "b": None}
 
@@ -284,8 +286,8 @@
     """
     peer, follower, known, _ = _list(is_reader=False)
     follower.version, follower._newest = 5, 9
-    peer.rows_changed({"a": _instance("a")})
-    peer.told({"a": _instance("a", leaving=True)}, 5, 5)
+    peer.apply_rows({"a": _instance("a")})
+    peer.apply_changes({"a": _instance("a", leaving=True)}, 5, 5)
     assert peer._core.core.world.servers["a"].leaving
     assert known.version == 5
 
@@ -301,19 +303,19 @@
     peer, _, _, _ = _list(is_reader=False)
     both = {name: _instance(name) for name in ("a", "b")}
     follower.version = 3
-    reader.rows_changed(both)
-    peer.told(*news.published[-1])
+    reader.apply_rows(both)
+    peer.apply_changes(*news.published[-1])
     for heard in (reader, peer):
-        heard.told({"b": None}, 3, 5)
+        heard.apply_changes({"b": None}, 3, 5)
     follower.version = 4
-    reader.rows_changed({**both, "c": _instance("c")})
+    reader.apply_rows({**both, "c": _instance("c")})
     for told in news.published[1:]:
-        peer.told(*told)
-    assert set(reader._seen) == {"a"}, reader._seen
-    assert set(peer._seen) == {"a"}, peer._seen
+        peer.apply_changes(*told)
+    assert set(reader._instances) == {"a"}, reader._instances
+    assert set(peer._instances) == {"a"}, peer._instances
     follower.version = 6
-    reader.rows_changed({name: _instance(name) for name in ("a", "c")})
-    assert set(reader._seen) == {"a", "c"}
+    reader.apply_rows({name: _instance(name) for name in ("a", "c")})
+    assert set(reader._instances) == {"a", "c"}
 
 
 def older_word_does_not_replace_what_was_read_here() -> None:
@@ -328,12 +330,12 @@
     both = {name: _instance(name) for name in ("a", "b")}
     leaving = _instance("a", leaving=True)
     follower.version = 3
-    reader.rows_changed(both)
+    reader.apply_rows(both)
     follower.recovered_at_ms = reader._core.clock.now_ms()
     follower.version = 5
-    reader.rows_changed({"a": leaving})
-    reader.told({"a": _instance("a")}, 3, 4)
-    assert reader._seen["a"].leaving
+    reader.apply_rows({"a": leaving})
+    reader.apply_changes({"a": _instance("a")}, 3, 4)
+    assert reader._instances["a"].leaving
     reader._core.clock.advance(by_ms=2_400)
     reader.drop_missing()
     assert known.version == 5
@@ -351,15 +353,15 @@
     held, follower, known, _ = _list(is_reader=False)
     both = {name: _instance(name) for name in ("a", "b")}
     follower.version = 3
-    held.rows_changed(both)
+    held.apply_rows(both)
     follower.recovered_at_ms = held._core.clock.now_ms()
     follower.version = 5
-    held.rows_changed({"a": both["a"]})
-    held.told({"c": _instance("c")}, 3, 6)
+    held.apply_rows({"a": both["a"]})
+    held.apply_changes({"c": _instance("c")}, 3, 6)
     held._core.clock.advance(by_ms=2_400)
     held.drop_missing()
     assert known.version == 6
-    assert set(held._seen) == {"a", "b", "c"}, held._seen
+    assert set(held._instances) == {"a", "b", "c"}, held._instances
 
 
 def news_that_waits_is_not_told_over_a_gap() -> None:
@@ -378,8 +380,8 @@
     first.add_listed({"y": _instance("y")}, before=5, version=6)
     for news in (merged, first):
         peer, _, known, _ = _list(is_reader=False)
-        peer.told({"b": _instance("b")}, 0, 3)
-        peer.told(news.listed, news.list_before, news.list_version)
+        peer.apply_changes({"b": _instance("b")}, 0, 3)
+        peer.apply_changes(news.listed, news.list_before, news.list_version)
         assert known.version == 3 and known.behind_since_ms >= 0
     whole = pending.PendingNews()
     whole.add_listed({"x": _instance("x")}, before=3, version=4)
--- a/tests/sim/fleet.py
+++ b/tests/sim/fleet.py
@@ -105,7 +105,7 @@
             on_entries=lambda _: None,
         )
         self.gossiper.list_hash = self.lists.list_hash
-        self.gossiper.on_list_hash = self.lists.hash_told
+        self.gossiper.on_list_hash = self.lists.record_list_hash
         self.committer = change.Committer(
             tables=tables_store,
             keeper=self.keeper,
