--- a/src/godwittack/daemon/edge.py
+++ b/src/godwittack/daemon/edge.py
@@ -359,8 +359,8 @@
         *,
         on_rows: Callable[[Mapping[str, stores.ChangedRow]], None],
         known: freshness.Freshness,
-    ) -> feed_follower.RowsFollower:
-        return feed_follower.RowsFollower(
+    ) -> feed_follower.FeedFollower:
+        return feed_follower.FeedFollower(
             feed=self._store,
             table=name,
             clock=self._clock,
@@ -368,7 +368,7 @@
             wait_ms=self._settings.feed_wait_ms,
             on_rows=on_rows,
             on_confirmed=known.record_confirmation,
-            known=known,
+            table_freshness=known,
             is_reader=self._is_reader,
         )
 
--- a/src/godwittack/daemon/feed_follower.py
+++ b/src/godwittack/daemon/feed_follower.py
@@ -21,25 +21,25 @@
 # Pause after a call without an answer, and its growth up to a limit: a store
 # that comes back is noticed within a second without being called in a loop.
 RETRY_FIRST_MS = 100
-RETRY_MOST_MS = 800
+RETRY_MAX_MS = 800
 # A feed may go stale without a word; a plain reading settles it this often.
-SETTLE_MS = 15_000
+SNAPSHOT_INTERVAL_MS = 15_000
 # A daemon that is no reader asks the store itself once the last confirmation
 # is older: half of the time for which it may serve keys by one.
-REST_MS = 2_000
+MAX_CONFIRMATION_AGE_MS = 2_000
 # Time that news of a change takes, after which what a peer has and this
 # daemon lacks is read from the store.
-BEHIND_MS = 400
-LOOK_MS = 100
+MAX_BEHIND_MS = 400
+CHECK_INTERVAL_MS = 100
 # How long the store holds a call that asks for the state alone.
-ASK_WAIT_MS = 1
+NON_READER_WAIT_MS = 1
 # Between two such calls, as before the operators' first table.
-ASK_PAUSE_MS = 500
+NON_READER_INTERVAL_MS = 500
 
 Rows = dict[str, "protocol.ChangedRow"]
 
 
-class RowsFollower:
+class FeedFollower:
     """Keeps the rows of one table, by its feed and by readings.
 
     Attributes:
@@ -58,7 +58,7 @@
         wait_ms: int,
         on_rows: Callable[[Mapping[str, protocol.ChangedRow]], None],
         on_confirmed: Callable[[int], None] = lambda made_at_ms: None,
-        known: freshness.Freshness | None = None,
+        table_freshness: freshness.Freshness | None = None,
         is_reader: Callable[[], bool] = lambda: True,
     ) -> None:
         """Tells `on_rows` of changes.
@@ -71,7 +71,7 @@
             wait_ms: How long the store may hold a call for changes.
             on_rows: Told all rows after a change.
             on_confirmed: Told since when the rows are known to be the newest.
-            known: How fresh the rows are by peers' word.
+            table_freshness: How fresh the rows are by peers' word.
             is_reader: Whether this daemon asks the store all the time.
         """
         self.rows: Rows = {}
@@ -84,49 +84,51 @@
         self._wait_ms = wait_ms
         self._on_rows = on_rows
         self._on_confirmed = on_confirmed
-        self._known = known
+        self._freshness = table_freshness
         self._is_reader = is_reader
-        self._rest_ms = REST_MS * rng.uniform(0.85, 1.15)
+        self._max_confirmation_age_ms = MAX_CONFIRMATION_AGE_MS * rng.uniform(
+            0.85, 1.15
+        )
         self.version = 0
-        self._newest = 0
-        self._settled_at_ms = -SETTLE_MS
+        self._feed_version = 0
+        self._snapshot_at_ms = -SNAPSHOT_INTERVAL_MS
         self._needs_snapshot = True
-        self._pause_ms = RETRY_FIRST_MS
-        self._offset_ms = -(1 << 62)
+        self._retry_ms = RETRY_FIRST_MS
+        self._clock_offset_ms = -(1 << 62)
 
     @property
     def read_version(self) -> int:
         """Newest version of the store up to which the rows were read."""
-        return max(self.version, self._newest)
+        return max(self.version, self._feed_version)
 
     async def follow_forever(self) -> None:
         """Follows until cancelled."""
         while True:
-            if self.may_rest():
-                await asyncio.sleep(LOOK_MS / 1000)
+            if self.can_skip_read():
+                await asyncio.sleep(CHECK_INTERVAL_MS / 1000)
             elif await self.step():
                 if not self._is_reader():
-                    await asyncio.sleep(ASK_PAUSE_MS / 1000)
+                    await asyncio.sleep(NON_READER_INTERVAL_MS / 1000)
             else:
-                pause_ms = self._pause_ms * self._rng.uniform(0.5, 1.0)
-                self._pause_ms = min(RETRY_MOST_MS, 2 * self._pause_ms)
+                pause_ms = self._retry_ms * self._rng.uniform(0.5, 1.0)
+                self._retry_ms = min(RETRY_MAX_MS, 2 * self._retry_ms)
                 await asyncio.sleep(pause_ms / 1000)
 
-    def may_rest(self) -> bool:
+    def can_skip_read(self) -> bool:
         """Returns whether peers' word is enough for now."""
-        known = self._known
+        known = self._freshness
         if self._needs_snapshot or known is None or self._is_reader():
             return False
         now_ms = self._clock.now_ms()
         behind = known.behind_since_ms >= 0
-        if behind and now_ms - known.behind_since_ms >= BEHIND_MS:
+        if behind and now_ms - known.behind_since_ms >= MAX_BEHIND_MS:
             return False
-        return now_ms - known.confirmed_at_ms < self._rest_ms
+        return now_ms - known.confirmed_at_ms < self._max_confirmation_age_ms
 
     async def step(self) -> bool:
         """Makes one call; returns whether it was answered."""
         started_ms = self._clock.now_ms()
-        settles = started_ms - self._settled_at_ms >= SETTLE_MS
+        settles = started_ms - self._snapshot_at_ms >= SNAPSHOT_INTERVAL_MS
         settles = settles and self._is_reader()
         whole = self._needs_snapshot or settles
         if whole:
@@ -134,31 +136,33 @@
         else:
             got = await self._feed.changes(
                 self._table,
-                after=self._newest,
-                wait_ms=self._wait_ms if self._is_reader() else ASK_WAIT_MS,
+                after=self._feed_version,
+                wait_ms=self._wait_ms
+                if self._is_reader()
+                else NON_READER_WAIT_MS,
             )
         if isinstance(got, Err):
-            return self._failed(got.err_value)
-        self._answered(started_ms)
+            return self._record_failure(got.err_value)
+        self._record_answer(started_ms)
         page = got.ok_value
-        if page.newest < self._newest:
+        if page.newest < self._feed_version:
             # Read from a copy that lags: taking it in would take back what
             # is known to have been acknowledged.
             logging.info(
                 "event=store_read_stale table=%s newest=%d known=%d",
                 self._table,
                 page.newest,
-                self._newest,
+                self._feed_version,
             )
             return False
         if whole:
             # An empty table has a state as well.
             self.version = max(1, self.version)
-        self._take_in(page, whole=whole)
+        self._apply(page, whole=whole)
         if whole:
-            self._settled_at_ms = started_ms
-        made_at_ms = self._made_at_ms(page, started_ms)
-        if self._known is None or self._known.version >= self.version:
+            self._snapshot_at_ms = started_ms
+        made_at_ms = self._answer_as_of_ms(page, started_ms)
+        if self._freshness is None or self._freshness.version >= self.version:
             # Not where the newest rows could not be read: what is in force
             # then is not what the store confirms.
             self._on_confirmed(made_at_ms)
@@ -184,7 +188,7 @@
             rows.extend(got.ok_value.rows)
         return Ok(dataclasses.replace(first, rows=tuple(rows), next_key=""))
 
-    def _made_at_ms(self, page: protocol.FeedPage, started_ms: int) -> int:
+    def _answer_as_of_ms(self, page: protocol.FeedPage, started_ms: int) -> int:
         """Returns a time here before which the store's answer was not made.
 
         A call that waits for changes says nothing newer than its answer, but
@@ -196,11 +200,11 @@
         if not page.service_ms:
             return started_ms
         offset_ms = started_ms - page.service_ms
-        self._offset_ms = max(self._offset_ms, offset_ms)
-        dated_ms = page.service_ms + self._offset_ms
+        self._clock_offset_ms = max(self._clock_offset_ms, offset_ms)
+        dated_ms = page.service_ms + self._clock_offset_ms
         return min(max(started_ms, dated_ms), self._clock.now_ms())
 
-    def _take_in(self, page: protocol.FeedPage, *, whole: bool) -> None:
+    def _apply(self, page: protocol.FeedPage, *, whole: bool) -> None:
         before, version_before = self.rows, self.version
         rows: Rows = {} if whole else dict(before)
         for row in page.rows:
@@ -210,7 +214,7 @@
             else:
                 rows[row.key] = row
         self.rows = rows
-        self._newest = page.newest
+        self._feed_version = page.newest
         self._needs_snapshot = False
         # A row may have been made and removed between two calls. Not told of,
         # its version would be read and never in force, and no answer would
@@ -219,9 +223,9 @@
         if rows != before or is_newer or (whole and not before):
             self._on_rows(rows)
 
-    def _answered(self, started_ms: int) -> None:
+    def _record_answer(self, started_ms: int) -> None:
         now_ms = self._clock.now_ms()
-        self._pause_ms = RETRY_FIRST_MS
+        self._retry_ms = RETRY_FIRST_MS
         if self.failing_since_ms < 0:
             return
         self.recovered_at_ms = now_ms
@@ -232,7 +236,7 @@
         )
         self.failing_since_ms = -1
 
-    def _failed(self, error: protocol.PlatformError) -> bool:
+    def _record_failure(self, error: protocol.PlatformError) -> bool:
         if error.history_lost:
             self._needs_snapshot = True
             logging.info("event=store_history_lost table=%s", self._table)
@@ -249,4 +253,4 @@
         return False
 
 
-__all__ = ["Rows", "RowsFollower"]
+__all__ = ["Rows", "FeedFollower"]
--- a/src/godwittack/daemon/instances.py
+++ b/src/godwittack/daemon/instances.py
@@ -52,7 +52,7 @@
         # Changes since the version that peers know the list to be at.
         self._unpublished: listing.Changes = {}
         self._refusals = instance_rows.RefusalLog()
-        self.follower: feed_follower.RowsFollower | None = None
+        self.follower: feed_follower.FeedFollower | None = None
         updates.on_versioned_list = self.apply_changes
 
     def apply_rows(self, rows: Mapping[str, protocol.ChangedRow]) -> None:
--- a/tests/cases/following.py
+++ b/tests/cases/following.py
@@ -75,7 +75,7 @@
         self.feed = FakeFeed(self.clock)
         self.told: list[dict[str, str]] = []
         self.confirmed: list[int] = []
-        self.follower = feed_follower.RowsFollower(
+        self.follower = feed_follower.FeedFollower(
             feed=self.feed,
             table="op",
             clock=self.clock,
@@ -118,7 +118,7 @@
     """
     case = Followed()
     known = freshness.Freshness(topic=freshness.Topic.SERVERS)
-    case.follower._known = known
+    case.follower._freshness = known
     case.follower._on_rows = lambda rows: known.record_version(
         case.follower.version
     )
--- a/tests/cases/freshness.py
+++ b/tests/cases/freshness.py
@@ -85,17 +85,17 @@
     """
     case = cases.Followed()
     known = _fresh(version=5)
-    case.follower._known = known
+    case.follower._freshness = known
     case.follower._is_reader = lambda: False
-    assert not case.follower.may_rest()
+    assert not case.follower.can_skip_read()
     await case.step(cases.page(5, ("a", "1"), clock_ms=50_000))
     known.record_confirmation(case.clock.now_ms())
-    assert case.follower.may_rest()
+    assert case.follower.can_skip_read()
     case.clock.advance(by_ms=3_000)
-    assert not case.follower.may_rest()
+    assert not case.follower.can_skip_read()
     known.record_confirmation(case.clock.now_ms())
     known.behind_since_ms = case.clock.now_ms() - 1_000
-    assert not case.follower.may_rest()
+    assert not case.follower.can_skip_read()
 
 
 async def rows_that_can_t_be_read_confirm_nothing() -> None:
@@ -107,7 +107,7 @@
     """
     case = cases.Followed()
     known = _fresh(version=5)
-    case.follower._known = known
+    case.follower._freshness = known
     await case.step(cases.page(5, ("a", "1"), clock_ms=50_000))
     told = len(case.confirmed)
     await case.step(cases.page(7, ("a", "broken"), clock_ms=50_010))
@@ -184,7 +184,7 @@
     """
     held, follower, known, _ = _list(is_reader=False)
     clock = held._core.clock
-    follower._known = known
+    follower._freshness = known
     follower._is_reader = lambda: False
     follower._needs_snapshot = False
     known.record_version(6)
@@ -193,9 +193,9 @@
         held.apply_changes(
             {"s9": _instance(f"s{version}")}, version - 1, version
         )
-        assert follower.may_rest()
+        assert follower.can_skip_read()
         clock.advance(by_ms=300)
-    assert not follower.may_rest()
+    assert not follower.can_skip_read()
 
 
 def entries_that_lapse_in_an_outage_are_kept_for_a_while() -> None:
@@ -285,7 +285,7 @@
     newer than the reading.
     """
     peer, follower, known, _ = _list(is_reader=False)
-    follower.version, follower._newest = 5, 9
+    follower.version, follower._feed_version = 5, 9
     peer.apply_rows({"a": _instance("a")})
     peer.apply_changes({"a": _instance("a", leaving=True)}, 5, 5)
     assert peer._core.core.world.servers["a"].leaving
