--- a/src/godwittack/daemon/edge.py
+++ b/src/godwittack/daemon/edge.py
@@ -200,8 +200,8 @@
             updates=self._news,
             streams=self._streams,
             load_poll_ms=settings.load_poll_ms,
-            follows=server_watcher.Follows.ENGINE_LOADS
-            | server_watcher.Follows.CACHES,
+            followed=server_watcher.FollowedData.ENGINE_LOADS
+            | server_watcher.FollowedData.CACHES,
         )
         use_limit_ms = settings.policy().old_weights_limit_ms
         self._leader = lead.Leader(
--- a/src/godwittack/daemon/lead.py
+++ b/src/godwittack/daemon/lead.py
@@ -398,7 +398,7 @@
         load = got.ok_value
         restarted = incarnation.is_older(server.incarnation, load.incarnation)
         if restarted or load.weights_version != server.weights_version:
-            told = server_watcher.report(server, load, self._core)
+            told = server_watcher.load_reported(server, load, self._core)
             self._core.submit(told)
             self._updates.publish_load(told, server.target, immediately=True)
         return load
--- a/src/godwittack/daemon/serve.py
+++ b/src/godwittack/daemon/serve.py
@@ -163,7 +163,7 @@
         ]
         await self._keeper.load_first(addresses)
         await self._lists.poll_once()
-        await self._servers.ask_unknown()
+        await self._servers.poll_unknown()
         self._servers.assign()
 
     def _start_loops(self) -> None:
--- a/src/godwittack/daemon/server_watcher.py
+++ b/src/godwittack/daemon/server_watcher.py
@@ -22,16 +22,16 @@
     from godwittack.daemon import runtime
     from godwittack.member import view
 
-DIGEST_MS = 500
+DIGEST_INTERVAL_MS = 500
 EVENTS_RETRY_MS = 500
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Watched:
+class ServerReport:
     """A piece of news on one server, with the model it concerns."""
 
     target: str
-    told: server_inputs.LoadReported | server_inputs.CacheDigest
+    report: server_inputs.LoadReported | server_inputs.CacheDigest
 
 
 class Streams:
@@ -39,7 +39,7 @@
 
     def __init__(self) -> None:
         """Makes streams without subscribers."""
-        self.watched: subject.Subject[Watched] = subject.Subject()
+        self.reports: subject.Subject[ServerReport] = subject.Subject()
         self.listed: subject.Subject[server_inputs.ServerListed] = (
             subject.Subject()
         )
@@ -48,13 +48,13 @@
         self, *, core: runtime.Runtime, news: peer_updates.PeerUpdates
     ) -> None:
         """Subscribes the core, and the daemons that serve the model."""
-        watched: reactivex.Observable[Watched] = self.watched
-        watched.subscribe(on_next=lambda item: core.submit(item.told))
+        watched: reactivex.Observable[ServerReport] = self.reports
+        watched.subscribe(on_next=lambda item: core.submit(item.report))
         watched.subscribe(on_next=_Publisher(news).publish)
         self.listed.subscribe(on_next=core.submit)
 
 
-class Follows(enum.Flag):
+class FollowedData(enum.Flag):
     """What is asked of servers; callers' answers tell the rest."""
 
     ENGINE_LOADS = enum.auto()
@@ -75,10 +75,10 @@
         updates: peer_updates.PeerUpdates,
         streams: Streams,
         load_poll_ms: int,
-        follows: Follows = Follows.ALL,
+        followed: FollowedData = FollowedData.ALL,
     ) -> None:
         """Watches for `core` and tells `streams`."""
-        self._follows = follows
+        self._followed = followed
         self._core = core
         self._client = client
         self._members = members
@@ -87,8 +87,8 @@
         self._load_poll_ms = load_poll_ms
         self._tasks: dict[str, list[asyncio.Task[None]]] = {}
         self._addresses: dict[str, str] = {}
-        self._duties: set[str] = set()
-        self._ranked_for: (
+        self._assigned: set[str] = set()
+        self._assigned_for: (
             tuple[list[view.Member], frozenset[str], tuple[str, ...]] | None
         ) = None
 
@@ -101,7 +101,7 @@
     def assign(self) -> None:
         """Starts and stops following servers."""
         servers = self._core.core.world.servers
-        mine = {name: servers[name] for name in self._own_duties()}
+        mine = {name: servers[name] for name in self._assigned_servers()}
         for name in list(self._tasks):
             row = mine.get(name)
             if row is None or row.address != self._addresses[name]:
@@ -112,7 +112,7 @@
                 self._addresses[name] = row.address
                 self._tasks[name] = self._follow(row)
 
-    def _own_duties(self) -> set[str]:
+    def _assigned_servers(self) -> set[str]:
         """Returns the servers that fall to this daemon.
 
         Ranked anew only when daemons or servers came or went.
@@ -120,18 +120,18 @@
         servers = self._core.core.world.servers
         live, names = self._members.live(), frozenset(servers)
         ranked_for = (live, names, self._core.core.world.table.targets)
-        if ranked_for != self._ranked_for:
+        if ranked_for != self._assigned_for:
             own = self._members.me.member_id
-            self._ranked_for = ranked_for
-            self._duties = {
+            self._assigned_for = ranked_for
+            self._assigned = {
                 name
                 for name, row in servers.items()
                 if assignment.watcher(name, self._updates.audience(row.target))
                 == own
             }
-        return self._duties
+        return self._assigned
 
-    async def ask_unknown(self) -> None:
+    async def poll_unknown(self) -> None:
         """Asks the servers of which nothing was heard yet, once.
 
         A daemon that listens before it knows any engine's incarnation would
@@ -147,12 +147,12 @@
                 for member in self._updates.audience(row.target)
             )
         ]
-        await asyncio.gather(*(self._ask(row) for row in unknown))
+        await asyncio.gather(*(self._poll_once(row) for row in unknown))
 
-    async def _ask(self, row: entities.ServerRow) -> None:
+    async def _poll_once(self, row: entities.ServerRow) -> None:
         got = await self._client.load(row.address, server_id=row.server_id)
         if not isinstance(got, Err):
-            self._core.submit(report(row, got.ok_value, self._core))
+            self._core.submit(load_reported(row, got.ok_value, self._core))
 
     def close(self) -> None:
         """Stops following."""
@@ -166,24 +166,28 @@
         is_engine = row.target in self._core.core.world.table.models
         if row.target == cached_state.STORE_TARGET:
             return [asyncio.create_task(self._follow_cache(row))]
-        loads = Follows.ENGINE_LOADS if is_engine else Follows.SERVICE_LOADS
-        if loads in self._follows:
+        loads = (
+            FollowedData.ENGINE_LOADS
+            if is_engine
+            else FollowedData.SERVICE_LOADS
+        )
+        if loads in self._followed:
             tasks.append(asyncio.create_task(self._poll_load(row)))
-        if is_engine and Follows.CACHES in self._follows:
+        if is_engine and FollowedData.CACHES in self._followed:
             tasks.append(asyncio.create_task(self._follow_cache(row)))
         return tasks
 
     async def _poll_load(self, row: entities.ServerRow) -> None:
         while True:
-            await self._until_rested(row)
+            await self._wait_for_rest(row)
             got = await self._client.poll_load(
                 row.address, server_id=row.server_id
             )
             if not isinstance(got, Err):
-                self._tell_load(row, got.ok_value)
+                self._publish_load(row, got.ok_value)
             await asyncio.sleep(self._load_poll_ms / 1000)
 
-    async def _until_rested(self, row: entities.ServerRow) -> None:
+    async def _wait_for_rest(self, row: entities.ServerRow) -> None:
         """Waits while a server wants nothing from this daemon."""
         servers = self._core.core.world.servers
         while (
@@ -193,17 +197,17 @@
             # Looked at again and again: one that starts anew rests no more.
             await asyncio.sleep(self._load_poll_ms / 1000)
 
-    def _tell_load(
+    def _publish_load(
         self, row: entities.ServerRow, load: backend.EngineLoad
     ) -> None:
-        told = report(row, load, self._core)
-        self._streams.watched.on_next(Watched(row.target, told))
+        told = load_reported(row, load, self._core)
+        self._streams.reports.on_next(ServerReport(row.target, told))
         if load.leaving:
             self._updates.publish_leaving(row.server_id, load.incarnation)
         else:
             self._updates.forget_leaving(row.server_id)
 
-    def _events_lost(self, row: entities.ServerRow) -> None:
+    def _drain_unresponsive_store(self, row: entities.ServerRow) -> None:
         """Keeps requests from a store of cached state that does not answer.
 
         A dead source costs each request that names it some hundred
@@ -221,25 +225,25 @@
     async def _follow_cache(self, row: entities.ServerRow) -> None:
         digester = digests.Digester(row.server_id)
         while True:
-            await self._until_rested(row)
+            await self._wait_for_rest(row)
             got = await self._client.cache_events(
                 row.address,
                 after=digester.sequence,
                 server_id=row.server_id,
             )
             if isinstance(got, Err):
-                self._events_lost(row)
+                self._drain_unresponsive_store(row)
                 await asyncio.sleep(EVENTS_RETRY_MS / 1000)
                 continue
             now_ms = self._core.clock.now_ms()
             told = digester.digest(got.ok_value, now_ms=now_ms)
             if told is not None:
-                self._streams.watched.on_next(Watched(row.target, told))
+                self._streams.reports.on_next(ServerReport(row.target, told))
             # Events gather meanwhile and go out as one digest.
-            await asyncio.sleep(DIGEST_MS / 1000)
+            await asyncio.sleep(DIGEST_INTERVAL_MS / 1000)
 
 
-def report(
+def load_reported(
     row: entities.ServerRow, load: backend.EngineLoad, core: runtime.Runtime
 ) -> server_inputs.LoadReported:
     """Returns what the core is told of a server's load."""
@@ -264,13 +268,19 @@
         self._news = news
         self._loads = loads.LoadFilter()
 
-    def publish(self, item: Watched) -> None:
-        match item.told:
+    def publish(self, item: ServerReport) -> None:
+        match item.report:
             case server_inputs.LoadReported():
-                if self._loads.is_news(item.told):
-                    self._news.publish_load(item.told, item.target)
+                if self._loads.is_news(item.report):
+                    self._news.publish_load(item.report, item.target)
             case server_inputs.CacheDigest():
-                self._news.publish_digest(item.told, item.target)
+                self._news.publish_digest(item.report, item.target)
 
 
-__all__ = ["Follows", "ServerWatcher", "Streams", "Watched", "report"]
+__all__ = [
+    "FollowedData",
+    "ServerWatcher",
+    "Streams",
+    "ServerReport",
+    "load_reported",
+]
--- a/tests/cases/rollout_bounds.py
+++ b/tests/cases/rollout_bounds.py
@@ -86,7 +86,7 @@
                 is_engine = row.target == one_lead.MODEL
                 if is_engine and load.weights_version != row.weights_version:
                     self.runtime.submit(
-                        server_watcher.report(row, load, self.runtime)
+                        server_watcher.load_reported(row, load, self.runtime)
                     )
             await asyncio.sleep(0.1)
 
