--- a/src/godwittack/daemon/edge.py
+++ b/src/godwittack/daemon/edge.py
@@ -207,7 +207,7 @@
         self._leader = lead.Leader(
             core=self.runtime,
             client=backend,
-            service=self._store,
+            lease_store=self._store,
             members=members,
             updates=self._news,
             policy=leases.LeasePolicy(lease_ms=settings.lease_ms),
@@ -218,7 +218,7 @@
                 accepted_limit_ms=max(LOAD_LIMIT_MS, use_limit_ms),
                 use_limit_ms=use_limit_ms,
             ),
-            measures=self._meters,
+            metrics=self._meters,
             audience=self._serving,
         )
         self._peer_server = parts.peer_server(self._gossiper)
--- a/src/godwittack/daemon/lead.py
+++ b/src/godwittack/daemon/lead.py
@@ -35,16 +35,18 @@
 # Pause after a call of the store that brought nothing.
 STORE_RETRY_MS = 300
 # Between two looks at a server that loads weights: a load takes 0.5 to 3.2 s.
-LOAD_LOOK_MS = 120
+LOAD_POLL_MS = 120
 
 
 @dataclasses.dataclass(slots=True)
-class _Led:
+class _LedModel:
     lease: leases.Lease
     rollout: rollout.Rollout
     # When this daemon last told of each drain.
-    drains_told_ms: dict[str, int] = dataclasses.field(default_factory=dict)
-    store_again_ms: int = 0
+    drains_published_ms: dict[str, int] = dataclasses.field(
+        default_factory=dict
+    )
+    store_retry_at_ms: int = 0
 
 
 class Leader:
@@ -55,12 +57,12 @@
         *,
         core: runtime.Runtime,
         client: backend.BackendClient,
-        service: platform.ConditionalRows,
+        lease_store: platform.ConditionalRows,
         members: view.View,
         updates: peer_updates.PeerUpdates,
         policy: leases.LeasePolicy,
         rollout_policy: rollout.RolloutPolicy | None = None,
-        measures: rollout_log.Measures | None = None,
+        metrics: rollout_log.OrderMetrics | None = None,
         audience: assignment.Audience | None = None,
     ) -> None:
         """Leads nothing yet.
@@ -68,32 +70,32 @@
         Args:
             core: What this daemon knows.
             client: Speaks to servers.
-            service: Keeps the rows of leases.
+            lease_store: Keeps the rows of leases.
             members: The other daemons.
             updates: Tells them of drains.
             policy: Times of a lease.
             rollout_policy: Times of a roll-out.
-            measures: Takes figures of loads.
+            metrics: Takes figures of loads.
             audience: Chooses who hears of a model's servers.
         """
         self._audience = audience or assignment.AudienceByTarget()
-        self._log = rollout_log.RolloutLog(clock=core.clock, measures=measures)
+        self._log = rollout_log.RolloutLog(clock=core.clock, metrics=metrics)
         self._rollout_policy = rollout_policy or rollout.RolloutPolicy()
         # What is behind which version, and since when that is so.
         self._behind: dict[str, tuple[tuple[str, frozenset[str]], int]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._core = core
         self._client = client
-        self._service = service
+        self._lease_store = lease_store
         self._members = members
         self._updates = updates
         self._policy = policy
-        self._led: dict[str, _Led] = {}
+        self._led: dict[str, _LedModel] = {}
 
     async def lead_forever(self, *, step_ms: int) -> None:
         """Takes a step for each led model again and again."""
         while True:
-            for model in self._own_models():
+            for model in self._models_behind():
                 await self.step(model)
             await asyncio.sleep(step_ms / 1000)
 
@@ -101,8 +103,8 @@
         """Goes on with a model's roll-out where it is this daemon's turn."""
         led = self._led.get(model)
         if led is None:
-            led = self._led[model] = self._lead(model)
-        if not await self._has_turn(model, led):
+            led = self._led[model] = self._new_led_model(model)
+        if not await self._may_order(model, led):
             return
         world = self._core.core.world
         row = world.table.models.get(model)
@@ -114,14 +116,14 @@
             desired_version=wanted,
             replicas=model_state.replicas(world, model),
             now_ms=self._core.clock.now_ms(),
-            is_under_load=pace.is_pressed,
+            is_under_load=pace.is_under_load,
             held_by_others=led.lease.held_by_others(),
         )
         self._log.log_step(model, pace, decision.overview)
         # Before the store is asked: what was decided on loads is outdated once
         # it has answered, since servers not drained yet take work meanwhile.
         ready = [name for name in decision.load if led.lease.may_send(name)]
-        if not await self._may_go_on(model, led, decision):
+        if not await self._record_orders(model, led, decision):
             return
         self._drain(led, model, decision.draining)
         for server_id in ready:
@@ -130,28 +132,28 @@
             # the error would end the daemon.
             server = world.servers.get(server_id)
             if server is not None and led.rollout.is_draining(server_id):
-                self._load(led, server, wanted)
+                self._start_load(led, server, wanted)
 
-    async def _has_turn(self, model: str, led: _Led) -> bool:
+    async def _may_order(self, model: str, led: _LedModel) -> bool:
         """Returns whether to order now; reads the row where that may be."""
         if led.lease.is_own:
             return True
         now_ms = self._core.clock.now_ms()
-        if now_ms < led.store_again_ms:
+        if now_ms < led.store_retry_at_ms:
             return False
-        if not self._is_turn(model, led):
+        if not self._is_eligible(model, led):
             return False
         if not await led.lease.refresh():
-            led.store_again_ms = self._core.clock.now_ms() + STORE_RETRY_MS
-            self._log_wait(model, led, rollout_log.Wait.STORE_LOST)
+            led.store_retry_at_ms = self._core.clock.now_ms() + STORE_RETRY_MS
+            self._log_wait(model, led, rollout_log.WaitReason.STORE_LOST)
             return False
         # What the row tells may be that another is at work.
-        if not self._is_turn(model, led):
-            self._log_wait(model, led, rollout_log.Wait.OTHER_TURN)
+        if not self._is_eligible(model, led):
+            self._log_wait(model, led, rollout_log.WaitReason.OTHER_TURN)
             return False
         return True
 
-    def _place(self, model: str, led: _Led) -> int:
+    def _daemons_before(self, model: str, led: _LedModel) -> int:
         """Returns how many daemons come before this one."""
         ranked = assignment.leaders(
             model,
@@ -162,19 +164,21 @@
         own = self._members.me.member_id
         return takeover.rank(own, led.lease.holder, ranked)
 
-    def _log_wait(self, model: str, led: _Led, why: rollout_log.Wait) -> None:
+    def _log_wait(
+        self, model: str, led: _LedModel, why: rollout_log.WaitReason
+    ) -> None:
         if self._log.last_wait(model) is why:
             return
         self._log.log_wait(
             model,
             why,
-            place=self._place(model, led),
+            daemons_before=self._daemons_before(model, led),
             holder=led.lease.holder,
             idle_ms=led.lease.idle_ms(),
         )
 
-    def _is_turn(self, model: str, led: _Led) -> bool:
-        place = self._place(model, led)
+    def _is_eligible(self, model: str, led: _LedModel) -> bool:
+        place = self._daemons_before(model, led)
         (_, behind), since_ms = self._behind[model]
         if place and behind & led.lease.held_by_others():
             # The lead is at work: loads take up to 3 s, in which nothing need
@@ -187,8 +191,8 @@
             idle_ms=led.lease.idle_ms(),
         )
 
-    async def _may_go_on(
-        self, model: str, led: _Led, decision: rollout.Decision
+    async def _record_orders(
+        self, model: str, led: _LedModel, decision: rollout.Decision
     ) -> bool:
         """Records the orders decided on; returns whether they may be given.
 
@@ -206,14 +210,14 @@
             return True
         now_ms = self._core.clock.now_ms()
         was_own = lease.is_own
-        if now_ms >= led.store_again_ms and await lease.record(unrecorded):
+        if now_ms >= led.store_retry_at_ms and await lease.record(unrecorded):
             if not was_own:
                 self._log_lease(model, led, held=True)
-            self._log_wait(model, led, rollout_log.Wait.NONE)
+            self._log_wait(model, led, rollout_log.WaitReason.NONE)
             return True
-        if now_ms >= led.store_again_ms:
-            led.store_again_ms = self._core.clock.now_ms() + STORE_RETRY_MS
-            self._log_wait(model, led, rollout_log.Wait.NOT_RECORDED)
+        if now_ms >= led.store_retry_at_ms:
+            led.store_retry_at_ms = self._core.clock.now_ms() + STORE_RETRY_MS
+            self._log_wait(model, led, rollout_log.WaitReason.NOT_RECORDED)
         if not lease.is_own:
             if was_own:
                 self._log_lease(model, led, held=False)
@@ -222,7 +226,7 @@
         led.rollout.withdraw(unrecorded)
         return False
 
-    def _log_lease(self, model: str, led: _Led, *, held: bool) -> None:
+    def _log_lease(self, model: str, led: _LedModel, *, held: bool) -> None:
         logging.info(
             "event=lease model=%s held=%d fencing=%d holder=%s idle_ms=%d",
             model,
@@ -232,7 +236,9 @@
             led.lease.idle_ms(),
         )
 
-    def _drain(self, led: _Led, model: str, server_ids: Iterable[str]) -> None:
+    def _drain(
+        self, led: _LedModel, model: str, server_ids: Iterable[str]
+    ) -> None:
         """Takes servers out of service, and keeps those out that are.
 
         A drain ends with the weights that it was for, and the next load of the
@@ -247,19 +253,19 @@
         for server_id in server_ids:
             row = servers.get(server_id)
             drained_until_ms = 0 if row is None else row.draining_until_ms
-            told_ms = led.drains_told_ms.get(server_id, -DRAIN_REPEAT_MS)
+            told_ms = led.drains_published_ms.get(server_id, -DRAIN_REPEAT_MS)
             told_until_ms = min(
                 drained_until_ms, told_ms + peer_updates.DRAIN_TTL_MS
             )
             if until_ms - told_until_ms < DRAIN_REPEAT_MS:
                 continue
-            led.drains_told_ms[server_id] = now_ms
+            led.drains_published_ms[server_id] = now_ms
             self._core.submit(
                 server_inputs.ServerDraining(now_ms, server_id, until_ms)
             )
             self._updates.publish_draining(server_id, model)
 
-    def _own_models(self) -> list[str]:
+    def _models_behind(self) -> list[str]:
         """Returns models with servers that need new weights.
 
         Whose turn it is for each is decided by rank and by what the row of
@@ -270,7 +276,9 @@
         world = self._core.core.world
         found = []
         for name, row in world.table.models.items():
-            behind = model_state.behind(world, name, row.weights_version)
+            behind = model_state.servers_behind(
+                world, name, row.weights_version
+            )
             state = (row.weights_version, behind)
             if name not in self._behind or self._behind[name][0] != state:
                 self._behind[name] = (state, now_ms)
@@ -278,17 +286,19 @@
                 found.append(name)
         return found
 
-    def _lead(self, model: str) -> _Led:
+    def _new_led_model(self, model: str) -> _LedModel:
         lease = leases.Lease(
-            service=self._service,
+            service=self._lease_store,
             name=model,
             holder=self._members.me.member_id,
             policy=self._policy,
             clock=self._core.clock,
         )
-        return _Led(lease, rollout.Rollout(self._rollout_policy))
+        return _LedModel(lease, rollout.Rollout(self._rollout_policy))
 
-    def _load(self, led: _Led, server: entities.ServerRow, wanted: str) -> None:
+    def _start_load(
+        self, led: _LedModel, server: entities.ServerRow, wanted: str
+    ) -> None:
         now_ms = self._core.clock.now_ms()
         led.rollout.record_order(server.server_id, now_ms=now_ms)
         task = asyncio.create_task(self._order_and_watch(led, server, wanted))
@@ -296,14 +306,14 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _order_and_watch(
-        self, led: _Led, server: entities.ServerRow, wanted: str
+        self, led: _LedModel, server: entities.ServerRow, wanted: str
     ) -> None:
         """Orders one server to load weights, and waits until it has them."""
         clock, policy = self._core.clock, self._rollout_policy
         began_ms = clock.now_ms()
         outcome = rollout_log.OrderOutcome.NO_REPORT
         limit_ms = policy.load_limit_ms
-        answer = await self._order(led, server, wanted)
+        answer = await self._send_order(led, server, wanted)
         if answer.is_refusal:
             if answer is not order_result.OrderResult.RESTARTED:
                 led.rollout.record_refusal(
@@ -319,7 +329,7 @@
             # It was out of service while it drained as well.
             took_ms = clock.now_ms() - began_ms + policy.order_after_ms
             led.rollout.record_load(took_ms=took_ms)
-        self._log.measure_order(outcome, after_ms=clock.now_ms() - began_ms)
+        self._log.record_order(outcome, after_ms=clock.now_ms() - began_ms)
 
     async def _is_loaded(
         self, server: entities.ServerRow, wanted: str, *, limit_ms: int
@@ -334,21 +344,21 @@
         started = server.incarnation
         servers = self._core.core.world.servers
         while self._core.clock.now_ms() < ends_ms:
-            await asyncio.sleep(LOAD_LOOK_MS / 1000)
+            await asyncio.sleep(LOAD_POLL_MS / 1000)
             known = servers.get(server.server_id)
             if known is None or known.incarnation != started:
                 return False
-            got = await self._look(server)
+            got = await self._fetch_load(server)
             if got is not None and got.weights_version == wanted:
                 return True
         return False
 
-    async def _order(
-        self, led: _Led, server: entities.ServerRow, wanted: str
+    async def _send_order(
+        self, led: _LedModel, server: entities.ServerRow, wanted: str
     ) -> order_result.OrderResult:
         """Gives an order; returns what became of it."""
         drained = server.incarnation
-        state = await self._look(server)
+        state = await self._fetch_load(server)
         if server.incarnation != drained:
             # Its drain was the process's before; all daemons send work to it.
             return order_result.OrderResult.RESTARTED
@@ -386,7 +396,7 @@
             )
         return answer
 
-    async def _look(
+    async def _fetch_load(
         self, server: entities.ServerRow
     ) -> backend.EngineLoad | None:
         """Asks a server for its state; tells new weights and a new start."""
--- a/src/godwittack/daemon/model_state.py
+++ b/src/godwittack/daemon/model_state.py
@@ -13,8 +13,8 @@
 
 # Mean wait at the servers from which no more of them are taken out of service
 # than must be: a third of the time in which a short answer is wanted.
-PRESSED_MS = 80
-LEAST_URGENT = 9
+HIGH_LOAD_WAIT_MS = 80
+LOWEST_PRIORITY = 9
 
 
 def replicas(world: entities.World, model: str) -> list[rollout.Replica]:
@@ -34,7 +34,9 @@
     ]
 
 
-def behind(world: entities.World, model: str, wanted: str) -> frozenset[str]:
+def servers_behind(
+    world: entities.World, model: str, desired_version: str
+) -> frozenset[str]:
     """Returns the ids of the servers that lack a version.
 
     Asked for ten times a second on each daemon, whether it leads or not.
@@ -42,22 +44,22 @@
     return frozenset(
         row.server_id
         for row in world.servers_by_target[model].values()
-        if row.weights_version != wanted and _may_load(row)
+        if row.weights_version != desired_version and _may_load(row)
     )
 
 
 def pace_inputs(
-    world: entities.World, model: str, wanted: str
+    world: entities.World, model: str, desired_version: str
 ) -> rollout_log.PaceInputs:
     """Returns what the pace of a roll-out is decided from."""
     servers = world.servers_by_target[model].values()
     wait_ms = mean_wait_ms(world, model)
     return rollout_log.PaceInputs(
-        wanted=wanted,
+        desired_version=desired_version,
         oldest_ms=weights.longest_outdated_ms(world, model),
         too_old=sum(weights.are_too_old(world, row) for row in servers),
         wait_ms=wait_ms,
-        is_pressed=wait_ms > PRESSED_MS,
+        is_under_load=wait_ms > HIGH_LOAD_WAIT_MS,
     )
 
 
@@ -69,7 +71,7 @@
     half of those would be taken out as well.
     """
     waits = [
-        backlog.wait_ms(world, row, priority=LEAST_URGENT)
+        backlog.wait_ms(world, row, priority=LOWEST_PRIORITY)
         for row in world.servers_by_target[model].values()
         if not row.leaving
         and max(row.ejected_until_ms, row.draining_until_ms) <= world.now_ms
@@ -82,4 +84,10 @@
     return bool(row.incarnation) and not row.leaving
 
 
-__all__ = ["PRESSED_MS", "behind", "mean_wait_ms", "pace_inputs", "replicas"]
+__all__ = [
+    "HIGH_LOAD_WAIT_MS",
+    "servers_behind",
+    "mean_wait_ms",
+    "pace_inputs",
+    "replicas",
+]
--- a/src/godwittack/daemon/rollout_log.py
+++ b/src/godwittack/daemon/rollout_log.py
@@ -19,10 +19,10 @@
 
 # Between two lines on one roll-out that goes on, unless the version, the
 # pressure or the room change; a step is taken ten times a second.
-REPEAT_MS = 500
+LOG_INTERVAL_MS = 500
 
 
-class Wait(enum.StrEnum):
+class WaitReason(enum.StrEnum):
     """Why a daemon that might order does not."""
 
     NONE = "none"
@@ -39,7 +39,7 @@
     NO_REPORT = "no_report"
 
 
-class Measures(Protocol):
+class OrderMetrics(Protocol):
     """Takes figures of loads."""
 
     def weights_order(self, *, outcome: str, after_ms: int) -> None:
@@ -51,64 +51,64 @@
     """What the pace of a roll-out was decided from.
 
     Attributes:
-        wanted: Version to load.
+        desired_version: Version to load.
         oldest_ms: For how long newer weights are named than the oldest that a
             server has.
         too_old: Servers that get no work for the age of their weights.
         wait_ms: Mean wait at the servers that take work.
-        is_pressed: Whether that is too long to take many servers out.
+        is_under_load: Whether that is too long to take many servers out.
     """
 
-    wanted: str
+    desired_version: str
     oldest_ms: int
     too_old: int
     wait_ms: float
-    is_pressed: bool
+    is_under_load: bool
 
 
 @dataclasses.dataclass(slots=True)
-class _Told:
-    at_ms: int
-    marks: tuple[str, bool, int]
+class _LastLine:
+    logged_at_ms: int
+    state: tuple[str, bool, int]
 
 
 class RolloutLog:
     """Writes bounded lines on the roll-outs of one daemon."""
 
     def __init__(
-        self, *, clock: Clock, measures: Measures | None = None
+        self, *, clock: Clock, metrics: OrderMetrics | None = None
     ) -> None:
         """Has told nothing.
 
         Args:
             clock: Source of time.
-            measures: Takes figures as well, where there are metrics.
+            metrics: Takes figures as well, where there are metrics.
         """
         self._clock = clock
-        self._measures = measures
-        self._told: dict[str, _Told] = {}
-        self._waits: dict[str, Wait] = {}
+        self._metrics = metrics
+        self._last_lines: dict[str, _LastLine] = {}
+        self._last_waits: dict[str, WaitReason] = {}
 
     def log_step(
         self, model: str, pace: PaceInputs, overview: rollout.Overview
     ) -> None:
         """Tells what a step was decided from, unless it was told just now."""
         now_ms = self._clock.now_ms()
-        marks = (pace.wanted, pace.is_pressed, overview.room)
-        last = self._told.get(model)
+        marks = (pace.desired_version, pace.is_under_load, overview.room)
+        last = self._last_lines.get(model)
         if (
             last is not None
-            and last.marks == marks
-            and now_ms - last.at_ms < REPEAT_MS
+            and last.state == marks
+            and now_ms - last.logged_at_ms < LOG_INTERVAL_MS
         ):
             return
-        self._told[model] = _Told(now_ms, marks)
+        self._last_lines[model] = _LastLine(now_ms, marks)
         logging.info(
             "event=rollout model=%s version=%s behind=%d unreachable=%d"
             " too_old=%d oldest_ms=%d draining=%d loading=%d held=%d room=%d"
             " load_ms=%d pressed=%d wait_ms=%.0f",
             model,
-            pace.wanted,
+            pace.desired_version,
             overview.behind,
             overview.unreachable,
             pace.too_old,
@@ -118,40 +118,52 @@
             overview.held,
             overview.room,
             overview.load_ms,
-            pace.is_pressed,
+            pace.is_under_load,
             pace.wait_ms,
         )
 
-    def last_wait(self, model: str) -> Wait:
+    def last_wait(self, model: str) -> WaitReason:
         """Returns what was told last of why this daemon orders nothing."""
-        return self._waits.get(model, Wait.NONE)
+        return self._last_waits.get(model, WaitReason.NONE)
 
     def log_wait(
-        self, model: str, why: Wait, *, place: int, holder: str, idle_ms: int
+        self,
+        model: str,
+        why: WaitReason,
+        *,
+        daemons_before: int,
+        holder: str,
+        idle_ms: int,
     ) -> None:
         """Tells why this daemon orders nothing.
 
         Args:
             model: The model with servers that need weights.
             why: The reason, or that there is none any more.
-            place: Daemons that come before this one.
+            daemons_before: Daemons that come before this one.
             holder: Who ordered last.
             idle_ms: How long ago the last order was recorded.
         """
-        self._waits[model] = why
+        self._last_waits[model] = why
         logging.info(
             "event=rollout_waits model=%s why=%s place=%d holder=%s idle_ms=%d",
             model,
             why,
-            place,
+            daemons_before,
             holder,
             idle_ms,
         )
 
-    def measure_order(self, outcome: OrderOutcome, *, after_ms: int) -> None:
+    def record_order(self, outcome: OrderOutcome, *, after_ms: int) -> None:
         """Takes in what became of an order, and how long after it."""
-        if self._measures is not None:
-            self._measures.weights_order(outcome=outcome, after_ms=after_ms)
+        if self._metrics is not None:
+            self._metrics.weights_order(outcome=outcome, after_ms=after_ms)
 
 
-__all__ = ["Measures", "OrderOutcome", "PaceInputs", "RolloutLog", "Wait"]
+__all__ = [
+    "OrderMetrics",
+    "OrderOutcome",
+    "PaceInputs",
+    "RolloutLog",
+    "WaitReason",
+]
--- a/src/godwittack/daemon/serve.py
+++ b/src/godwittack/daemon/serve.py
@@ -119,11 +119,11 @@
         self._leader = lead.Leader(
             core=self.runtime,
             client=backend,
-            service=platform,
+            lease_store=platform,
             members=members,
             updates=self._news,
             policy=leases.LeasePolicy(lease_ms=settings.lease_ms),
-            measures=self._meters,
+            metrics=self._meters,
         )
         self._peer_server = parts.peer_server(self.gossiper)
         self._app = self._build_app(loaded, store, platform, counts)
--- a/tests/cases/one_lead.py
+++ b/tests/cases/one_lead.py
@@ -117,7 +117,7 @@
         self.lead = lead.Leader(
             core=self.runtime,
             client=self.engines,
-            service=self.table,
+            lease_store=self.table,
             members=view.View(
                 me=me, policy=view.MemberPolicy(), rng=random.Random(1)
             ),
--- a/tests/cases/rollout_bounds.py
+++ b/tests/cases/rollout_bounds.py
@@ -64,7 +64,7 @@
         self.lead = lead.Leader(
             core=self.runtime,
             client=engines,
-            service=table,
+            lease_store=table,
             members=members,
             updates=self.news,
             policy=lease.LeasePolicy(lease_ms=3_000),
@@ -282,10 +282,10 @@
                 )
             )
             waits_ms = backlog.wait_ms(world, row, priority=0)
-            assert waits_ms > model_state.PRESSED_MS, waits_ms
+            assert waits_ms > model_state.HIGH_LOAD_WAIT_MS, waits_ms
         pace = model_state.pace_inputs(world, one_lead.MODEL, "2")
         assert pace.too_old == 4, pace
-        assert pace.is_pressed, pace
+        assert pace.is_under_load, pace
 
     one_lead.play(case())
 
--- a/tests/sim/large_fleets.py
+++ b/tests/sim/large_fleets.py
@@ -170,7 +170,7 @@
             gate=self.gate,
             core=self,
             client=Client(self),
-            service=self.way,
+            lease_store=self.way,
             members=types.SimpleNamespace(me=self.me, serving=fleet.members),
             updates=News(self),
             policy=lease.LeasePolicy(lease_ms=sent_orders.LEASE_MS),
