--- a/src/godwittack/daemon/demand.py
+++ b/src/godwittack/daemon/demand.py
@@ -16,8 +16,8 @@
 
 # Ratio of two neighbouring figures of a model's rate, and the rate from which
 # it is told so.
-RATE_STEP = 1.5
-LEAST_RATE = 0.5
+RATE_STEP_RATIO = 1.5
+MIN_STEPPED_RATE_PER_S = 0.5
 
 
 def by_member(
@@ -52,11 +52,11 @@
     """
     if (
         not cell.startswith(placing.MODEL_CELL_PREFIX)
-        or rate_per_s < LEAST_RATE
+        or rate_per_s < MIN_STEPPED_RATE_PER_S
     ):
         return round(rate_per_s, 1)
-    steps = round(math.log(rate_per_s) / math.log(RATE_STEP))
-    return round(RATE_STEP**steps, 2)
+    steps = round(math.log(rate_per_s) / math.log(RATE_STEP_RATIO))
+    return round(RATE_STEP_RATIO**steps, 2)
 
 
 __all__ = ["by_member", "rounded_rate"]
--- a/src/godwittack/daemon/digest.py
+++ b/src/godwittack/daemon/digest.py
@@ -14,7 +14,7 @@
 
 # Levels remembered as told, so that lost evictions can't fill the memory; an
 # engine holds some thousands.
-MAX_TOLD = 1 << 16
+MAX_PUBLISHED_LEVELS = 1 << 16
 
 
 class Digester:
@@ -36,35 +36,35 @@
         self.sequence = 0
         self._server_id = server_id
         self._epoch = ""
-        self._tells_tokens = False
-        self._told: dict[int, None] = {}
+        self._reports_tokens = False
+        self._published: dict[int, None] = {}
 
     def digest(
-        self, told: backend.CacheEvents, *, now_ms: int
+        self, batch: backend.CacheEvents, *, now_ms: int
     ) -> server_inputs.CacheDigest | None:
         """Returns what a piece of the stream says, or None for nothing new."""
-        epoch = told.epoch or told.incarnation
+        epoch = batch.epoch or batch.incarnation
         restarted = epoch != self._epoch
         if restarted:
             self._epoch = epoch
             self.sequence = 0
         # A store that starts anew is empty, under the same name as before.
-        cleared = bool(restarted and told.epoch)
+        cleared = bool(restarted and batch.epoch)
         held: collections.OrderedDict[int, backend.CacheEvent] = (
             collections.OrderedDict()
         )
         before = self.sequence
-        for event in self._fresh(told):
+        for event in self._new_events(batch):
             if event.kind is backend.CacheEventKind.CLEARED:
                 cleared = True
                 held.clear()
             else:
                 held[event.level_key] = event
-        self.sequence = max(self.sequence, told.next)
+        self.sequence = max(self.sequence, batch.next)
         if self.sequence == before and not cleared:
             return None
         if cleared:
-            self._told.clear()
+            self._published.clear()
         stored = [
             event
             for event in held.values()
@@ -77,14 +77,14 @@
             for key, event in held.items()
             if key not in kept and self._is_removal(event)
         ]
-        self._remember(stored, removed)
+        self._record(stored, removed)
         if not (stored or removed or cleared):
             return None
         return server_inputs.CacheDigest(
             at_ms=now_ms,
             server_id=self._server_id,
-            incarnation=told.incarnation,
-            weights_version=told.weights_version,
+            incarnation=batch.incarnation,
+            weights_version=batch.weights_version,
             cleared=cleared,
             stored=tuple(event.level_key for event in stored),
             removed=tuple(removed),
@@ -97,24 +97,26 @@
 
     def _is_removal(self, event: backend.CacheEvent) -> bool:
         """Returns whether peers should forget a level."""
-        if self._tells_tokens:
-            return event.level_key in self._told
+        if self._reports_tokens:
+            return event.level_key in self._published
         return event.kind is backend.CacheEventKind.REMOVED
 
-    def _remember(
+    def _record(
         self, stored: list[backend.CacheEvent], removed: list[int]
     ) -> None:
         for key in removed:
-            self._told.pop(key, None)
+            self._published.pop(key, None)
         for event in stored:
             if event.tokens:
-                self._tells_tokens = True
-                self._told[event.level_key] = None
-        while len(self._told) > MAX_TOLD:
-            del self._told[next(iter(self._told))]
-
-    def _fresh(self, told: backend.CacheEvents) -> Iterator[backend.CacheEvent]:
-        for event in told.events:
+                self._reports_tokens = True
+                self._published[event.level_key] = None
+        while len(self._published) > MAX_PUBLISHED_LEVELS:
+            del self._published[next(iter(self._published))]
+
+    def _new_events(
+        self, batch: backend.CacheEvents
+    ) -> Iterator[backend.CacheEvent]:
+        for event in batch.events:
             # Pieces overlap where a reply was lost or came twice.
             if event.sequence > self.sequence:
                 self.sequence = event.sequence
