--- a/src/godwittack/daemon/demand.py
+++ b/src/godwittack/daemon/demand.py
@@ -1,4 +1,4 @@
-"""Decides which daemons hear of whose demand."""
+"""Selects the demand that this daemon sends to each peer."""
 
 from __future__ import annotations
 
@@ -14,8 +14,7 @@
     from godwittack.limit import shares
     from godwittack.member import view
 
-# Ratio of two neighbouring figures of a model's rate, and the rate from which
-# it is told so.
+# Published rates of a model are powers of this ratio, from the minimum up.
 RATE_STEP_RATIO = 1.5
 MIN_STEPPED_RATE_PER_S = 0.5
 
@@ -26,29 +25,32 @@
     shares: shares.Shares,
     members: list[view.Member],
 ) -> dict[str, list[inputs.CellDemand]]:
-    """Returns what to tell to each member, by its id.
+    """Returns the demands to send to each member, by its id.
 
-    In a small fleet everybody hears everything. In a large one a workspace's
-    requests for a model go to the few daemons that `where` names, and those
-    split its limits; a daemon that other callers use all the same tells them
-    too, and is told by those that it has told.
+    In a small fleet every member receives all demands. In a large one, a
+    workspace's requests for a model go to the few daemons that `where`
+    returns, and those split its limits. A daemon outside this group that
+    receives such requests all the same also reports its demand to the group,
+    and the members that have its report send theirs back.
     """
     if len(members) <= assignment.MESH_LIMIT:
         return {member.member_id: list(demands) for member in members}
-    told: dict[str, list[inputs.CellDemand]] = collections.defaultdict(list)
+    demands_by_member: dict[str, list[inputs.CellDemand]] = (
+        collections.defaultdict(list)
+    )
     for demand in demands:
         cell = demand.cell
-        for name in shares.groups[cell] | shares.reported[cell].keys():
-            told[name].append(demand)
-    return told
+        for member_id in shares.groups[cell] | shares.reported[cell].keys():
+            demands_by_member[member_id].append(demand)
+    return demands_by_member
 
 
 def rounded_rate(cell: str, rate_per_s: float) -> float:
-    """Returns a rate as it is told.
+    """Returns a rate as it is published.
 
-    Limits are split by exact figures, or the shares would not add up. A
-    model's rate only tells how much others send beside a daemon, and told
-    exactly it would be news to every peer twice a second.
+    Limits are split by exact rates, or the shares would not add up. A model's
+    rate only tells a daemon how much the others send; published exactly, it
+    would be an update to every peer twice a second.
     """
     if (
         not cell.startswith(placing.MODEL_CELL_PREFIX)
--- a/src/godwittack/daemon/digest.py
+++ b/src/godwittack/daemon/digest.py
@@ -1,4 +1,4 @@
-"""Sums up an engine's cache events for the daemons that place its model."""
+"""Condenses an engine's cache events for the daemons that route its model."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-# Levels remembered as told, so that lost evictions can't fill the memory; an
-# engine holds some thousands.
+# Bounds the memory for published levels whose evictions were lost; an engine
+# holds a few thousand levels.
 MAX_PUBLISHED_LEVELS = 1 << 16
 
 
 class Digester:
-    """Follows one engine's events.
+    """Turns one engine's event stream into digests.
 
-    A gap in the sequence is passed over: a level whose eviction was lost
-    costs one recomputation, while dropping all hints on the engine at each
-    gap costs all of them. See docs/design/placement.md.
+    A gap in the sequence is ignored: a level whose eviction was lost costs
+    one recomputation, while dropping all hints on the engine at each gap
+    costs all of them. See docs/design/placement.md.
 
-    Where an engine tells the tokens of its levels, small ones are left out,
-    and so is the eviction of what was never told.
+    Where an engine reports the tokens of its levels, digests omit small
+    levels, and evictions of levels that were never published.
 
     Attributes:
-        sequence: Last event taken in; the next piece is asked for after it.
+        sequence: Last event processed; the next batch is requested after it.
     """
 
     def __init__(self, server_id: str) -> None:
@@ -42,40 +42,41 @@
     def digest(
         self, batch: backend.CacheEvents, *, now_ms: int
     ) -> server_inputs.CacheDigest | None:
-        """Returns what a piece of the stream says, or None for nothing new."""
+        """Returns the digest of a batch, or None if nothing changed."""
         epoch = batch.epoch or batch.incarnation
         restarted = epoch != self._epoch
         if restarted:
             self._epoch = epoch
             self.sequence = 0
-        # A store that starts anew is empty, under the same name as before.
+        # A restarted store of cached state is empty, but its incarnation in
+        # the batch is the same as before; only the epoch changes.
         cleared = bool(restarted and batch.epoch)
-        held: collections.OrderedDict[int, backend.CacheEvent] = (
+        latest: collections.OrderedDict[int, backend.CacheEvent] = (
             collections.OrderedDict()
         )
-        before = self.sequence
+        previous = self.sequence
         for event in self._new_events(batch):
             if event.kind is backend.CacheEventKind.CLEARED:
                 cleared = True
-                held.clear()
+                latest.clear()
             else:
-                held[event.level_key] = event
+                latest[event.level_key] = event
         self.sequence = max(self.sequence, batch.next)
-        if self.sequence == before and not cleared:
+        if self.sequence == previous and not cleared:
             return None
         if cleared:
             self._published.clear()
         stored = [
             event
-            for event in held.values()
+            for event in latest.values()
             if event.kind is backend.CacheEventKind.STORED
             and not _is_small(event)
         ]
-        kept = {event.level_key for event in stored}
+        stored_keys = {event.level_key for event in stored}
         removed = [
             key
-            for key, event in held.items()
-            if key not in kept and self._is_removal(event)
+            for key, event in latest.items()
+            if key not in stored_keys and self._is_removal(event)
         ]
         self._record(stored, removed)
         if not (stored or removed or cleared):
@@ -96,7 +97,7 @@
         )
 
     def _is_removal(self, event: backend.CacheEvent) -> bool:
-        """Returns whether peers should forget a level."""
+        """Returns whether peers should drop a level."""
         if self._reports_tokens:
             return event.level_key in self._published
         return event.kind is backend.CacheEventKind.REMOVED
@@ -117,7 +118,7 @@
         self, batch: backend.CacheEvents
     ) -> Iterator[backend.CacheEvent]:
         for event in batch.events:
-            # Pieces overlap where a reply was lost or came twice.
+            # Batches overlap where a reply was lost or arrived twice.
             if event.sequence > self.sequence:
                 self.sequence = event.sequence
                 yield event
--- a/src/godwittack/daemon/edge.py
+++ b/src/godwittack/daemon/edge.py
@@ -262,7 +262,7 @@
         settings = self._settings
         await self._peer_server.start(settings.peer_address)
         await self._probes.start(settings.peer_address, handler=self._gossiper)
-        self._streams.connect(core=self.runtime, news=self._news)
+        self._streams.connect(core=self.runtime, updates=self._news)
         await self._listeners.listen(settings.http_address, self._face.handle)
         await self._listeners.listen(
             settings.ready_address, self._directory.ready
--- a/src/godwittack/daemon/feed_follower.py
+++ b/src/godwittack/daemon/feed_follower.py
@@ -1,4 +1,4 @@
-"""Follows one table of the store, by its feed and by readings."""
+"""Keeps a copy of one table of the store by its change feed and snapshots."""
 
 from __future__ import annotations
 
@@ -18,34 +18,36 @@
     from godwittack.clock import Clock
     from godwittack.store import protocol
 
-# Pause after a call without an answer, and its growth up to a limit: a store
-# that comes back is noticed within a second without being called in a loop.
+# Backoff after a failed call, doubled up to the maximum: the recovery of the
+# store is noticed within a second without calling it in a tight loop.
 RETRY_FIRST_MS = 100
 RETRY_MAX_MS = 800
-# A feed may go stale without a word; a plain reading settles it this often.
+# A feed may become stale without an error, so readers also take a snapshot.
 SNAPSHOT_INTERVAL_MS = 15_000
-# A daemon that is no reader asks the store itself once the last confirmation
-# is older: half of the time for which it may serve keys by one.
+# A daemon that is not a reader calls the store itself once the last
+# confirmation is older: half of the time for which it may serve keys by one.
 MAX_CONFIRMATION_AGE_MS = 2_000
-# Time that news of a change takes, after which what a peer has and this
-# daemon lacks is read from the store.
+# Propagation time of a change; a version that a peer has and this daemon still
+# lacks after it is read from the store.
 MAX_BEHIND_MS = 400
 CHECK_INTERVAL_MS = 100
-# How long the store holds a call that asks for the state alone.
+# How long the store may hold a call of a daemon that is not a reader, which
+# needs the current state without waiting for changes.
 NON_READER_WAIT_MS = 1
-# Between two such calls, as before the operators' first table.
+# Pause between two such calls, as before the operators' first table.
 NON_READER_INTERVAL_MS = 500
 
 Rows = dict[str, "protocol.ChangedRow"]
 
 
 class FeedFollower:
-    """Keeps the rows of one table, by its feed and by readings.
+    """Keeps the rows of one table up to date by its feed and snapshots.
 
     Attributes:
-        rows: Rows by key, as last told.
-        version: Newest version of a row, of those removed as well.
-        failing_since_ms: Since when it has not; -1 while it does.
+        rows: Rows by key, as last read.
+        version: Newest version of a row, including removed rows.
+        failing_since_ms: Since when calls to the store fail; -1 while they
+            succeed.
     """
 
     def __init__(
@@ -57,22 +59,24 @@
         rng: random.Random,
         wait_ms: int,
         on_rows: Callable[[Mapping[str, protocol.ChangedRow]], None],
-        on_confirmed: Callable[[int], None] = lambda made_at_ms: None,
+        on_confirmed: Callable[[int], None] = lambda as_of_ms: None,
         table_freshness: freshness.Freshness | None = None,
         is_reader: Callable[[], bool] = lambda: True,
     ) -> None:
-        """Tells `on_rows` of changes.
+        """Calls `on_rows` on changes.
 
         Args:
-            feed: The store.
+            feed: Change feed of the store.
             table: Table to follow.
             clock: Source of time.
             rng: Spreads retries.
             wait_ms: How long the store may hold a call for changes.
-            on_rows: Told all rows after a change.
-            on_confirmed: Told since when the rows are known to be the newest.
-            table_freshness: How fresh the rows are by peers' word.
-            is_reader: Whether this daemon asks the store all the time.
+            on_rows: Called with all rows after a change.
+            on_confirmed: Called with the time at which the rows were last
+                known to be the newest.
+            table_freshness: Freshness of the rows as reported by peers.
+            is_reader: Returns whether this daemon polls the store
+                continuously.
         """
         self.rows: Rows = {}
         self.failing_since_ms = -1
@@ -115,39 +119,44 @@
                 await asyncio.sleep(pause_ms / 1000)
 
     def can_skip_read(self) -> bool:
-        """Returns whether peers' word is enough for now."""
-        known = self._freshness
-        if self._needs_snapshot or known is None or self._is_reader():
+        """Returns whether peers confirmed the rows recently enough."""
+        table_freshness = self._freshness
+        if self._needs_snapshot or table_freshness is None or self._is_reader():
             return False
         now_ms = self._clock.now_ms()
-        behind = known.behind_since_ms >= 0
-        if behind and now_ms - known.behind_since_ms >= MAX_BEHIND_MS:
+        behind = table_freshness.behind_since_ms >= 0
+        if behind and now_ms - table_freshness.behind_since_ms >= MAX_BEHIND_MS:
             return False
-        return now_ms - known.confirmed_at_ms < self._max_confirmation_age_ms
+        return (
+            now_ms - table_freshness.confirmed_at_ms
+            < self._max_confirmation_age_ms
+        )
 
     async def step(self) -> bool:
-        """Makes one call; returns whether it was answered."""
+        """Makes one call; returns whether it succeeded."""
         started_ms = self._clock.now_ms()
-        settles = started_ms - self._snapshot_at_ms >= SNAPSHOT_INTERVAL_MS
-        settles = settles and self._is_reader()
-        whole = self._needs_snapshot or settles
-        if whole:
-            got = await self._snapshot()
+        is_snapshot_due = (
+            started_ms - self._snapshot_at_ms >= SNAPSHOT_INTERVAL_MS
+        )
+        is_snapshot_due = is_snapshot_due and self._is_reader()
+        is_snapshot = self._needs_snapshot or is_snapshot_due
+        if is_snapshot:
+            result = await self._snapshot()
         else:
-            got = await self._feed.changes(
+            result = await self._feed.changes(
                 self._table,
                 after=self._feed_version,
                 wait_ms=self._wait_ms
                 if self._is_reader()
                 else NON_READER_WAIT_MS,
             )
-        if isinstance(got, Err):
-            return self._record_failure(got.err_value)
+        if isinstance(result, Err):
+            return self._record_failure(result.err_value)
         self._record_answer(started_ms)
-        page = got.ok_value
+        page = result.ok_value
         if page.newest < self._feed_version:
-            # Read from a copy that lags: taking it in would take back what
-            # is known to have been acknowledged.
+            # Read from a lagging replica: applied, it would revert rows that
+            # the store has acknowledged.
             logging.info(
                 "event=store_read_stale table=%s newest=%d known=%d",
                 self._table,
@@ -155,47 +164,48 @@
                 self._feed_version,
             )
             return False
-        if whole:
+        if is_snapshot:
             # An empty table has a state as well.
             self.version = max(1, self.version)
-        self._apply(page, whole=whole)
-        if whole:
+        self._apply(page, is_snapshot=is_snapshot)
+        if is_snapshot:
             self._snapshot_at_ms = started_ms
-        made_at_ms = self._answer_as_of_ms(page, started_ms)
+        as_of_ms = self._answer_as_of_ms(page, started_ms)
         if self._freshness is None or self._freshness.version >= self.version:
-            # Not where the newest rows could not be read: what is in force
-            # then is not what the store confirms.
-            self._on_confirmed(made_at_ms)
+            # Skipped where the newest rows could not be decoded: the active
+            # rows are then not those that the store confirms.
+            self._on_confirmed(as_of_ms)
         return True
 
     async def _snapshot(self) -> protocol.Got[protocol.FeedPage]:
         """Reads all rows.
 
-        Where they take several pages, what changed between those is told
-        again by the feed, which goes on from the first page's version.
+        Where they take several pages, the feed, which continues from the first
+        page's version, repeats the changes made between them.
         """
-        got = await self._feed.page(self._table, from_key="")
-        if isinstance(got, Err) or not got.ok_value.next_key:
-            return got
-        first = got.ok_value
+        result = await self._feed.page(self._table, from_key="")
+        if isinstance(result, Err) or not result.ok_value.next_key:
+            return result
+        first = result.ok_value
         rows = list(first.rows)
-        while got.ok_value.next_key:
-            got = await self._feed.page(
-                self._table, from_key=got.ok_value.next_key
+        while result.ok_value.next_key:
+            result = await self._feed.page(
+                self._table, from_key=result.ok_value.next_key
             )
-            if isinstance(got, Err):
-                return got
-            rows.extend(got.ok_value.rows)
+            if isinstance(result, Err):
+                return result
+            rows.extend(result.ok_value.rows)
         return Ok(dataclasses.replace(first, rows=tuple(rows), next_key=""))
 
     def _answer_as_of_ms(self, page: protocol.FeedPage, started_ms: int) -> int:
-        """Returns a time here before which the store's answer was not made.
+        """Returns a lower bound of the local time at which a page was produced.
 
-        A call that waits for changes says nothing newer than its answer, but
-        was sent long before. Every answer holds the store's clock: one that
-        came quickly shows how far that is from ours at least, and dates the
-        others. Without it keys would be refused two seconds too soon after
-        the store was last heard.
+        A call that waits for changes is sent long before its answer is
+        produced. Every answer carries the store's clock: one that arrived
+        quickly gives a lower bound of the offset to the local clock, by which
+        the other answers are dated. Dated by the start of the call, the last
+        confirmation would seem older, and keys would be refused two seconds
+        too soon after the store became unreachable.
         """
         if not page.service_ms:
             return started_ms
@@ -204,9 +214,9 @@
         dated_ms = page.service_ms + self._clock_offset_ms
         return min(max(started_ms, dated_ms), self._clock.now_ms())
 
-    def _apply(self, page: protocol.FeedPage, *, whole: bool) -> None:
+    def _apply(self, page: protocol.FeedPage, *, is_snapshot: bool) -> None:
         before, version_before = self.rows, self.version
-        rows: Rows = {} if whole else dict(before)
+        rows: Rows = {} if is_snapshot else dict(before)
         for row in page.rows:
             self.version = max(self.version, row.version)
             if row.deleted:
@@ -216,11 +226,12 @@
         self.rows = rows
         self._feed_version = page.newest
         self._needs_snapshot = False
-        # A row may have been made and removed between two calls. Not told of,
-        # its version would be read and never in force, and no answer would
-        # confirm what is: keys are refused, and nobody rests.
+        # A row may have been added and removed between two calls. If it were
+        # not reported, its version would be read but never active, and no
+        # answer would confirm the active one: keys would be refused, and no
+        # daemon could skip a call.
         is_newer = self.version > version_before
-        if rows != before or is_newer or (whole and not before):
+        if rows != before or is_newer or (is_snapshot and not before):
             self._on_rows(rows)
 
     def _record_answer(self, started_ms: int) -> None:
--- a/src/godwittack/daemon/gossip.py
+++ b/src/godwittack/daemon/gossip.py
@@ -1,4 +1,4 @@
-"""Probes other daemons; spreads membership and table versions by that."""
+"""Probes other daemons and exchanges membership and table versions."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Prober(Protocol):
-    """A way to exchange envelopes with other daemons."""
+    """Exchanges envelopes with other daemons."""
 
     async def exchange(
         self, address: str, message: peer_pb2.Envelope
@@ -39,10 +39,11 @@
     """Implements `PeerHandler` and the loop that probes other daemons.
 
     Attributes:
-        list_hash: Returns what to tell of the instance list, 0 for nothing.
-        on_list_hash: Told which daemon has read a list of which hash.
-        carriers: Returns the daemons that callers are sent to, sorted; none
-            for all.
+        list_hash: Returns the hash of the instance list to send; 0 for none.
+        on_list_hash: Called with the id of a daemon and the hash of the
+            instance list that it has read.
+        serving_daemons: Returns the daemons that callers are sent to, sorted;
+            empty for all.
     """
 
     def __init__(
@@ -60,14 +61,14 @@
         """Gossips for the member `members.me`.
 
         Args:
-            members: The view to keep.
-            runtime: Where the core is told.
-            keeper: The table kept here.
-            seed_client: Reaches daemons of which only the address is known; its
+            members: The view to update.
+            runtime: Runs the core.
+            keeper: Keeps this daemon's table.
+            seed_client: Calls daemons of which only the address is known;
                 answers may be of any size.
-            member_client: Reaches known members.
-            updates: Takes in news.
-            counts: What reports are made of.
+            member_client: Calls known members.
+            updates: Applies updates from peers.
+            counts: Counts for reports.
             seeds: Peer addresses from the settings.
         """
         self.members = members
@@ -80,7 +81,9 @@
         self._seeds = seeds
         self._updates = updates
         self.list_hash: Callable[[], int] = lambda: 0
-        self.on_list_hash: Callable[[str, int], None] = lambda name, told: None
+        self.on_list_hash: Callable[[str, int], None] = (
+            lambda member_id, list_hash: None
+        )
         self.serving_daemons: Callable[[], tuple[str, ...]] = lambda: ()
         self.freshness: dict[freshness.Topic, freshness.Freshness] = {}
         keeper.on_adopted = self._record_adoption
@@ -90,6 +93,7 @@
         self._reported_serving: tuple[str, ...] = ()
         self._reported_expected = 0
         self._announced = False
+        # Members that know this daemon's addresses.
         self._has_own_addresses: set[str] = set()
         self._table_writer = tables_wire.TableWriter()
 
@@ -112,22 +116,22 @@
         self._report_to_core(now_ms)
 
     async def join(self) -> None:
-        """Asks seeds once, so that the first decisions know the members."""
+        """Probes seeds once, so that members are known for first decisions."""
         self._probe_unknown_seeds()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self._report_to_core(self._runtime.clock.now_ms())
 
     def announce(self) -> None:
-        """Lets others know of this daemon, once it listens to callers.
+        """Announces this daemon to the others, once it listens to callers.
 
-        Named by `where` before it listens, it would refuse connections. It
-        probes at once, since nobody has counted it as a member until now.
+        If `where` returned it before it listens, it would refuse connections.
+        It probes at once, since no other daemon counts it as a member yet.
         """
         self._announced = True
         self.tick()
 
     async def probe_all(self) -> None:
-        """Tells every live daemon at once and waits for their answers."""
+        """Probes every live daemon at once and waits for their answers."""
         own = self.members.me.member_id
         live = self.members.live()
         others = [member for member in live if member.member_id != own]
@@ -136,11 +140,11 @@
         )
 
     async def stop(self) -> None:
-        """Tells the others that this daemon leaves, until all have heard.
+        """Announces that this daemon leaves, until all others have replied.
 
-        A daemon that missed it would go on naming this one to callers, who
-        would find its door closed. One that does not answer for `LEAVE_MS`
-        is not waited for: it answers no callers either.
+        A daemon that missed it would continue to send callers to this one,
+        which refuses connections. One that does not reply within
+        `LEAVE_TIMEOUT_MS` is not waited for: it answers no callers either.
         """
         self.members.leave()
         clock = self._runtime.clock
@@ -148,23 +152,23 @@
         while True:
             started_ms = clock.now_ms()
             await self.probe_all()
-            unheard = self.members.unresponsive(since_ms=started_ms)
-            if not unheard or clock.now_ms() >= ends_ms:
+            unresponsive = self.members.unresponsive(since_ms=started_ms)
+            if not unresponsive or clock.now_ms() >= ends_ms:
                 return
             await asyncio.sleep(LEAVE_RETRY_MS / 1000)
 
     def record_listed_daemons(self, addresses: frozenset[str]) -> None:
-        """Takes in the daemons that the platform's list names.
+        """Records the daemons in the platform's instance list.
 
-        The list lags, so that it only adds to whom there should be and to
-        whom to ask; who is alive is told by probes alone.
+        The list lags, so it only adds expected members and seeds; which
+        members are alive is determined by probes alone.
         """
         own = frozenset((self.members.me.peer_address, *self._settings_seeds))
         self.members.expected = len(own | addresses)
         self._seeds = tuple(sorted(own | addresses))
 
     def exchanged(self, told: peer_pb2.Envelope) -> peer_pb2.Envelope:
-        """Takes in a probe and answers it."""
+        """Applies a probe and returns the answer."""
         is_known = self._complete_sender(told)
         sender = told.sender.member_id
         is_new = sender not in self.members.rows
@@ -174,8 +178,9 @@
         if told.who_is_it and self._announced:
             answer.sender.CopyFrom(codec.member_to_proto(self.members.me))
         if is_new:
-            # A newcomer must know of the dead as well: started in a part of
-            # the fleet that is cut off, it would take that part for all.
+            # A new member must know of dead members as well: started in a
+            # partition of the fleet, it would consider that partition the
+            # whole fleet.
             del answer.updates[:]
             answer.is_full = True
             answer.updates.extend(
@@ -187,11 +192,11 @@
     def told(
         self, sender_id: str, news: peer_pb2.News, reader: wire.NewsReader
     ) -> None:
-        """Takes in a peer's news."""
+        """Applies a peer's updates."""
         self._updates.apply(sender_id, news, reader)
 
     def table(self, asked: peer_pb2.TableRequest) -> peer_pb2.TableReply:
-        """Returns the table where it is newer than the one named."""
+        """Returns the table if it is newer than the requested version."""
         return self._table_writer.reply(self._keeper.table, asked)
 
     def report(self) -> peer_pb2.ReportReply:
@@ -200,16 +205,18 @@
         return peer_pb2.ReportReply(report_json=counts.model_dump_json())
 
     def _probe_unknown_seeds(self) -> None:
-        known = {
+        known_addresses = {
             row.member.peer_address
             for row in self.members.rows.values()
             if row.member.state is not view.MemberState.DEAD
         }
         own = self.members.me.peer_address
-        unknown = [a for a in self._seeds if a != own and a not in known]
-        # One answer names all members. Asked all at once, hundreds of new
-        # connections would each take longer than a probe may, and every one
-        # of them would be given up and opened again.
+        unknown = [
+            a for a in self._seeds if a != own and a not in known_addresses
+        ]
+        # One answer lists all members. Probed all at once, hundreds of new
+        # connections would each exceed the timeout of a probe, and each would
+        # be abandoned and opened again.
         if len(unknown) > MAX_SEED_PROBES:
             unknown = self.members.rng.sample(unknown, MAX_SEED_PROBES)
         for address in unknown:
@@ -225,32 +232,33 @@
     async def _probe(self, address: str, member_id: str) -> None:
         self._probing.add(address)
         message = self._envelope(member_id, address)
-        # Not known here, it may take this daemon for one that knows it.
+        # A daemon that is not known here may assume that this one knows its
+        # addresses, and omit them from its answer.
         message.who_is_it = not member_id
         client = self._member_client if member_id else self._seed_client
         started_ms = self._runtime.clock.now_ms()
         try:
-            got = await client.exchange(address, message)
+            result = await client.exchange(address, message)
         finally:
             self._probing.discard(address)
         now_ms = self._runtime.clock.now_ms()
-        if isinstance(got, Err):
+        if isinstance(result, Err):
             if self.members.record_failure(member_id, now_ms=now_ms):
                 self._report_to_core(now_ms)
             return
-        answered = got.ok_value
-        self._complete_sender(answered)
-        self._record_own_addresses_known(answered)
-        if member_id and answered.sender.member_id != member_id:
-            # Another process answers at this address now.
+        answer = result.ok_value
+        self._complete_sender(answer)
+        self._record_own_addresses_known(answer)
+        if member_id and answer.sender.member_id != member_id:
+            # A different process answers at this address now.
             self.members.record_failure(member_id, now_ms=now_ms)
-        self._apply(answered)
-        self._apply_beliefs(answered, started_ms)
-        # Counted from before the probe: its answer may have waited in the
-        # socket while this process was stopped, and says nothing of now.
+        self._apply(answer)
+        self._apply_beliefs(answer, started_ms)
+        # Dated by the start of the probe: the answer may have waited in the
+        # socket while this process was suspended, and be outdated by now.
         self.members.record_ack(
-            answered.sender.member_id,
-            table_version=answered.table_version,
+            answer.sender.member_id,
+            table_version=answer.table_version,
             now_ms=started_ms,
         )
 
@@ -273,16 +281,16 @@
 
     def _beliefs(self) -> list[peer_pb2.Belief]:
         now_ms = self._runtime.clock.now_ms()
-        told = (
+        beliefs = (
             f.current_belief(now_ms=now_ms) for f in self.freshness.values()
         )
-        return [codec.belief_to_proto(belief) for belief in told if belief]
+        return [codec.belief_to_proto(belief) for belief in beliefs if belief]
 
     def _apply_beliefs(
-        self, answered: peer_pb2.Envelope, asked_at_ms: int
+        self, answer: peer_pb2.Envelope, asked_at_ms: int
     ) -> None:
         now_ms = self._runtime.clock.now_ms()
-        for message in answered.beliefs:
+        for message in answer.beliefs:
             belief = codec.belief_from_proto(message)
             if belief is not None and belief.topic in self.freshness:
                 self.freshness[belief.topic].apply_belief(
@@ -290,10 +298,10 @@
                 )
 
     def _sender(self, member_id: str) -> peer_pb2.Member:
-        """Returns this daemon's own entry as told to one member.
+        """Returns this daemon's own entry as sent to one member.
 
-        Its addresses are two thirds of a probe, and left out for a member
-        that has shown by an answer that it knows them.
+        Its addresses take two thirds of a probe, and are omitted for a member
+        whose answer has shown that it knows them.
         """
         if not self._announced:
             return peer_pb2.Member()
@@ -307,23 +315,24 @@
             is_overloaded=me.is_overloaded,
         )
 
-    def _record_own_addresses_known(self, answered: peer_pb2.Envelope) -> None:
-        member_id = answered.sender.member_id
-        if answered.who_is_it or not self._announced:
+    def _record_own_addresses_known(self, answer: peer_pb2.Envelope) -> None:
+        member_id = answer.sender.member_id
+        if answer.who_is_it or not self._announced:
             self._has_own_addresses.discard(member_id)
         elif member_id:
-            # One that does not listen yet tells no id; noted, seeds that are
-            # not known would be told no addresses.
+            # A daemon that does not listen yet sends no id. If the empty id
+            # were recorded, probes of unknown seeds would omit the addresses.
             self._has_own_addresses.add(member_id)
 
-    def _complete_sender(self, told: peer_pb2.Envelope) -> bool:
-        """Fills in what a sender left out; returns False if not known."""
-        sender = told.sender
+    def _complete_sender(self, envelope: peer_pb2.Envelope) -> bool:
+        """Fills in the sender's omitted fields; returns False if unknown."""
+        sender = envelope.sender
         if not sender.member_id or sender.peer_address:
             return True
         row = self.members.rows.get(sender.member_id)
         if row is None:
-            # Forgotten here. Taken in, it would be a member without address.
+            # No longer known here. If applied, it would become a member
+            # without an address.
             sender.Clear()
             return False
         sender.peer_address = row.member.peer_address
@@ -335,15 +344,15 @@
     def _entries_not_alive(
         self, member_id: str, address: str
     ) -> list[view.Member]:
-        """Returns what to tell a daemon that is not held to be alive here.
+        """Returns a daemon's entries that it may have to refute.
 
-        Two that lost each other for long hold each other dead, and the news
-        of it is no longer passed on when they meet again. Without being told
-        neither can refute it, and each stays out of the other's fleet until
-        it is forgotten.
+        Two daemons without contact for long consider each other dead, and
+        gossip no longer spreads that state when they reconnect. Unless each
+        receives the entry that declares it dead, it can't refute it, and
+        stays out of the other's fleet until it is forgotten.
         """
-        known = self.members.rows.get(member_id)
-        rows = (known,) if known else self.members.rows.values()
+        member_row = self.members.rows.get(member_id)
+        rows = (member_row,) if member_row else self.members.rows.values()
         return [
             row.member
             for row in rows
@@ -351,32 +360,34 @@
             and row.member.state is not view.MemberState.ALIVE
         ]
 
-    def _apply(self, told: peer_pb2.Envelope) -> None:
+    def _apply(self, envelope: peer_pb2.Envelope) -> None:
         now_ms = self._runtime.clock.now_ms()
         changed = False
-        for message in (told.sender, *told.updates):
+        for message in (envelope.sender, *envelope.updates):
             member = codec.member_from_proto(message)
             if member is not None and member.member_id:
                 changed |= self.members.apply(
-                    member, now_ms=now_ms, is_widely_known=told.is_full
+                    member, now_ms=now_ms, is_widely_known=envelope.is_full
                 )
-        if told.list_hash:
-            self.on_list_hash(told.sender.member_id, told.list_hash)
+        if envelope.list_hash:
+            self.on_list_hash(envelope.sender.member_id, envelope.list_hash)
         self._updates.compare_crashes(
-            told.sender.member_id, told.crashes_digest
+            envelope.sender.member_id, envelope.crashes_digest
         )
-        self._compare_versions(told, now_ms)
+        self._compare_versions(envelope, now_ms)
         if changed:
             self._report_to_core(now_ms)
 
-    def _compare_versions(self, told: peer_pb2.Envelope, now_ms: int) -> None:
+    def _compare_versions(
+        self, envelope: peer_pb2.Envelope, now_ms: int
+    ) -> None:
         own = self._keeper.table.version
         self._keeper.right.record_version(
-            own=own, reported=told.table_version, now_ms=now_ms
+            own=own, reported=envelope.table_version, now_ms=now_ms
         )
-        if told.table_version > own and told.sender.peer_address:
+        if envelope.table_version > own and envelope.sender.peer_address:
             task = asyncio.create_task(
-                self._keeper.fetch_from_peer(told.sender.peer_address)
+                self._keeper.fetch_from_peer(envelope.sender.peer_address)
             )
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
@@ -390,26 +401,26 @@
     def _report_to_core(self, now_ms: int) -> None:
         live = frozenset(m.member_id for m in self.members.live())
         submit = self._runtime.submit
-        carriers = self.serving_daemons()
-        known = self.members.expected_address_count()
+        serving_daemons = self.serving_daemons()
+        expected = self.members.expected_address_count()
         before = (
             self._reported_live,
             self._reported_serving,
             self._reported_expected,
         )
-        if (live, carriers, known) != before:
-            for gone in self._reported_live - live:
-                submit(inputs.PeerDemand(now_ms, gone, False))
-                self._updates.remove_peer(gone)
-                self._has_own_addresses.discard(gone)
+        if (live, serving_daemons, expected) != before:
+            for removed_id in self._reported_live - live:
+                submit(inputs.PeerDemand(now_ms, removed_id, False))
+                self._updates.remove_peer(removed_id)
+                self._has_own_addresses.discard(removed_id)
             submit(
                 inputs.MembersChanged(
-                    now_ms, tuple(sorted(live)), carriers, known
+                    now_ms, tuple(sorted(live)), serving_daemons, expected
                 )
             )
-            self._reported_expected = known
+            self._reported_expected = expected
             self._reported_live = live
-            self._reported_serving = carriers
+            self._reported_serving = serving_daemons
         until_ms = self._keeper.right.valid_until_ms(
             self.members,
             own_version=self._keeper.table.version,
--- a/src/godwittack/daemon/instance_rows.py
+++ b/src/godwittack/daemon/instance_rows.py
@@ -1,7 +1,7 @@
-"""Decides which rows of the instance list name a server.
+"""Parses and validates rows of the instance list.
 
-Anyone may have written a row. Each is judged by itself, so that one that can't
-be believed keeps nobody from hearing of all the others.
+Any writer may have written a row. Each is validated separately, so that an
+invalid row does not hide the valid ones.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
         [protocol.ChangedRow], Result[protocol.Instance, str]
     ]
 
-# Rows refused that are remembered: a writer that floods the list must not
-# flood the log as well.
+# Refused rows that are logged: a writer that floods the list must not flood
+# the log as well.
 MAX_LOGGED_REFUSALS = 64
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ParsedRows:
-    """What the rows of servers say.
+    """Instances of valid rows, and the reasons why others are invalid.
 
     Attributes:
-        listed: Entries by server id.
-        refused: Why a row names no server, by its key.
+        listed: Instances by server id.
+        refused: Reason why a row was refused, by its key.
     """
 
     listed: dict[str, protocol.Instance]
@@ -47,60 +47,64 @@
     *,
     failure_domains: Collection[str] = (),
 ) -> ParsedRows:
-    """Returns what rows by server id say.
+    """Parses the rows of the instance list.
 
     Args:
-        rows: The rows.
-        decode: Decodes one of them.
-        failure_domains: All that there are; empty to take any.
+        rows: The rows by server id.
+        decode: Decodes instance row.
+        failure_domains: The valid failure domains; empty to accept any.
     """
-    found = ParsedRows({}, {})
+    parsed = ParsedRows({}, {})
     for key, row in rows.items():
         if row.deleted:
             continue
-        got = decode(row)
-        if isinstance(got, Err):
-            found.refused[key] = got.err_value
+        result = decode(row)
+        if isinstance(result, Err):
+            parsed.refused[key] = result.err_value
         elif failure_domains and (
-            got.ok_value.failure_domain not in failure_domains
+            result.ok_value.failure_domain not in failure_domains
         ):
-            found.refused[key] = "unknown failure domain"
+            parsed.refused[key] = "unknown failure domain"
         else:
-            found.listed[key] = got.ok_value
-    _refuse_without_start(found)
-    _refuse_replaced(found)
-    return found
+            parsed.listed[key] = result.ok_value
+    _refuse_without_start(parsed)
+    _refuse_replaced(parsed)
+    return parsed
 
 
-def _refuse_without_start(found: ParsedRows) -> None:
-    """Refuses rows without a start where servers tell theirs.
+def _refuse_without_start(parsed: ParsedRows) -> None:
+    """Refuses rows without a start time where most servers report theirs.
 
-    Most rows decide: one that another writer put there must neither pass
-    among servers that all tell their start, nor end the use of those that
-    never do.
+    The majority decides: a row by another writer must neither be accepted
+    among servers that all report their start time, nor cause the rows of
+    servers that never report instance to be refused.
     """
-    unborn = [
-        key for key, one in found.listed.items() if not _started_at_ms(one)
+    without_start = [
+        key
+        for key, instance in parsed.listed.items()
+        if not _started_at_ms(instance)
     ]
-    if 2 * len(unborn) >= len(found.listed):
+    if 2 * len(without_start) >= len(parsed.listed):
         return
-    for key in unborn:
-        del found.listed[key]
-        found.refused[key] = "tells no start, though others do"
+    for key in without_start:
+        del parsed.listed[key]
+        parsed.refused[key] = "reports no start time, though most servers do"
 
 
-def _refuse_replaced(found: ParsedRows) -> None:
+def _refuse_replaced(parsed: ParsedRows) -> None:
     """Refuses rows whose address belongs to a server that started later."""
     newest: dict[str, protocol.Instance] = {}
-    for one in found.listed.values():
-        other = newest.get(one.address)
-        if other is None or _started_at_ms(one) > _started_at_ms(other):
-            newest[one.address] = one
-    for key, one in list(found.listed.items()):
-        owner = newest[one.address]
-        if _started_at_ms(owner) > _started_at_ms(one):
-            del found.listed[key]
-            found.refused[key] = f"address of {owner.name}, started later"
+    for instance in parsed.listed.values():
+        other = newest.get(instance.address)
+        if other is None or _started_at_ms(instance) > _started_at_ms(other):
+            newest[instance.address] = instance
+    for key, instance in list(parsed.listed.items()):
+        owner = newest[instance.address]
+        if _started_at_ms(owner) > _started_at_ms(instance):
+            del parsed.listed[key]
+            parsed.refused[key] = (
+                f"address belongs to {owner.name}, which started later"
+            )
 
 
 def _started_at_ms(instance: protocol.Instance) -> int:
@@ -108,10 +112,10 @@
 
 
 class RefusalLog:
-    """Writes a line when a row turns bad, and when it is good again."""
+    """Logs when a row becomes invalid and when it is valid again."""
 
     def __init__(self) -> None:
-        """Knows no bad rows."""
+        """Starts without invalid rows."""
         self._refused: dict[str, str] = {}
 
     def record(
@@ -119,7 +123,7 @@
         rows: Mapping[str, protocol.ChangedRow],
         refused: Mapping[str, str],
     ) -> None:
-        """Takes in which rows name no server now."""
+        """Logs the differences from the rows refused before."""
         now_refused = dict(list(refused.items())[:MAX_LOGGED_REFUSALS])
         for key, why in now_refused.items():
             if self._refused.get(key) != why:
--- a/src/godwittack/daemon/instances.py
+++ b/src/godwittack/daemon/instances.py
@@ -1,4 +1,4 @@
-"""Tells the core and other daemons of backend servers in the store's rows."""
+"""Reports backend servers in the store's rows to the core and other daemons."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
     from godwittack.member import freshness
     from godwittack.store import protocol
 
-# Entries that lapsed while the store was away come back within two seconds of
-# its return; what is missing after that is gone.
+# Entries that expired while the store was unreachable are written again within
+# two seconds of its recovery; those still missing after it are removed.
 MISSING_GRACE_MS = 2_300
 
 
 class InstanceFollower:
-    """Tells the core of servers that come, change and go.
+    """Reports servers that are added, changed and removed to the core.
 
-    Readers of the list tell the other daemons each change, with the list's
-    version before and after it. A daemon that finds a gap between reads the
-    list itself.
+    Readers of the list publish each change to the other daemons, with the
+    list's version before and after it. A daemon that detects a gap between
+    versions reads the list itself.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         table_freshness: freshness.Freshness,
         is_reader: Callable[[], bool],
     ) -> None:
-        """Knows no servers yet."""
+        """Starts without servers."""
         self._core = core
         self._decode = decode
         self._updates = updates
@@ -49,18 +49,18 @@
         self._is_reader = is_reader
         self._instances: dict[str, protocol.Instance] = {}
         self._missing: set[str] = set()
-        # Changes since the version that peers know the list to be at.
+        # Changes since the list version published last.
         self._unpublished: listing.Changes = {}
         self._refusals = instance_rows.RefusalLog()
         self.follower: feed_follower.FeedFollower | None = None
         updates.on_versioned_list = self.apply_changes
 
     def apply_rows(self, rows: Mapping[str, protocol.ChangedRow]) -> None:
-        """Takes in the rows of servers, as read here.
+        """Applies the rows of servers, as read by this daemon.
 
-        Not where a peer's word is newer than the reading: an answer that was
-        long on its way lists servers that have left since, and told on, it
-        would bring them back at each daemon. The next answer holds all rows.
+        Rows older than a peer's update are ignored: a delayed answer lists
+        servers that have left since, and if it were published, every daemon
+        would add them again. The next answer has all rows.
         """
         assert self.follower is not None
         if self.follower.read_version < self._freshness.version:
@@ -73,8 +73,8 @@
             for name, instance in listed.items()
             if self._instances.get(name) != instance
         }
-        # A server whose row turned bad is no longer named by anything: unlike
-        # one whose entry lapsed, it does not come back by itself.
+        # A server whose row became invalid is removed at once: unlike one
+        # whose entry expired, it does not write its entry again by itself.
         changes.update(dict.fromkeys(self._instances.keys() & refused.keys()))
         self._missing = self._instances.keys() - listed.keys() - refused.keys()
         changes.update(self._pop_missing())
@@ -84,7 +84,13 @@
     def apply_changes(
         self, changes: listing.Changes, before: int, version: int
     ) -> None:
-        """Takes in what a reader says has changed."""
+        """Applies changes of the list that a reader published.
+
+        Args:
+            changes: Instances by name, None for a removed one.
+            before: Version of the list without the changes.
+            version: Version of the list with the changes.
+        """
         if not before <= self._freshness.version <= version:
             if version > self._freshness.version:
                 self._freshness.record_newer_version(
@@ -93,36 +99,38 @@
             return
         assert self.follower is not None
         if self._missing and version <= self.follower.read_version:
-            # Older than what was read here, but for the entries kept back.
-            # Taken in, it would put an older entry in the place of that.
+            # Older than the rows read here, except for the missing entries.
+            # Fully applied, it would replace newer entries by older ones.
             changes = {
                 name: None
                 for name, instance in changes.items()
                 if instance is None and name in self._missing
             }
         else:
-            # The list is whole with this: an entry that was kept back and is
-            # not named here is listed again, and its reader has told the rest.
+            # The list is complete with these changes: a missing entry that
+            # they do not remove is listed again, and the reader has published
+            # the rest.
             self._missing = set()
             self._unpublished.clear()
         self._apply(changes)
         self._freshness.record_version(version)
 
     def drop_missing(self) -> None:
-        """Takes servers for gone whose entries did not come back."""
+        """Removes servers whose missing entries were not written again."""
         changes = self._pop_missing()
         self._apply(changes)
         assert self.follower is not None
-        is_untold = self._freshness.version < self.follower.version
-        if not self._missing and (changes or is_untold):
+        is_unpublished = self._freshness.version < self.follower.version
+        if not self._missing and (changes or is_unpublished):
             self._announce(changes)
 
     def _announce(self, changes: listing.Changes) -> None:
-        """Tells peers of changes, and of a newer list where that is all.
+        """Publishes changes with the newest version of the list.
 
-        While entries are kept back, what is known here is not the list at its
-        newest version. Told as that, it would have peers drop other readers'
-        word that those entries are gone, and go on with servers that have left.
+        While servers with missing entries are kept, the list here is not the
+        one of the newest version. Published as such, it would make peers
+        ignore other readers' updates that remove those entries, and they
+        would continue to use servers that have left.
         """
         assert self.follower is not None
         before = self._freshness.version
@@ -131,16 +139,17 @@
             self._publish(changes, before=before, version=before)
             return
         version = max(before, self.follower.version)
-        untold, self._unpublished = self._unpublished, {}
+        unpublished, self._unpublished = self._unpublished, {}
         self._freshness.record_version(version)
-        self._publish(untold, before=before, version=version)
+        self._publish(unpublished, before=before, version=version)
 
     def _pop_missing(self) -> listing.Changes:
-        """Returns the servers whose entries are gone for good.
+        """Returns the servers whose entries are removed permanently.
 
-        An entry lapses when its server can't renew it, also where the store
-        was away and the server is well. Dropped at once, all servers of a
-        target would be gone for two seconds after each outage.
+        An entry expires when its server can't renew it, which also happens to
+        healthy servers while the store is unreachable. If they were dropped at
+        once, a target would lack all servers for two seconds after each
+        outage.
         """
         follower = self.follower
         assert follower is not None
@@ -175,7 +184,7 @@
             )
 
     async def drop_missing_forever(self, *, every_ms: int) -> None:
-        """Looks for entries that did not come back, again and again."""
+        """Removes servers with missing entries periodically until cancelled."""
         while True:
             await asyncio.sleep(every_ms / 1000)
             self.drop_missing()
--- a/src/godwittack/daemon/lead.py
+++ b/src/godwittack/daemon/lead.py
@@ -1,4 +1,4 @@
-"""Leads the models that fall to this daemon: leases, drains and orders."""
+"""Leads roll-outs of weights: acquires leases, drains and orders servers."""
 
 from __future__ import annotations
 
@@ -30,11 +30,12 @@
     from godwittack.store import protocol as platform
 
 
-# Between two notices of one drain; each holds for `peer_updates.DRAIN_MS`.
+# Between two notices of one drain; each expires after
+# `peer_updates.DRAIN_TTL_MS`.
 DRAIN_REPEAT_MS = 1_000
-# Pause after a call of the store that brought nothing.
+# Pause after a call to the store that failed or recorded nothing.
 STORE_RETRY_MS = 300
-# Between two looks at a server that loads weights: a load takes 0.5 to 3.2 s.
+# Between two polls of a server that loads weights; a load takes 0.5 to 3.2 s.
 LOAD_POLL_MS = 120
 
 
@@ -42,7 +43,7 @@
 class _LedModel:
     lease: leases.Lease
     rollout: rollout.Rollout
-    # When this daemon last told of each drain.
+    # When this daemon last published each drain, by server id.
     drains_published_ms: dict[str, int] = dataclasses.field(
         default_factory=dict
     )
@@ -65,23 +66,24 @@
         metrics: rollout_log.OrderMetrics | None = None,
         audience: assignment.Audience | None = None,
     ) -> None:
-        """Leads nothing yet.
+        """Starts without leading any model.
 
         Args:
-            core: What this daemon knows.
-            client: Speaks to servers.
-            lease_store: Keeps the rows of leases.
-            members: The other daemons.
-            updates: Tells them of drains.
+            core: Runs the core of this daemon.
+            client: Calls servers.
+            lease_store: Stores the rows of leases.
+            members: This daemon's view of all daemons.
+            updates: Publishes drains to peers.
             policy: Times of a lease.
             rollout_policy: Times of a roll-out.
-            metrics: Takes figures of loads.
-            audience: Chooses who hears of a model's servers.
+            metrics: Records results of orders; None without metrics.
+            audience: Chooses the daemons that receive updates about a model.
         """
         self._audience = audience or assignment.AudienceByTarget()
         self._log = rollout_log.RolloutLog(clock=core.clock, metrics=metrics)
         self._rollout_policy = rollout_policy or rollout.RolloutPolicy()
-        # What is behind which version, and since when that is so.
+        # By model: the desired version with the servers that lack it, and
+        # since when both are unchanged.
         self._behind: dict[str, tuple[tuple[str, frozenset[str]], int]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._core = core
@@ -93,14 +95,14 @@
         self._led: dict[str, _LedModel] = {}
 
     async def lead_forever(self, *, step_ms: int) -> None:
-        """Takes a step for each led model again and again."""
+        """Takes a step for each model with servers behind until cancelled."""
         while True:
             for model in self._models_behind():
                 await self.step(model)
             await asyncio.sleep(step_ms / 1000)
 
     async def step(self, model: str) -> None:
-        """Goes on with a model's roll-out where it is this daemon's turn."""
+        """Continues a model's roll-out if this daemon may order."""
         led = self._led.get(model)
         if led is None:
             led = self._led[model] = self._new_led_model(model)
@@ -110,32 +112,33 @@
         row = world.table.models.get(model)
         if row is None:
             return
-        wanted = row.weights_version
-        pace = model_state.pace_inputs(world, model, wanted)
+        version = row.weights_version
+        pace = model_state.pace_inputs(world, model, version)
         decision = led.rollout.decide(
-            desired_version=wanted,
+            desired_version=version,
             replicas=model_state.replicas(world, model),
             now_ms=self._core.clock.now_ms(),
             is_under_load=pace.is_under_load,
             held_by_others=led.lease.held_by_others(),
         )
         self._log.log_step(model, pace, decision.overview)
-        # Before the store is asked: what was decided on loads is outdated once
-        # it has answered, since servers not drained yet take work meanwhile.
+        # Selected before the store is called: the decision on loads is
+        # outdated once it has replied, since servers that are not drained yet
+        # receive work in the meantime.
         ready = [name for name in decision.load if led.lease.may_send(name)]
         if not await self._record_orders(model, led, decision):
             return
         self._drain(led, model, decision.draining)
         for server_id in ready:
-            # Gone, where it left the list while the store was asked. No longer
-            # drained, where an order before this one was refused meanwhile:
-            # the error would end the daemon.
+            # While the store was called, the server may have left the list, or
+            # an earlier order was refused and its drain ended. Ordering it
+            # then would raise an error that ends the daemon.
             server = world.servers.get(server_id)
             if server is not None and led.rollout.is_draining(server_id):
-                self._start_load(led, server, wanted)
+                self._start_load(led, server, version)
 
     async def _may_order(self, model: str, led: _LedModel) -> bool:
-        """Returns whether to order now; reads the row where that may be."""
+        """Returns whether to order now; reads the lease row if eligible."""
         if led.lease.is_own:
             return True
         now_ms = self._core.clock.now_ms()
@@ -147,14 +150,14 @@
             led.store_retry_at_ms = self._core.clock.now_ms() + STORE_RETRY_MS
             self._log_wait(model, led, rollout_log.WaitReason.STORE_LOST)
             return False
-        # What the row tells may be that another is at work.
+        # The row just read may show that another daemon orders.
         if not self._is_eligible(model, led):
             self._log_wait(model, led, rollout_log.WaitReason.OTHER_TURN)
             return False
         return True
 
     def _daemons_before(self, model: str, led: _LedModel) -> int:
-        """Returns how many daemons come before this one."""
+        """Returns how many daemons rank before this one."""
         ranked = assignment.leaders(
             model,
             self._members.serving(),
@@ -178,15 +181,16 @@
         )
 
     def _is_eligible(self, model: str, led: _LedModel) -> bool:
-        place = self._daemons_before(model, led)
+        daemons_before = self._daemons_before(model, led)
         (_, behind), since_ms = self._behind[model]
-        if place and behind & led.lease.held_by_others():
-            # The lead is at work: loads take up to 3 s, in which nothing need
-            # change. Taken for lost, it would have to wait a lease for what
-            # it had ordered itself, and take the right back after that.
+        if daemons_before and behind & led.lease.held_by_others():
+            # The lead is active: loads take up to 3 s, in which nothing may
+            # change. If it were considered lost, it would have to wait one
+            # lease time for the servers that it ordered itself, and then take
+            # the lease back.
             return False
         return takeover.may_order(
-            daemons_before=place,
+            daemons_before=daemons_before,
             unchanged_ms=self._core.clock.now_ms() - since_ms,
             idle_ms=led.lease.idle_ms(),
         )
@@ -194,10 +198,10 @@
     async def _record_orders(
         self, model: str, led: _LedModel, decision: rollout.Decision
     ) -> bool:
-        """Records the orders decided on; returns whether they may be given.
+        """Records the orders decided on; returns whether they may be sent.
 
-        Recorded before a server is drained: one that is drained while the
-        store lets no order go out would serve nobody for nothing.
+        They are recorded before a server is drained: a server drained while
+        the store accepts no order would be out of service to no purpose.
         """
         lease = led.lease
         unrecorded = {
@@ -239,13 +243,13 @@
     def _drain(
         self, led: _LedModel, model: str, server_ids: Iterable[str]
     ) -> None:
-        """Takes servers out of service, and keeps those out that are.
+        """Drains servers, and renews the notices of those that are drained.
 
-        A drain ends with the weights that it was for, and the next load of the
-        same server may follow at once; and one that the lead before told may
-        have been heard here alone. Either way the order would go to a server
-        that others send work to, so that a notice is spared only where this
-        daemon has told one that still holds.
+        A drain ends when its weights are loaded, and the next load of the same
+        server may follow at once; and a notice published by the previous lead
+        may have reached only this daemon. In both cases the order would go to
+        a server that others send work to, so a notice is skipped only if this
+        daemon published one that has not expired.
         """
         now_ms = self._core.clock.now_ms()
         until_ms = now_ms + peer_updates.DRAIN_TTL_MS
@@ -253,11 +257,13 @@
         for server_id in server_ids:
             row = servers.get(server_id)
             drained_until_ms = 0 if row is None else row.draining_until_ms
-            told_ms = led.drains_published_ms.get(server_id, -DRAIN_REPEAT_MS)
-            told_until_ms = min(
-                drained_until_ms, told_ms + peer_updates.DRAIN_TTL_MS
+            published_ms = led.drains_published_ms.get(
+                server_id, -DRAIN_REPEAT_MS
             )
-            if until_ms - told_until_ms < DRAIN_REPEAT_MS:
+            published_until_ms = min(
+                drained_until_ms, published_ms + peer_updates.DRAIN_TTL_MS
+            )
+            if until_ms - published_until_ms < DRAIN_REPEAT_MS:
                 continue
             led.drains_published_ms[server_id] = now_ms
             self._core.submit(
@@ -268,13 +274,13 @@
     def _models_behind(self) -> list[str]:
         """Returns models with servers that need new weights.
 
-        Whose turn it is for each is decided by rank and by what the row of
-        its lease tells: the first in rank may be cut off from the store, or
-        too slow, while others reach it.
+        Which daemon may order for each is decided by rank and by the row of
+        its lease: the first in rank may be too slow, or cut off from the
+        store while others reach it.
         """
         now_ms = self._core.clock.now_ms()
         world = self._core.core.world
-        found = []
+        models = []
         for name, row in world.table.models.items():
             behind = model_state.servers_behind(
                 world, name, row.weights_version
@@ -283,8 +289,8 @@
             if name not in self._behind or self._behind[name][0] != state:
                 self._behind[name] = (state, now_ms)
             if behind:
-                found.append(name)
-        return found
+                models.append(name)
+        return models
 
     def _new_led_model(self, model: str) -> _LedModel:
         lease = leases.Lease(
@@ -297,23 +303,23 @@
         return _LedModel(lease, rollout.Rollout(self._rollout_policy))
 
     def _start_load(
-        self, led: _LedModel, server: entities.ServerRow, wanted: str
+        self, led: _LedModel, server: entities.ServerRow, version: str
     ) -> None:
         now_ms = self._core.clock.now_ms()
         led.rollout.record_order(server.server_id, now_ms=now_ms)
-        task = asyncio.create_task(self._order_and_watch(led, server, wanted))
+        task = asyncio.create_task(self._order_and_watch(led, server, version))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _order_and_watch(
-        self, led: _LedModel, server: entities.ServerRow, wanted: str
+        self, led: _LedModel, server: entities.ServerRow, version: str
     ) -> None:
         """Orders one server to load weights, and waits until it has them."""
         clock, policy = self._core.clock, self._rollout_policy
-        began_ms = clock.now_ms()
+        started_ms = clock.now_ms()
         outcome = rollout_log.OrderOutcome.NO_REPORT
         limit_ms = policy.load_limit_ms
-        answer = await self._send_order(led, server, wanted)
+        answer = await self._send_order(led, server, version)
         if answer.is_refusal:
             if answer is not order_result.OrderResult.RESTARTED:
                 led.rollout.record_refusal(
@@ -324,69 +330,70 @@
         elif answer is order_result.OrderResult.ACCEPTED:
             led.rollout.record_acceptance(server.server_id)
             limit_ms = policy.accepted_limit_ms
-        if await self._is_loaded(server, wanted, limit_ms=limit_ms):
+        if await self._is_loaded(server, version, limit_ms=limit_ms):
             outcome = rollout_log.OrderOutcome.LOADED
-            # It was out of service while it drained as well.
-            took_ms = clock.now_ms() - began_ms + policy.order_after_ms
+            # The server was also out of service while it drained.
+            took_ms = clock.now_ms() - started_ms + policy.order_after_ms
             led.rollout.record_load(took_ms=took_ms)
-        self._log.record_order(outcome, after_ms=clock.now_ms() - began_ms)
+        self._log.record_order(outcome, after_ms=clock.now_ms() - started_ms)
 
     async def _is_loaded(
-        self, server: entities.ServerRow, wanted: str, *, limit_ms: int
+        self, server: entities.ServerRow, version: str, *, limit_ms: int
     ) -> bool:
         """Waits until a server has the weights that it was ordered to load.
 
         Returns:
-            False where it did not tell so within the limit, or started again
-            or left.
+            False if it did not report them within the limit, or restarted or
+            left.
         """
         ends_ms = self._core.clock.now_ms() + limit_ms
-        started = server.incarnation
+        ordered_incarnation = server.incarnation
         servers = self._core.core.world.servers
         while self._core.clock.now_ms() < ends_ms:
             await asyncio.sleep(LOAD_POLL_MS / 1000)
-            known = servers.get(server.server_id)
-            if known is None or known.incarnation != started:
+            row = servers.get(server.server_id)
+            if row is None or row.incarnation != ordered_incarnation:
                 return False
-            got = await self._fetch_load(server)
-            if got is not None and got.weights_version == wanted:
+            result = await self._fetch_load(server)
+            if result is not None and result.weights_version == version:
                 return True
         return False
 
     async def _send_order(
-        self, led: _LedModel, server: entities.ServerRow, wanted: str
+        self, led: _LedModel, server: entities.ServerRow, version: str
     ) -> order_result.OrderResult:
-        """Gives an order; returns what became of it."""
-        drained = server.incarnation
+        """Sends an order and returns its result."""
+        drained_incarnation = server.incarnation
         state = await self._fetch_load(server)
-        if server.incarnation != drained:
-            # Its drain was the process's before; all daemons send work to it.
+        if server.incarnation != drained_incarnation:
+            # The drain applied to its previous process; all daemons send work
+            # to the new one.
             return order_result.OrderResult.RESTARTED
-        # Asked again right before sending: this daemon may have been stopped
-        # since the last look, and another holder may be at work.
+        # Checked again right before sending: this daemon may have been
+        # suspended since the last check, and another holder may order now.
         if not led.lease.may_send(server.server_id):
             return order_result.OrderResult.REFUSED
-        got = await self._client.order(
+        result = await self._client.order(
             server.address,
             backend.Order(
                 kind=backend.OrderKind.LOAD_WEIGHTS,
                 fencing=led.lease.fencing,
-                value=wanted,
+                value=version,
                 target=server.target,
                 server_id=server.server_id,
                 holder=self._members.me.member_id,
                 orders_taken=-1 if state is None else state.orders_taken,
             ),
         )
-        detail = str(got.err_value) if isinstance(got, Err) else "ordered"
+        detail = str(result.err_value) if isinstance(result, Err) else "ordered"
         logging.info(
             "event=weights_ordered server=%s version=%s fencing=%d detail=%r",
             server.server_id,
-            wanted,
+            version,
             led.lease.fencing,
             detail,
         )
-        answer = order_result.classify(got)
+        answer = order_result.classify(result)
         if answer is order_result.OrderResult.STALE_FENCING:
             led.lease.forfeit()
         elif answer is order_result.OrderResult.OTHER_SERVER:
@@ -399,18 +406,20 @@
     async def _fetch_load(
         self, server: entities.ServerRow
     ) -> backend.EngineLoad | None:
-        """Asks a server for its state; tells new weights and a new start."""
-        got = await self._client.load(
+        """Fetches a server's load; reports new weights and restarts."""
+        result = await self._client.load(
             server.address, server_id=server.server_id
         )
-        if isinstance(got, Err):
+        if isinstance(result, Err):
             return None
-        load = got.ok_value
+        load = result.ok_value
         restarted = incarnation.is_older(server.incarnation, load.incarnation)
         if restarted or load.weights_version != server.weights_version:
-            told = server_watcher.load_reported(server, load, self._core)
-            self._core.submit(told)
-            self._updates.publish_load(told, server.target, immediately=True)
+            reported = server_watcher.load_reported(server, load, self._core)
+            self._core.submit(reported)
+            self._updates.publish_load(
+                reported, server.target, immediately=True
+            )
         return load
 
 
--- a/src/godwittack/daemon/listing.py
+++ b/src/godwittack/daemon/listing.py
@@ -1,4 +1,4 @@
-"""Keeps the platform's instance list, read by a few daemons for all."""
+"""Keeps a copy of the platform's instance list, read by a few daemons."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 
 Changes = dict[str, platform.Instance | None]
 
-# Age up to which a reading is told to others as the list's state.
+# Age up to which a reader sends the hash of the list that it read.
 MAX_READING_AGE_MS = 5_000
-# A daemon that has heard of no reading for so long reads by itself.
+# A daemon without contact to a reader for this long reads the list itself.
 MAX_READER_SILENCE_MS = 60_000
-# Time in which news of a change should have come, where hashes differ.
+# Time after which a change counts as missed while hashes differ.
 MAX_UPDATE_DELAY_MS = 3_000
 
 
 class ListWatcher:
-    """Reads the list, or hears of its changes from those that read it.
+    """Reads the list, or receives its changes from daemons that read it.
 
-    Readers tell all daemons what changed, and, with their probes, the hash of
-    the list they have. A daemon whose own hash differs for longer than news
-    takes has missed some, and reads the list once. So does one that hears of
-    no reader: they may be cut off, or all gone with a failure domain.
+    Readers publish changes to all daemons, and send the hash of their list
+    with their probes. A daemon whose own hash differs for longer than updates
+    take has missed one, and reads the list once. So does one without contact
+    to a reader: they may be cut off, or have all failed with a failure domain.
     """
 
     def __init__(
@@ -47,7 +47,16 @@
         streams: server_watcher.Streams,
         on_entries: Callable[[frozenset[str]], None],
     ) -> None:
-        """Reads `instances` into `streams`, daemons into `on_entries`."""
+        """Starts with an empty list.
+
+        Args:
+            instances: Reads the platform's instance list.
+            core: Runs the core.
+            members: This daemon's view of all daemons.
+            updates: Publishes changes to peers and receives theirs.
+            streams: Receive changes of backend servers.
+            on_entries: Called with the addresses of the listed daemons.
+        """
         self._instances = instances
         self._core = core
         self._members = members
@@ -68,7 +77,7 @@
         updates.on_listed = self.apply_changes
 
     async def poll_forever(self, *, poll_ms: int) -> None:
-        """Reads the list again and again, where that falls to this daemon."""
+        """Reads the list periodically while `must_read`, until cancelled."""
         while True:
             if self.must_read():
                 await self.poll_once()
@@ -77,28 +86,28 @@
     def must_read(self) -> bool:
         """Returns whether to read the list now."""
         now_ms = self._core.clock.now_ms()
-        missed = (
+        has_missed = (
             self._differing_hash not in (0, self._hash)
             and now_ms - self._differs_since_ms >= MAX_UPDATE_DELAY_MS
         )
-        unheard = now_ms - self._reader_contact_ms >= MAX_READER_SILENCE_MS
-        return missed or unheard or self._is_reader()
+        is_silent = now_ms - self._reader_contact_ms >= MAX_READER_SILENCE_MS
+        return has_missed or is_silent or self._is_reader()
 
     async def poll_once(self) -> None:
-        """Reads the list once; keeps the last one while it is down."""
-        got = await self._instances.instances()
-        if isinstance(got, Err):
+        """Reads the list once; keeps the last one if the platform fails."""
+        result = await self._instances.instances()
+        if isinstance(result, Err):
             return
         self._read_at_ms = self._core.clock.now_ms()
         self._differing_hash = 0
         changes = self._apply(
-            {instance.name: instance for instance in got.ok_value}
+            {instance.name: instance for instance in result.ok_value}
         )
         if changes and self._is_reader() and not self._is_mesh():
             self._updates.publish_listed(changes)
 
     def apply_changes(self, changes: Changes) -> None:
-        """Takes in what a reader says has changed."""
+        """Applies changes published by a reader."""
         listed = dict(self._instances_by_name)
         for name, instance in changes.items():
             if instance is None:
@@ -108,7 +117,7 @@
         self._apply(listed)
 
     def list_hash(self) -> int:
-        """Returns what a reader tells of the list; 0 for nothing to tell."""
+        """Returns the hash that this daemon sends as a reader; 0 for none."""
         age_ms = self._core.clock.now_ms() - self._read_at_ms
         if (
             age_ms > MAX_READING_AGE_MS
@@ -119,7 +128,7 @@
         return self._hash
 
     def record_list_hash(self, sender_id: str, reported_hash: int) -> None:
-        """Takes in which list a reader has."""
+        """Records the hash of the list that another daemon sent."""
         if sender_id not in self._readers():
             return
         now_ms = self._core.clock.now_ms()
@@ -140,7 +149,7 @@
         return len(self._members.live()) <= assignment.MESH_LIMIT
 
     def _apply(self, listed: dict[str, platform.Instance]) -> Changes:
-        """Puts a list in force and returns what is new in it."""
+        """Replaces the list and returns the changes."""
         changes: Changes = {
             name: instance
             for name, instance in listed.items()
@@ -168,9 +177,9 @@
         self, name: str, instance: platform.Instance | None
     ) -> None:
         now_ms = self._core.clock.now_ms()
-        before = self._instances_by_name.get(name)
-        known = instance or before
-        if known is None or known.role is platform.InstanceRole.ENTRY:
+        previous = self._instances_by_name.get(name)
+        current = instance or previous
+        if current is None or current.role is platform.InstanceRole.ENTRY:
             return
         self._streams.listed.on_next(
             server_inputs.ServerListed(at_ms=now_ms, server_id=name, gone=True)
@@ -188,7 +197,7 @@
 def server_listed(
     instance: platform.Instance, now_ms: int
 ) -> server_inputs.ServerListed:
-    """Returns what the core is told of an entry."""
+    """Returns the core's input for a listed server."""
     return server_inputs.ServerListed(
         at_ms=now_ms,
         server_id=instance.name,
--- a/src/godwittack/daemon/model_state.py
+++ b/src/godwittack/daemon/model_state.py
@@ -1,4 +1,4 @@
-"""What the core knows of a model's servers, as a roll-out needs it."""
+"""Derives the inputs of a roll-out from the core's state of the servers."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 if TYPE_CHECKING:
     from godwittack.core import entities
 
-# Mean wait at the servers from which no more of them are taken out of service
-# than must be: a third of the time in which a short answer is wanted.
+# Mean wait at the servers above which a roll-out takes no more of them out of
+# service than necessary: a third of the target latency of a short answer.
 HIGH_LOAD_WAIT_MS = 80
 LOWEST_PRIORITY = 9
 
@@ -39,7 +39,7 @@
 ) -> frozenset[str]:
     """Returns the ids of the servers that lack a version.
 
-    Asked for ten times a second on each daemon, whether it leads or not.
+    Called ten times a second on each daemon, whether it leads or not.
     """
     return frozenset(
         row.server_id
@@ -51,7 +51,7 @@
 def pace_inputs(
     world: entities.World, model: str, desired_version: str
 ) -> rollout_log.PaceInputs:
-    """Returns what the pace of a roll-out is decided from."""
+    """Returns the figures that decide the pace of a roll-out."""
     servers = world.servers_by_target[model].values()
     wait_ms = mean_wait_ms(world, model)
     return rollout_log.PaceInputs(
@@ -64,11 +64,11 @@
 
 
 def mean_wait_ms(world: entities.World, model: str) -> float:
-    """Returns how long prompts wait at the servers that get work.
+    """Returns the mean wait of prompts at the servers that receive work.
 
-    Nothing waits where nothing is sent: counted in, servers with weights that
-    are too old would make the wait seem low just when few carry it all, and
-    half of those would be taken out as well.
+    Servers with weights that are too old receive no requests, so none wait
+    there. Included, they would lower the mean just when few servers handle
+    all requests, and half of those would be taken out of service as well.
     """
     waits = [
         backlog.wait_ms(world, row, priority=LOWEST_PRIORITY)
--- a/src/godwittack/daemon/peer_updates.py
+++ b/src/godwittack/daemon/peer_updates.py
@@ -1,4 +1,4 @@
-"""Tells other daemons news of backend servers and demand, and takes theirs."""
+"""Exchanges updates about backend servers and demand with other daemons."""
 
 from __future__ import annotations
 
@@ -20,26 +20,26 @@
     from godwittack.peer import peer_pb2, wire
     from godwittack.store import protocol as platform
 
-# How long a drain holds at a daemon that hears no more of it.
+# Time after which a drain notice expires unless it is repeated.
 DRAIN_TTL_MS = 3_000
-# Time between two messages to all peers together that need not be told at
-# once. With sixty peers, each told five times a second, news were two fifths
-# of a daemon's processor time.
+# Interval, per peer, between two flushes of updates that are not urgent. With
+# sixty peers and five flushes a second, updates took two fifths of a daemon's
+# processor time.
 FLUSH_INTERVAL_PER_PEER_MS = 10
-# Longest pause, as a part of the age from which load reports are stale.
+# Limit of that interval, relative to the age from which load reports are stale.
 MAX_FLUSH_INTERVAL_RATIO = 0.25
 
 
 class PeerUpdates:
-    """This daemon's news to others, one stream a peer, and theirs to it.
+    """Publishes updates on one stream per peer, and applies updates of peers.
 
-    Probes go to few peers in turn and carry what every daemon must know; news
-    goes to the peers that it concerns. A message on an open stream costs a
-    sixth of the processor time of a call of its own (`bench capacity`).
+    Probes go to a few peers in turn and carry what every daemon must know;
+    updates go to the peers that need them. A message on an open stream costs
+    a sixth of the processor time of a separate call (`bench capacity`).
 
     Attributes:
-        on_listed: Told the changed entries of the instance list that a peer
-            has read.
+        on_listed: Called with the changes of the instance list that a peer has
+            read.
         on_versioned_list: The same with the versions before and after, where
             the list has versions.
     """
@@ -52,13 +52,13 @@
         client: outboxes.NewsClient,
         audience: assignment.Audience | None = None,
     ) -> None:
-        """Tells and takes news for the member `members.me`.
+        """Exchanges updates for the member `members.me`.
 
         Args:
             members: The view of all daemons.
-            runtime: Where the core is told.
+            runtime: Runs the core.
             client: Opens streams to other daemons.
-            audience: Chooses who hears of a target's servers.
+            audience: Chooses the daemons that receive updates about a target.
         """
         self._audience = audience or assignment.AudienceByTarget()
         self.on_listed: Callable[
@@ -71,7 +71,7 @@
         self._runtime = runtime
         self._client = client
         self._outboxes: dict[str, outboxes.Outbox] = {}
-        # Servers told of as leaving, each with the start that leaves.
+        # Incarnations published as leaving, by server id.
         self._known_leaving: dict[str, str] = {}
         self._audiences: dict[str, list[view.Member]] = {}
         self._audiences_key: tuple[list[view.Member], tuple[str, ...]] = (
@@ -80,25 +80,25 @@
         )
 
     async def flush_forever(self, *, min_interval_ms: int) -> None:
-        """Sends what waits, each period, which grows with the peers told.
+        """Sends pending updates periodically; more peers, longer intervals.
 
-        The period stays below the age from which load reports are stale.
+        The interval stays below the age from which load reports are stale.
         """
         while True:
             await asyncio.sleep(self._flush_interval_ms(min_interval_ms) / 1000)
             self.flush()
 
     def _flush_interval_ms(self, min_interval_ms: int) -> float:
-        """Returns the pause for the peers told, short enough for loads."""
+        """Returns the interval for the number of peers with a stream."""
         stale_ms = self._runtime.core.world.policy.report_stale_ms
-        pause_ms = min(
+        interval_ms = min(
             FLUSH_INTERVAL_PER_PEER_MS * len(self._outboxes),
             stale_ms * MAX_FLUSH_INTERVAL_RATIO,
         )
-        return max(min_interval_ms, pause_ms)
+        return max(min_interval_ms, interval_ms)
 
     def flush(self) -> None:
-        """Sends what waits, and this daemon's demand where it changed."""
+        """Sends pending updates, and this daemon's demand if it changed."""
         self._queue_demands()
         now_ms = self._runtime.clock.now_ms()
         for name, outbox in list(self._outboxes.items()):
@@ -136,7 +136,7 @@
             del outbox.pending.digests[: -pending.MAX_DIGESTS]
 
     def publish_leaving(self, server_id: str, incarnation: str = "") -> None:
-        """Tells every daemon of the leaving of a server's start, once."""
+        """Tells every daemon once that an incarnation of a server leaves."""
         if self._known_leaving.get(server_id) == incarnation:
             return
         self._known_leaving[server_id] = incarnation
@@ -145,43 +145,46 @@
             outbox.wake()
 
     def forget_leaving(self, server_id: str) -> None:
-        """Allows a server's leaving to be told anew."""
+        """Allows publishing again that a server leaves."""
         self._known_leaving.pop(server_id, None)
 
-    def publish_suspected(self, doubted: effects.Doubt) -> None:
-        """Has the daemons that serve a target ask a server for themselves."""
-        for outbox in self._outboxes_for(self.audience(doubted.target)):
-            outbox.pending.doubted.add(doubted.server_id)
+    def publish_suspected(self, suspected: effects.Doubt) -> None:
+        """Has the daemons that serve a target probe a suspected server."""
+        for outbox in self._outboxes_for(self.audience(suspected.target)):
+            outbox.pending.doubted.add(suspected.server_id)
             outbox.wake()
 
-    def publish_crashes(self, seen: effects.TellCrashes) -> None:
-        """Tells of crashes those that hear of the servers, or every daemon."""
-        members = self.audience(seen.target)
-        if not seen.target:
+    def publish_crashes(self, report: effects.TellCrashes) -> None:
+        """Publishes crashes to a target's audience, or without one to all."""
+        members = self.audience(report.target)
+        if not report.target:
             members = self._members.live()
         for outbox in self._outboxes_for(members):
-            outbox.tell_crashes(seen.crashes, seen.completions)
+            outbox.tell_crashes(report.crashes, report.completions)
 
-    def publish_rate_limit(self, named: effects.TellRateLimit) -> None:
-        """Tells the daemons that send to a server of the rate it takes."""
-        for outbox in self._outboxes_for(self.audience(named.target)):
-            outbox.pending.rate_limits[named.server_id] = named
+    def publish_rate_limit(self, limit: effects.TellRateLimit) -> None:
+        """Publishes a server's rate limit to the daemons that send to it."""
+        for outbox in self._outboxes_for(self.audience(limit.target)):
+            outbox.pending.rate_limits[limit.server_id] = limit
             outbox.wake()
 
     def compare_crashes(self, sender_id: str, digest: int) -> None:
-        """Tells a peer of crashes where it does not know the same.
+        """Sends all known crashes to a peer whose digest of them differs.
 
-        News may be lost, or older than the peer's process.
+        The peer may have missed updates, or started after they were sent.
         """
-        known = self._runtime.core.world.quarantine
-        if digest == known.digest():
+        quarantine = self._runtime.core.world.quarantine
+        if digest == quarantine.digest():
             return
         peers = [m for m in self._members.live() if m.member_id == sender_id]
         for outbox in self._outboxes_for(peers):
-            outbox.tell_crashes_again(known)
+            outbox.tell_crashes_again(quarantine)
 
     def publish_draining(self, server_id: str, target: str) -> None:
-        """Tells the daemons that serve a model; lapses unless told again."""
+        """Publishes a drain to the daemons that serve a model.
+
+        It expires after `DRAIN_TTL_MS` unless repeated.
+        """
         for outbox in self._outboxes_for(self.audience(target)):
             outbox.pending.draining.add(server_id)
             outbox.wake()
@@ -193,81 +196,81 @@
         before: int = 0,
         version: int = 0,
     ) -> None:
-        """Tells every daemon what changed in the instance list.
+        """Publishes changes of the instance list to every daemon.
 
         Args:
-            changes: Entries by name, None for one that is gone.
-            before: Version of the list without them, where it has versions.
-            version: Version of the list with them.
+            changes: Instances by name, None for a removed one.
+            before: Version of the list without the changes; 0 without versions.
+            version: Version of the list with the changes; 0 without versions.
         """
         for outbox in self._outboxes_for(self._members.live()):
             outbox.pending.add_listed(changes, before=before, version=version)
             outbox.wake()
 
     def apply(
-        self, sender_id: str, told: peer_pb2.News, reader: wire.NewsReader
+        self, sender_id: str, message: peer_pb2.News, reader: wire.NewsReader
     ) -> None:
-        """Takes in a peer's news, as the reader of its stream reads them."""
+        """Applies a peer's updates, decoded by the reader of its stream."""
         now_ms = self._runtime.clock.now_ms()
         submit = self._runtime.submit
-        for load in reader.loads(told, now_ms=now_ms):
+        for load in reader.loads(message, now_ms=now_ms):
             submit(load)
-        for digest in reader.digests(told, now_ms=now_ms):
+        for digest in reader.digests(message, now_ms=now_ms):
             submit(digest)
-        for server_id in told.draining_servers:
+        for server_id in message.draining_servers:
             until_ms = now_ms + DRAIN_TTL_MS
             submit(server_inputs.ServerDraining(now_ms, server_id, until_ms))
-        for server_id in told.doubted_servers:
+        for server_id in message.doubted_servers:
             submit(server_inputs.ServerDoubted(now_ms, server_id))
-        for limit in told.rate_limits:
+        for limit in message.rate_limits:
             submit(codec.rate_limit_from_proto(limit, now_ms=now_ms))
-        if told.crashes or told.completions:
+        if message.crashes or message.completions:
             submit(
                 inputs.CrashesTold(
                     now_ms,
                     tuple(
                         codec.crash_from_proto(crash, now_ms=now_ms)
-                        for crash in told.crashes
+                        for crash in message.crashes
                     ),
                     tuple(
                         codec.completion_from_proto(done, now_ms=now_ms)
-                        for done in told.completions
+                        for done in message.completions
                     ),
                 )
             )
-        for leaving in told.leaving:
+        for leaving in message.leaving:
             submit(
                 server_inputs.ServerLeaving(
                     now_ms, leaving.server_id, leaving.incarnation
                 )
             )
-        if told.has_demands and sender_id:
-            cells = tuple(codec.demand_from_proto(d) for d in told.demands)
+        if message.has_demands and sender_id:
+            cells = tuple(codec.demand_from_proto(d) for d in message.demands)
             submit(inputs.PeerDemand(now_ms, sender_id, True, cells))
-        if told.listed:
-            changes = codec.listed_from_proto(told.listed)
-            if told.list_version:
+        if message.listed:
+            changes = codec.listed_from_proto(message.listed)
+            if message.list_version:
                 self.on_versioned_list(
-                    changes, told.list_before, told.list_version
+                    changes, message.list_before, message.list_version
                 )
             else:
                 self.on_listed(changes)
 
     def audience(self, target: str) -> list[view.Member]:
-        """Returns the members that hear of a model's or service's servers."""
+        """Returns the members that receive updates about a target's servers."""
         members = self._members.live()
         targets = self._runtime.core.world.table.targets
         if (members, targets) != self._audiences_key:
             self._audiences_key = (members, targets)
             self._audiences.clear()
-        found = self._audiences.get(target)
-        if found is None:
-            found = self._audience.among(target, members, targets)
-            self._audiences[target] = found
-        return found
+        audience = self._audiences.get(target)
+        if audience is None:
+            audience = self._audience.among(target, members, targets)
+            self._audiences[target] = audience
+        return audience
 
     def remove_peer(self, member_id: str) -> None:
-        """Drops what waits for a dead peer."""
+        """Closes the stream to a dead peer and drops its pending updates."""
         outbox = self._outboxes.pop(member_id, None)
         if outbox is not None:
             outbox.close()
@@ -295,20 +298,22 @@
         return outbox
 
     def _queue_demands(self) -> None:
-        """Queues each cell's demand for those that may split its limit."""
+        """Queues each cell's demand for the peers that share its limit."""
         demands = self._demands()
-        told = demand.by_member(
+        demands_by_member = demand.by_member(
             demands,
             shares=self._runtime.core.world.shares,
             members=self._members.live(),
         )
-        concerned = [m for m in self._members.live() if m.member_id in told]
-        self._outboxes_for(concerned)
+        recipients = [
+            m for m in self._members.live() if m.member_id in demands_by_member
+        ]
+        self._outboxes_for(recipients)
         for name, outbox in self._outboxes.items():
-            outbox.tell_demands(tuple(told.get(name, ())))
+            outbox.tell_demands(tuple(demands_by_member.get(name, ())))
 
     def _demands(self) -> tuple[inputs.CellDemand, ...]:
-        """Returns this daemon's demand, rounded so that noise is not told."""
+        """Returns this daemon's demand, rounded so that noise is not sent."""
         cells = self._runtime.core.world.shares.cells
         rounded = (
             inputs.CellDemand(
--- a/src/godwittack/daemon/rollout_log.py
+++ b/src/godwittack/daemon/rollout_log.py
@@ -1,8 +1,9 @@
-"""Tells how roll-outs of weights go on: log lines and metrics.
+"""Logs the progress of roll-outs of weights and records their metrics.
 
-A server that stays on replaced weights has many possible reasons: nobody may
-order, the store is lost, too few are ordered at a time, loads are slow, or
-the server itself is away. Each line holds what tells these apart.
+A server may stay on outdated weights for several reasons: no daemon may
+order, the store is unreachable, too few servers are ordered at a time, loads
+are slow, or the server itself is unreachable. Each line has the values that
+tell these apart.
 """
 
 from __future__ import annotations
@@ -17,13 +18,13 @@
     from godwittack.clock import Clock
     from godwittack.lead import rollout
 
-# Between two lines on one roll-out that goes on, unless the version, the
-# pressure or the room change; a step is taken ten times a second.
+# Between two lines on one roll-out, unless the version, the load state or the
+# number of servers that may load at once changes; there are ten steps a second.
 LOG_INTERVAL_MS = 500
 
 
 class WaitReason(enum.StrEnum):
-    """Why a daemon that might order does not."""
+    """Why a daemon does not order servers to load weights."""
 
     NONE = "none"
     OTHER_TURN = "other_turn"
@@ -32,7 +33,7 @@
 
 
 class OrderOutcome(enum.StrEnum):
-    """What became of an order."""
+    """Result of an order to load weights."""
 
     LOADED = "loaded"
     REFUSED = "refused"
@@ -40,23 +41,25 @@
 
 
 class OrderMetrics(Protocol):
-    """Takes figures of loads."""
+    """Records metrics of orders."""
 
     def weights_order(self, *, outcome: str, after_ms: int) -> None:
-        """Takes in what became of an order, and how long after it."""
+        """Records the result of an order and the time from order to result."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class PaceInputs:
-    """What the pace of a roll-out was decided from.
+    """Figures that decide the pace of a roll-out.
 
     Attributes:
         desired_version: Version to load.
-        oldest_ms: For how long newer weights are named than the oldest that a
-            server has.
-        too_old: Servers that get no work for the age of their weights.
-        wait_ms: Mean wait at the servers that take work.
-        is_under_load: Whether that is too long to take many servers out.
+        oldest_ms: For how long the oldest weights on a server have been
+            outdated.
+        too_old: Servers that receive no work because of the age of their
+            weights.
+        wait_ms: Mean wait at the servers that accept work.
+        is_under_load: Whether that is too long to take many servers out of
+            service.
     """
 
     desired_version: str
@@ -73,16 +76,16 @@
 
 
 class RolloutLog:
-    """Writes bounded lines on the roll-outs of one daemon."""
+    """Logs the roll-outs of one daemon at a bounded rate."""
 
     def __init__(
         self, *, clock: Clock, metrics: OrderMetrics | None = None
     ) -> None:
-        """Has told nothing.
+        """Starts with nothing logged.
 
         Args:
             clock: Source of time.
-            metrics: Takes figures as well, where there are metrics.
+            metrics: Records results of orders; None without metrics.
         """
         self._clock = clock
         self._metrics = metrics
@@ -92,17 +95,17 @@
     def log_step(
         self, model: str, pace: PaceInputs, overview: rollout.Overview
     ) -> None:
-        """Tells what a step was decided from, unless it was told just now."""
+        """Logs what a step was decided from, unless it was logged just now."""
         now_ms = self._clock.now_ms()
-        marks = (pace.desired_version, pace.is_under_load, overview.room)
+        state = (pace.desired_version, pace.is_under_load, overview.room)
         last = self._last_lines.get(model)
         if (
             last is not None
-            and last.state == marks
+            and last.state == state
             and now_ms - last.logged_at_ms < LOG_INTERVAL_MS
         ):
             return
-        self._last_lines[model] = _LastLine(now_ms, marks)
+        self._last_lines[model] = _LastLine(now_ms, state)
         logging.info(
             "event=rollout model=%s version=%s behind=%d unreachable=%d"
             " too_old=%d oldest_ms=%d draining=%d loading=%d held=%d room=%d"
@@ -123,7 +126,7 @@
         )
 
     def last_wait(self, model: str) -> WaitReason:
-        """Returns what was told last of why this daemon orders nothing."""
+        """Returns the reason logged last why this daemon orders nothing."""
         return self._last_waits.get(model, WaitReason.NONE)
 
     def log_wait(
@@ -135,13 +138,13 @@
         holder: str,
         idle_ms: int,
     ) -> None:
-        """Tells why this daemon orders nothing.
+        """Logs why this daemon orders nothing.
 
         Args:
             model: The model with servers that need weights.
-            why: The reason, or that there is none any more.
-            daemons_before: Daemons that come before this one.
-            holder: Who ordered last.
+            why: The reason; `NONE` once the daemon may order again.
+            daemons_before: Daemons that rank before this one.
+            holder: Daemon that ordered last.
             idle_ms: How long ago the last order was recorded.
         """
         self._last_waits[model] = why
@@ -155,7 +158,7 @@
         )
 
     def record_order(self, outcome: OrderOutcome, *, after_ms: int) -> None:
-        """Takes in what became of an order, and how long after it."""
+        """Records the result of an order and the time from order to result."""
         if self._metrics is not None:
             self._metrics.weights_order(outcome=outcome, after_ms=after_ms)
 
--- a/src/godwittack/daemon/serve.py
+++ b/src/godwittack/daemon/serve.py
@@ -140,7 +140,7 @@
         await self._probes.start(
             self._settings.peer_address, handler=self.gossiper
         )
-        self._streams.connect(core=self.runtime, news=self._news)
+        self._streams.connect(core=self.runtime, updates=self._news)
         await self._prepare()
         self._start_loops()
         runner = await self._listen()
--- a/src/godwittack/daemon/server_watcher.py
+++ b/src/godwittack/daemon/server_watcher.py
@@ -1,4 +1,4 @@
-"""Follows backend servers: their loads and cache events."""
+"""Polls the loads of backend servers and follows their cache events."""
 
 from __future__ import annotations
 
@@ -28,34 +28,34 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServerReport:
-    """A piece of news on one server, with the model it concerns."""
+    """A load or cache digest of one server, with its model or service."""
 
     target: str
     report: server_inputs.LoadReported | server_inputs.CacheDigest
 
 
 class Streams:
-    """Event streams from the shells to the core and to other daemons."""
+    """Event streams from the I/O shells to the core and to other daemons."""
 
     def __init__(self) -> None:
-        """Makes streams without subscribers."""
+        """Starts without subscribers."""
         self.reports: subject.Subject[ServerReport] = subject.Subject()
         self.listed: subject.Subject[server_inputs.ServerListed] = (
             subject.Subject()
         )
 
     def connect(
-        self, *, core: runtime.Runtime, news: peer_updates.PeerUpdates
+        self, *, core: runtime.Runtime, updates: peer_updates.PeerUpdates
     ) -> None:
-        """Subscribes the core, and the daemons that serve the model."""
-        watched: reactivex.Observable[ServerReport] = self.reports
-        watched.subscribe(on_next=lambda item: core.submit(item.report))
-        watched.subscribe(on_next=_Publisher(news).publish)
+        """Subscribes the core, and the daemons that serve a report's model."""
+        reports: reactivex.Observable[ServerReport] = self.reports
+        reports.subscribe(on_next=lambda item: core.submit(item.report))
+        reports.subscribe(on_next=_Publisher(updates).publish)
         self.listed.subscribe(on_next=core.submit)
 
 
 class FollowedData(enum.Flag):
-    """What is asked of servers; callers' answers tell the rest."""
+    """Data requested from servers; the rest is learnt from their answers."""
 
     ENGINE_LOADS = enum.auto()
     SERVICE_LOADS = enum.auto()
@@ -64,7 +64,7 @@
 
 
 class ServerWatcher:
-    """Follows the servers that fall to this daemon by rendezvous."""
+    """Follows the servers assigned to this daemon by rendezvous hashing."""
 
     def __init__(
         self,
@@ -77,7 +77,17 @@
         load_poll_ms: int,
         followed: FollowedData = FollowedData.ALL,
     ) -> None:
-        """Watches for `core` and tells `streams`."""
+        """Starts without assigned servers.
+
+        Args:
+            core: Runs the core.
+            client: Calls servers.
+            members: This daemon's view of all daemons.
+            updates: Publishes leaving and draining servers to peers.
+            streams: Receive loads and cache digests.
+            load_poll_ms: Time between two polls of a server's load.
+            followed: Data to request from servers.
+        """
         self._followed = followed
         self._core = core
         self._client = client
@@ -93,36 +103,36 @@
         ) = None
 
     async def assign_forever(self) -> None:
-        """Takes on and gives up servers as daemons come and go."""
+        """Updates the assigned servers periodically until cancelled."""
         while True:
             self.assign()
             await asyncio.sleep(self._load_poll_ms / 1000)
 
     def assign(self) -> None:
-        """Starts and stops following servers."""
+        """Starts and stops following servers by their assignment."""
         servers = self._core.core.world.servers
-        mine = {name: servers[name] for name in self._assigned_servers()}
+        assigned = {name: servers[name] for name in self._assigned_servers()}
         for name in list(self._tasks):
-            row = mine.get(name)
+            row = assigned.get(name)
             if row is None or row.address != self._addresses[name]:
                 for task in self._tasks.pop(name):
                     task.cancel()
-        for name, row in mine.items():
+        for name, row in assigned.items():
             if name not in self._tasks:
                 self._addresses[name] = row.address
                 self._tasks[name] = self._follow(row)
 
     def _assigned_servers(self) -> set[str]:
-        """Returns the servers that fall to this daemon.
+        """Returns the servers assigned to this daemon.
 
-        Ranked anew only when daemons or servers came or went.
+        Recomputed only when daemons or servers were added or removed.
         """
         servers = self._core.core.world.servers
         live, names = self._members.live(), frozenset(servers)
-        ranked_for = (live, names, self._core.core.world.table.targets)
-        if ranked_for != self._assigned_for:
+        assigned_for = (live, names, self._core.core.world.table.targets)
+        if assigned_for != self._assigned_for:
             own = self._members.me.member_id
-            self._assigned_for = ranked_for
+            self._assigned_for = assigned_for
             self._assigned = {
                 name
                 for name, row in servers.items()
@@ -132,10 +142,10 @@
         return self._assigned
 
     async def poll_unknown(self) -> None:
-        """Asks the servers of which nothing was heard yet, once.
+        """Polls the servers without a report so far, once.
 
         A daemon that listens before it knows any engine's incarnation would
-        refuse its first callers: a cold start, seen as `no_server`.
+        refuse its first callers with `no_server`: a cold start.
         """
         own = self._members.me.member_id
         unknown = [
@@ -150,9 +160,9 @@
         await asyncio.gather(*(self._poll_once(row) for row in unknown))
 
     async def _poll_once(self, row: entities.ServerRow) -> None:
-        got = await self._client.load(row.address, server_id=row.server_id)
-        if not isinstance(got, Err):
-            self._core.submit(load_reported(row, got.ok_value, self._core))
+        result = await self._client.load(row.address, server_id=row.server_id)
+        if not isinstance(result, Err):
+            self._core.submit(load_reported(row, result.ok_value, self._core))
 
     def close(self) -> None:
         """Stops following."""
@@ -180,38 +190,38 @@
     async def _poll_load(self, row: entities.ServerRow) -> None:
         while True:
             await self._wait_for_rest(row)
-            got = await self._client.poll_load(
+            result = await self._client.poll_load(
                 row.address, server_id=row.server_id
             )
-            if not isinstance(got, Err):
-                self._publish_load(row, got.ok_value)
+            if not isinstance(result, Err):
+                self._publish_load(row, result.ok_value)
             await asyncio.sleep(self._load_poll_ms / 1000)
 
     async def _wait_for_rest(self, row: entities.ServerRow) -> None:
-        """Waits while a server wants nothing from this daemon."""
+        """Waits until the rest that a server requested ends."""
         servers = self._core.core.world.servers
         while (
             servers.get(row.server_id, row).rest_until_ms
             > self._core.clock.now_ms()
         ):
-            # Looked at again and again: one that starts anew rests no more.
+            # Checked repeatedly, since a restart of the server ends its rest.
             await asyncio.sleep(self._load_poll_ms / 1000)
 
     def _publish_load(
         self, row: entities.ServerRow, load: backend.EngineLoad
     ) -> None:
-        told = load_reported(row, load, self._core)
-        self._streams.reports.on_next(ServerReport(row.target, told))
+        report = load_reported(row, load, self._core)
+        self._streams.reports.on_next(ServerReport(row.target, report))
         if load.leaving:
             self._updates.publish_leaving(row.server_id, load.incarnation)
         else:
             self._updates.forget_leaving(row.server_id)
 
     def _drain_unresponsive_store(self, row: entities.ServerRow) -> None:
-        """Keeps requests from a store of cached state that does not answer.
+        """Drains a store of cached state whose events can't be fetched.
 
-        A dead source costs each request that names it some hundred
-        milliseconds.
+        An unreachable source delays each request that copies from it by some
+        hundred milliseconds.
         """
         if row.target != cached_state.STORE_TARGET:
             return
@@ -226,27 +236,27 @@
         digester = digests.Digester(row.server_id)
         while True:
             await self._wait_for_rest(row)
-            got = await self._client.cache_events(
+            result = await self._client.cache_events(
                 row.address,
                 after=digester.sequence,
                 server_id=row.server_id,
             )
-            if isinstance(got, Err):
+            if isinstance(result, Err):
                 self._drain_unresponsive_store(row)
                 await asyncio.sleep(EVENTS_RETRY_MS / 1000)
                 continue
             now_ms = self._core.clock.now_ms()
-            told = digester.digest(got.ok_value, now_ms=now_ms)
-            if told is not None:
-                self._streams.reports.on_next(ServerReport(row.target, told))
-            # Events gather meanwhile and go out as one digest.
+            report = digester.digest(result.ok_value, now_ms=now_ms)
+            if report is not None:
+                self._streams.reports.on_next(ServerReport(row.target, report))
+            # Events accumulate meanwhile and are published as one digest.
             await asyncio.sleep(DIGEST_INTERVAL_MS / 1000)
 
 
 def load_reported(
     row: entities.ServerRow, load: backend.EngineLoad, core: runtime.Runtime
 ) -> server_inputs.LoadReported:
-    """Returns what the core is told of a server's load."""
+    """Returns the core's input for a server's load."""
     return server_inputs.LoadReported(
         at_ms=core.clock.now_ms(),
         server_id=row.server_id,
@@ -262,25 +272,25 @@
 
 
 class _Publisher:
-    """Passes on what other daemons should hear of."""
+    """Publishes reports that other daemons need."""
 
-    def __init__(self, news: peer_updates.PeerUpdates) -> None:
-        self._news = news
+    def __init__(self, updates: peer_updates.PeerUpdates) -> None:
+        self._updates = updates
         self._loads = loads.LoadFilter()
 
     def publish(self, item: ServerReport) -> None:
         match item.report:
             case server_inputs.LoadReported():
                 if self._loads.is_news(item.report):
-                    self._news.publish_load(item.report, item.target)
+                    self._updates.publish_load(item.report, item.target)
             case server_inputs.CacheDigest():
-                self._news.publish_digest(item.report, item.target)
+                self._updates.publish_digest(item.report, item.target)
 
 
 __all__ = [
     "FollowedData",
+    "ServerReport",
     "ServerWatcher",
     "Streams",
-    "ServerReport",
     "load_reported",
 ]
--- a/tests/sim/fleet.py
+++ b/tests/sim/fleet.py
@@ -95,7 +95,7 @@
             seeds=tuple(fleet.seeds),
         )
         streams = server_watcher.Streams()
-        streams.connect(core=self.runtime, news=self.news)
+        streams.connect(core=self.runtime, updates=self.news)
         self.lists = listing.ListWatcher(
             instances=ways.InstanceListFake(fleet, self),
             core=self.runtime,
