--- a/src/godwittack/daemon/base.py
+++ b/src/godwittack/daemon/base.py
@@ -23,8 +23,7 @@
     from collections.abc import Coroutine
 
     from godwittack.config import settings as configs
-    from godwittack.daemon import news as newses
-    from godwittack.daemon import runtime, tables
+    from godwittack.daemon import peer_updates, runtime, tables
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
@@ -103,16 +102,16 @@
         *,
         daemon_runtime: runtime.Runtime,
         keeper: tables.TableKeeper,
-        news: newses.News,
+        news: peer_updates.PeerUpdates,
     ) -> gossip.Gossiper:
         """Returns a gossiper, which probes peers and spreads membership."""
         return gossip.Gossiper(
             members=self.members,
             runtime=daemon_runtime,
             keeper=keeper,
-            client=self.peers,
-            probes=self.probes,
-            news=news,
+            seed_client=self.peers,
+            member_client=self.probes,
+            updates=news,
             counts=self.counts,
             seeds=self.seeds,
         )
--- /dev/null
+++ b/src/godwittack/daemon/feed_follower.py
@@ -0,0 +1,267 @@
+"""Keeps a copy of one table of the store by its change feed and snapshots."""
+
+from __future__ import annotations
+
+import asyncio
+import dataclasses
+from typing import TYPE_CHECKING
+
+from absl import logging
+from result import Err, Ok
+
+from godwittack.member import freshness
+
+if TYPE_CHECKING:
+    import random
+    from collections.abc import Callable, Mapping
+
+    from godwittack.clock import Clock
+    from godwittack.store import protocol
+
+# Backoff after a failed call, doubled up to the maximum: the recovery of the
+# store is noticed within a second without calling it in a tight loop.
+RETRY_FIRST_MS = 100
+RETRY_MAX_MS = 800
+# A feed may become stale without an error, so readers also take a snapshot.
+SNAPSHOT_INTERVAL_MS = 15_000
+# A daemon that is not a reader calls the store itself once the last
+# confirmation is older: half of the time for which it may serve keys by one.
+MAX_CONFIRMATION_AGE_MS = 2_000
+# Propagation time of a change; a version that a peer has and this daemon still
+# lacks after it is read from the store.
+MAX_BEHIND_MS = 400
+CHECK_INTERVAL_MS = 100
+# How long the store may hold a call of a daemon that is not a reader, which
+# needs the current state without waiting for changes.
+NON_READER_WAIT_MS = 1
+# Pause between two such calls, as before the operators' first table.
+NON_READER_INTERVAL_MS = 500
+
+Rows = dict[str, "protocol.ChangedRow"]
+
+
+class FeedFollower:
+    """Keeps the rows of one table up to date by its feed and snapshots.
+
+    Attributes:
+        rows: Rows by key, as last read.
+        version: Newest version of a row, including removed rows.
+        failing_since_ms: Since when calls to the store fail; -1 while they
+            succeed.
+    """
+
+    def __init__(
+        self,
+        *,
+        feed: protocol.RowFeed,
+        table: str,
+        clock: Clock,
+        rng: random.Random,
+        wait_ms: int,
+        on_rows: Callable[[Mapping[str, protocol.ChangedRow]], None],
+        on_confirmed: Callable[[int], None] = lambda as_of_ms: None,
+        table_freshness: freshness.Freshness | None = None,
+        is_reader: Callable[[], bool] = lambda: True,
+    ) -> None:
+        """Calls `on_rows` on changes.
+
+        Args:
+            feed: Change feed of the store.
+            table: Table to follow.
+            clock: Source of time.
+            rng: Spreads retries.
+            wait_ms: How long the store may hold a call for changes.
+            on_rows: Called with all rows after a change.
+            on_confirmed: Called with the time at which the rows were last
+                known to be the newest.
+            table_freshness: Freshness of the rows as reported by peers.
+            is_reader: Returns whether this daemon polls the store
+                continuously.
+        """
+        self.rows: Rows = {}
+        self.failing_since_ms = -1
+        self.recovered_at_ms = -1_000_000
+        self._feed = feed
+        self._table = table
+        self._clock = clock
+        self._rng = rng
+        self._wait_ms = wait_ms
+        self._on_rows = on_rows
+        self._on_confirmed = on_confirmed
+        self._freshness = table_freshness
+        self._is_reader = is_reader
+        self._max_confirmation_age_ms = MAX_CONFIRMATION_AGE_MS * rng.uniform(
+            0.85, 1.15
+        )
+        self.version = 0
+        self._feed_version = 0
+        self._snapshot_at_ms = -SNAPSHOT_INTERVAL_MS
+        self._needs_snapshot = True
+        self._retry_ms = RETRY_FIRST_MS
+        self._clock_offset_ms = -(1 << 62)
+
+    @property
+    def read_version(self) -> int:
+        """Newest version of the store up to which the rows were read."""
+        return max(self.version, self._feed_version)
+
+    async def follow_forever(self) -> None:
+        """Follows until cancelled."""
+        while True:
+            if self.can_skip_read():
+                await asyncio.sleep(CHECK_INTERVAL_MS / 1000)
+            elif await self.step():
+                if not self._is_reader():
+                    await asyncio.sleep(NON_READER_INTERVAL_MS / 1000)
+            else:
+                pause_ms = self._retry_ms * self._rng.uniform(0.5, 1.0)
+                self._retry_ms = min(RETRY_MAX_MS, 2 * self._retry_ms)
+                await asyncio.sleep(pause_ms / 1000)
+
+    def can_skip_read(self) -> bool:
+        """Returns whether peers confirmed the rows recently enough."""
+        table_freshness = self._freshness
+        if self._needs_snapshot or table_freshness is None or self._is_reader():
+            return False
+        now_ms = self._clock.now_ms()
+        behind = table_freshness.behind_since_ms >= 0
+        if behind and now_ms - table_freshness.behind_since_ms >= MAX_BEHIND_MS:
+            return False
+        return (
+            now_ms - table_freshness.confirmed_at_ms
+            < self._max_confirmation_age_ms
+        )
+
+    async def step(self) -> bool:
+        """Makes one call; returns whether it succeeded."""
+        started_ms = self._clock.now_ms()
+        is_snapshot_due = (
+            started_ms - self._snapshot_at_ms >= SNAPSHOT_INTERVAL_MS
+        )
+        is_snapshot_due = is_snapshot_due and self._is_reader()
+        is_snapshot = self._needs_snapshot or is_snapshot_due
+        if is_snapshot:
+            result = await self._snapshot()
+        else:
+            result = await self._feed.changes(
+                self._table,
+                after=self._feed_version,
+                wait_ms=self._wait_ms
+                if self._is_reader()
+                else NON_READER_WAIT_MS,
+            )
+        if isinstance(result, Err):
+            return self._record_failure(result.err_value)
+        self._record_answer(started_ms)
+        page = result.ok_value
+        if page.newest_version < self._feed_version:
+            # Read from a lagging replica: applied, it would revert rows that
+            # the store has acknowledged.
+            logging.info(
+                "event=store_read_stale table=%s newest=%d known=%d",
+                self._table,
+                page.newest_version,
+                self._feed_version,
+            )
+            return False
+        if is_snapshot:
+            # An empty table has a state as well.
+            self.version = max(1, self.version)
+        self._apply(page, is_snapshot=is_snapshot)
+        if is_snapshot:
+            self._snapshot_at_ms = started_ms
+        as_of_ms = self._answer_as_of_ms(page, started_ms)
+        if self._freshness is None or self._freshness.version >= self.version:
+            # Skipped where the newest rows could not be decoded: the active
+            # rows are then not those that the store confirms.
+            self._on_confirmed(as_of_ms)
+        return True
+
+    async def _snapshot(self) -> protocol.PlatformResult[protocol.FeedPage]:
+        """Reads all rows.
+
+        Where they take several pages, the feed, which continues from the first
+        page's version, repeats the changes made between them.
+        """
+        result = await self._feed.page(self._table, from_key="")
+        if isinstance(result, Err) or not result.ok_value.next_key:
+            return result
+        first = result.ok_value
+        rows = list(first.rows)
+        while result.ok_value.next_key:
+            result = await self._feed.page(
+                self._table, from_key=result.ok_value.next_key
+            )
+            if isinstance(result, Err):
+                return result
+            rows.extend(result.ok_value.rows)
+        return Ok(dataclasses.replace(first, rows=tuple(rows), next_key=""))
+
+    def _answer_as_of_ms(self, page: protocol.FeedPage, started_ms: int) -> int:
+        """Returns a lower bound of the local time at which a page was produced.
+
+        A call that waits for changes is sent long before its answer is
+        produced. Every answer carries the store's clock: one that arrived
+        quickly gives a lower bound of the offset to the local clock, by which
+        the other answers are dated. Dated by the start of the call, the last
+        confirmation would seem older, and keys would be refused two seconds
+        too soon after the store became unreachable.
+        """
+        if not page.service_ms:
+            return started_ms
+        offset_ms = started_ms - page.service_ms
+        self._clock_offset_ms = max(self._clock_offset_ms, offset_ms)
+        dated_ms = page.service_ms + self._clock_offset_ms
+        return min(max(started_ms, dated_ms), self._clock.now_ms())
+
+    def _apply(self, page: protocol.FeedPage, *, is_snapshot: bool) -> None:
+        before, version_before = self.rows, self.version
+        rows: Rows = {} if is_snapshot else dict(before)
+        for row in page.rows:
+            self.version = max(self.version, row.version)
+            if row.deleted:
+                rows.pop(row.key, None)
+            else:
+                rows[row.key] = row
+        self.rows = rows
+        self._feed_version = page.newest_version
+        self._needs_snapshot = False
+        # A row may have been added and removed between two calls. If it were
+        # not reported, its version would be read but never active, and no
+        # answer would confirm the active one: keys would be refused, and no
+        # daemon could skip a call.
+        is_newer = self.version > version_before
+        if rows != before or is_newer or (is_snapshot and not before):
+            self._on_rows(rows)
+
+    def _record_answer(self, started_ms: int) -> None:
+        now_ms = self._clock.now_ms()
+        self._retry_ms = RETRY_FIRST_MS
+        if self.failing_since_ms < 0:
+            return
+        self.recovered_at_ms = now_ms
+        logging.info(
+            "event=store_regained table=%s after_ms=%d",
+            self._table,
+            now_ms - self.failing_since_ms,
+        )
+        self.failing_since_ms = -1
+
+    def _record_failure(self, error: protocol.PlatformError) -> bool:
+        if error.history_lost:
+            self._needs_snapshot = True
+            logging.info("event=store_history_lost table=%s", self._table)
+            return True
+        if self.failing_since_ms < 0:
+            self.failing_since_ms = self._clock.now_ms()
+            logging.info(
+                "event=store_lost table=%s step=%s peer=%s detail=%r",
+                self._table,
+                error.step,
+                error.peer,
+                error.detail,
+            )
+        return False
+
+
+__all__ = ["Rows", "FeedFollower"]
--- a/src/godwittack/daemon/model_state.py
+++ b/src/godwittack/daemon/model_state.py
@@ -1,4 +1,4 @@
-"""What the core knows of a model's servers, as a roll-out needs it."""
+"""Derives the inputs of a roll-out from the core's state of the servers."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 if TYPE_CHECKING:
     from godwittack.core import entities
 
-# Mean wait at the servers from which no more of them are taken out of service
-# than must be: a third of the time in which a short answer is wanted.
-PRESSED_MS = 80
-LEAST_URGENT = 9
+# Mean wait at the servers above which a roll-out takes no more of them out of
+# service than necessary: a third of the target latency of a short answer.
+HIGH_LOAD_WAIT_MS = 80
+LOWEST_PRIORITY = 9
 
 
 def replicas(world: entities.World, model: str) -> list[rollout.Replica]:
@@ -34,42 +34,44 @@
     ]
 
 
-def behind(world: entities.World, model: str, wanted: str) -> frozenset[str]:
+def servers_behind(
+    world: entities.World, model: str, desired_version: str
+) -> frozenset[str]:
     """Returns the ids of the servers that lack a version.
 
-    Asked for ten times a second on each daemon, whether it leads or not.
+    Called ten times a second on each daemon, whether it leads or not.
     """
     return frozenset(
         row.server_id
         for row in world.servers_by_target[model].values()
-        if row.weights_version != wanted and _may_load(row)
+        if row.weights_version != desired_version and _may_load(row)
     )
 
 
 def pace_inputs(
-    world: entities.World, model: str, wanted: str
+    world: entities.World, model: str, desired_version: str
 ) -> rollout_log.PaceInputs:
-    """Returns what the pace of a roll-out is decided from."""
+    """Returns the figures that decide the pace of a roll-out."""
     servers = world.servers_by_target[model].values()
     wait_ms = mean_wait_ms(world, model)
     return rollout_log.PaceInputs(
-        wanted=wanted,
+        desired_version=desired_version,
         oldest_ms=weights.longest_outdated_ms(world, model),
         too_old=sum(weights.are_too_old(world, row) for row in servers),
         wait_ms=wait_ms,
-        is_pressed=wait_ms > PRESSED_MS,
+        is_under_load=wait_ms > HIGH_LOAD_WAIT_MS,
     )
 
 
 def mean_wait_ms(world: entities.World, model: str) -> float:
-    """Returns how long prompts wait at the servers that get work.
+    """Returns the mean wait of prompts at the servers that receive work.
 
-    Nothing waits where nothing is sent: counted in, servers with weights that
-    are too old would make the wait seem low just when few carry it all, and
-    half of those would be taken out as well.
+    Servers with weights that are too old receive no requests, so none wait
+    there. Included, they would lower the mean just when few servers handle
+    all requests, and half of those would be taken out of service as well.
     """
     waits = [
-        backlog.wait_ms(world, row, priority=LEAST_URGENT)
+        backlog.wait_ms(world, row, priority=LOWEST_PRIORITY)
         for row in world.servers_by_target[model].values()
         if not row.leaving
         and max(row.ejected_until_ms, row.draining_until_ms) <= world.now_ms
@@ -82,4 +84,10 @@
     return bool(row.incarnation) and not row.leaving
 
 
-__all__ = ["PRESSED_MS", "behind", "mean_wait_ms", "pace_inputs", "replicas"]
+__all__ = [
+    "HIGH_LOAD_WAIT_MS",
+    "servers_behind",
+    "mean_wait_ms",
+    "pace_inputs",
+    "replicas",
+]
--- a/src/godwittack/daemon/platform_daemon.py
+++ b/src/godwittack/daemon/platform_daemon.py
@@ -19,19 +19,19 @@
     base,
     crash_rows,
     dispatch_announcer,
-    entries,
+    feed_follower,
     feed_table,
-    following,
+    instance_rows,
     instances,
     lag,
     lead,
     listeners,
     log_sampling,
-    news,
     observer,
+    peer_updates,
     published_weights,
     runtime,
-    watch,
+    server_watcher,
 )
 from godwittack.entry import directory, forward
 from godwittack.lead import lease as leases
@@ -156,7 +156,7 @@
                 f"godwittack_is_{role.value}",
                 functools.partial(self._serving.has_role, role),
             )
-        self._news = news.News(
+        self._news = peer_updates.PeerUpdates(
             members=members,
             runtime=self.runtime,
             client=self._peers,
@@ -170,7 +170,7 @@
         )
         self.runtime.on_announce = announcer.announce
         self._probes.on_news = announcer.apply
-        self.runtime.on_suspicion = self._news.publish_doubt
+        self.runtime.on_suspicion = self._news.publish_suspected
         self._crash_rows = crash_rows.CrashRows(
             service=self._store, runtime=self.runtime
         )
@@ -179,17 +179,17 @@
         self._gossiper = components.build_gossiper(
             daemon_runtime=self.runtime, keeper=self._keeper, news=self._news
         )
-        self._gossiper.carriers = self._serving_daemons
+        self._gossiper.serving_daemons = self._serving_daemons
         self._gossiper.freshness = {
             entry.topic: entry
             for entry in (self._keeper.table_freshness, self._servers_freshness)
         }
-        self._streams = watch.Streams()
+        self._streams = server_watcher.Streams()
         self._instance_list = instances.InstanceFollower(
             core=self.runtime,
             decode=self._decode_instances,
-            news=self._news,
-            known=self._servers_freshness,
+            updates=self._news,
+            table_freshness=self._servers_freshness,
             is_reader=self._is_reader,
         )
         self._operator_rows = self._build_follower(
@@ -199,26 +199,27 @@
         )
         self._server_rows = self._build_follower(
             names.SERVERS_TABLE,
-            on_rows=self._instance_list.rows_changed,
+            on_rows=self._instance_list.apply_rows,
             feed_freshness=self._servers_freshness,
         )
         self._instance_list.follower = self._server_rows
-        self._watcher = watch.ServerWatcher(
+        self._watcher = server_watcher.ServerWatcher(
             core=self.runtime,
             client=backend,
             members=members,
-            news=self._news,
+            updates=self._news,
             streams=self._streams,
             load_poll_ms=settings.load_poll_ms,
-            follows=watch.Follows.ENGINE_LOADS | watch.Follows.CACHES,
+            followed=server_watcher.FollowedData.ENGINE_LOADS
+            | server_watcher.FollowedData.CACHES,
         )
         max_weights_age_ms = settings.policy().old_weights_limit_ms
         self._leader = lead.Leader(
             core=self.runtime,
             client=backend,
-            service=self._store,
+            lease_store=self._store,
             members=members,
-            news=self._news,
+            updates=self._news,
             policy=leases.LeasePolicy(lease_ms=settings.lease_ms),
             rollout_policy=rollout.RolloutPolicy(
                 order_after_ms=ORDER_DELAY_MS,
@@ -228,7 +229,7 @@
                 accepted_limit_ms=max(LOAD_TIMEOUT_MS, max_weights_age_ms),
                 use_limit_ms=max_weights_age_ms,
             ),
-            measures=self._meters,
+            metrics=self._meters,
             audience=self._serving,
         )
         self._peer_server = components.build_peer_server(self._gossiper)
@@ -272,7 +273,7 @@
         settings = self._settings
         await self._peer_server.start(settings.peer_address)
         await self._probes.start(settings.peer_address, handler=self._gossiper)
-        self._streams.connect(core=self.runtime, news=self._news)
+        self._streams.connect(core=self.runtime, updates=self._news)
         await self._listeners.listen(
             settings.http_address, self._caller_face.handle
         )
@@ -306,12 +307,14 @@
             self._gossiper.gossip_forever(gossip_ms=settings.gossip_ms)
         )
         self._background_tasks.start(
-            self._news.tell_forever(news_ms=settings.news_ms)
+            self._news.flush_forever(min_interval_ms=settings.news_ms)
         )
         self._background_tasks.start(self._operator_rows.follow_forever())
         self._background_tasks.start(self._server_rows.follow_forever())
         self._background_tasks.start(
-            self._instance_list.drop_forever(every_ms=settings.gossip_ms)
+            self._instance_list.drop_missing_forever(
+                every_ms=settings.gossip_ms
+            )
         )
         self._background_tasks.start(self._watcher.assign_forever())
         self._background_tasks.start(
@@ -376,8 +379,8 @@
         *,
         on_rows: Callable[[Mapping[str, stores.ChangedRow]], None],
         feed_freshness: freshness.Freshness,
-    ) -> following.RowsFollower:
-        return following.RowsFollower(
+    ) -> feed_follower.FeedFollower:
+        return feed_follower.FeedFollower(
             feed=self._store,
             table=name,
             clock=self._clock,
@@ -385,7 +388,7 @@
             wait_ms=self._settings.feed_wait_ms,
             on_rows=on_rows,
             on_confirmed=feed_freshness.record_confirmation,
-            known=feed_freshness,
+            table_freshness=feed_freshness,
             is_reader=self._is_reader,
         )
 
@@ -410,14 +413,14 @@
         if version_before and self._keeper.table.version > version_before:
             # With only the probes in turn, some daemons would learn of the new
             # version a second later.
-            task = asyncio.create_task(self._gossiper.spread_now())
+            task = asyncio.create_task(self._gossiper.probe_all())
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
     def _decode_instances(
         self, changed_rows: Mapping[str, stores.ChangedRow]
-    ) -> entries.Entries:
-        return entries.read(
+    ) -> instance_rows.ParsedRows:
+        return instance_rows.parse(
             changed_rows,
             list_rows.instance_from_row,
             failure_domains=self._settings.failure_domains,
--- a/src/godwittack/daemon/serve.py
+++ b/src/godwittack/daemon/serve.py
@@ -19,11 +19,11 @@
     change,
     lead,
     listing,
-    news,
     observer,
+    peer_updates,
     runtime,
+    server_watcher,
     tables,
-    watch,
 )
 from godwittack.entry import calls, operator_api, status, token
 from godwittack.lead import lease as leases
@@ -98,40 +98,40 @@
             ),
             rng=rng,
         )
-        self._news = news.News(
+        self._news = peer_updates.PeerUpdates(
             members=members, runtime=self.runtime, client=self._peers
         )
         self.runtime.on_crashes = self._news.publish_crashes
         self.gossiper = components.build_gossiper(
             daemon_runtime=self.runtime, keeper=self._keeper, news=self._news
         )
-        self._streams = watch.Streams()
+        self._streams = server_watcher.Streams()
         self._list_watcher = listing.ListWatcher(
             instances=platform,
             core=self.runtime,
             members=members,
-            news=self._news,
+            updates=self._news,
             streams=self._streams,
-            on_entries=self.gossiper.entries_listed,
+            on_entries=self.gossiper.record_listed_daemons,
         )
         self.gossiper.list_hash = self._list_watcher.list_hash
-        self.gossiper.on_list_hash = self._list_watcher.hash_told
-        self._server_watcher = watch.ServerWatcher(
+        self.gossiper.on_list_hash = self._list_watcher.record_list_hash
+        self._server_watcher = server_watcher.ServerWatcher(
             core=self.runtime,
             client=backend,
             members=members,
-            news=self._news,
+            updates=self._news,
             streams=self._streams,
             load_poll_ms=settings.load_poll_ms,
         )
         self._leader = lead.Leader(
             core=self.runtime,
             client=backend,
-            service=platform,
+            lease_store=platform,
             members=members,
-            news=self._news,
+            updates=self._news,
             policy=leases.LeasePolicy(lease_ms=settings.lease_ms),
-            measures=self._meters,
+            metrics=self._meters,
         )
         self._peer_server = components.build_peer_server(self.gossiper)
         self._app = self._build_app(loaded, store, platform, counts)
@@ -148,7 +148,7 @@
         await self._probes.start(
             self._settings.peer_address, handler=self.gossiper
         )
-        self._streams.connect(core=self.runtime, news=self._news)
+        self._streams.connect(core=self.runtime, updates=self._news)
         await self._prepare()
         self._start_background_tasks()
         runner = await self._listen()
@@ -171,7 +171,7 @@
         ]
         await self._keeper.load_initial(addresses)
         await self._list_watcher.poll_once()
-        await self._server_watcher.ask_unknown()
+        await self._server_watcher.poll_unknown()
         self._server_watcher.assign()
 
     def _start_background_tasks(self) -> None:
@@ -183,7 +183,7 @@
             self.gossiper.gossip_forever(gossip_ms=settings.gossip_ms)
         )
         self._background_tasks.start(
-            self._news.tell_forever(news_ms=settings.news_ms)
+            self._news.flush_forever(min_interval_ms=settings.news_ms)
         )
         self._background_tasks.start(
             self._keeper.poll_forever(poll_ms=settings.table_poll_ms)
--- a/src/godwittack/entry/operator_api.py
+++ b/src/godwittack/entry/operator_api.py
@@ -135,7 +135,7 @@
     async def status(self, request: web.Request, who: str) -> web.Response:
         """Returns the table version and state of each daemon."""
         del request, who
-        await self.gossiper.spread_now()
+        await self.gossiper.probe_all()
         world = self.runtime.core.world
         members = self.gossiper.members
         rows = [
--- a/tests/cases/rollout_bounds.py
+++ b/tests/cases/rollout_bounds.py
@@ -11,7 +11,7 @@
 from cases import one_lead
 from godwittack.backend import protocol as backend
 from godwittack.core import backlog, inputs, server_inputs
-from godwittack.daemon import lead, model_state, watch
+from godwittack.daemon import lead, model_state, server_watcher
 from godwittack.lead import lease, pacing, rollout
 from godwittack.member import assignment, view
 from sim import fakes, loop
@@ -64,9 +64,9 @@
         self.lead = lead.Leader(
             core=self.runtime,
             client=engines,
-            service=table,
+            lease_store=table,
             members=members,
-            news=self.news,
+            updates=self.news,
             policy=lease.LeasePolicy(lease_ms=3_000),
             rollout_policy=rollout.RolloutPolicy(
                 order_after_ms=100,
@@ -85,7 +85,9 @@
                 load = got.ok_value
                 is_engine = row.target == one_lead.MODEL
                 if is_engine and load.weights_version != row.weights_version:
-                    self.runtime.submit(watch.report(row, load, self.runtime))
+                    self.runtime.submit(
+                        server_watcher.load_reported(row, load, self.runtime)
+                    )
             await asyncio.sleep(0.1)
 
 
@@ -280,10 +282,10 @@
                 )
             )
             waits_ms = backlog.wait_ms(world, row, priority=0)
-            assert waits_ms > model_state.PRESSED_MS, waits_ms
+            assert waits_ms > model_state.HIGH_LOAD_WAIT_MS, waits_ms
         pace = model_state.pace_inputs(world, one_lead.MODEL, "2")
         assert pace.too_old == 4, pace
-        assert pace.is_pressed, pace
+        assert pace.is_under_load, pace
 
     one_lead.play(case())
 
