--- a/tests/cases/__init__.py
+++ b/tests/cases/__init__.py
@@ -1,1 +1,1 @@
-"""Cases that features name, one function each."""
+"""Test cases that feature files name, one function each."""
--- a/tests/cases/adapter.py
+++ b/tests/cases/adapter.py
@@ -1,4 +1,4 @@
-"""The whole path on the platform: real processes, stand-ins around them."""
+"""End-to-end tests of the platform adapter with real processes."""
 
 from __future__ import annotations
 
@@ -29,12 +29,11 @@
 
 
 async def every_kind_of_request_is_served_whole() -> None:
-    """Requests go on unchanged, and answers come back unchanged.
+    """Requests and answers are forwarded unchanged.
 
-    Symptom: a server runs another request than the caller sent.
-    Sequence: one request of each kind, by length and in chunks, with headers
-        that only this system may set.
-    Cause: a request rebuilt from its parts.
+    Guards against a request rebuilt from its parts, which differs from what the
+    caller sent: one request of each kind, by length and in chunks, with headers
+    that only this system may set.
     """
     forged = {
         "X-Godwittack-Tenant": "other",
@@ -82,13 +81,12 @@
             assert made.ran(name)[0].scope == "v1/"
 
 
-async def what_is_not_allowed_is_said_so() -> None:
-    """Unknown keys, routes and malformed requests get their own answers.
+async def invalid_requests_get_a_status_of_their_own() -> None:
+    """Unknown keys, unknown routes and malformed requests are told apart.
 
-    Symptom: callers repeat what will never be let in.
-    Sequence: an unknown key, no key, no route, no id, headers and bodies that
-        are too long, two ids.
-    Cause: one answer for all.
+    Guards against callers that repeat requests which will never be accepted,
+    because all get one answer: an unknown key, no key, no route, no id, headers
+    and bodies that are too long.
     """
     async with Platform() as made:
         expected = {
@@ -105,8 +103,8 @@
         assert not any(made.ran(f"r{n}") for n in (0, 1, 401, 413, 431))
 
 
-async def a_large_fleet_serves_by_some_of_its_daemons() -> None:
-    """Callers are sent to the serving set, and to a standby for one it lost."""
+async def a_large_fleet_serves_from_some_of_its_daemons() -> None:
+    """Callers are sent to the serving set; a standby replaces a lost daemon."""
     small = "mesh_limit: 2\nserving_daemons: 2\n"
     async with Platform(daemons=5, settings=small) as made:
 
@@ -124,7 +122,7 @@
         await until("all name one set", lambda: agree(*everyone))
         before = await named(0)
         for number in everyone:
-            # Callers keep addresses: who does not serve answers all the same.
+            # Callers keep addresses, so daemons that don't serve answer too.
             assert (await made.call("long", f"l{number}", daemon=number))[
                 0
             ] == (200)
@@ -162,11 +160,10 @@
 
 
 async def nothing_is_ready_before_the_first_table() -> None:
-    """A daemon without a table refuses, and says so to the platform.
+    """A daemon without a table refuses requests and reports not ready.
 
-    Symptom: requests answered 404 or 401 by a daemon that knows nothing.
-    Sequence: a daemon starts before the first configuration.
-    Cause: an empty table taken for the table.
+    Guards against an empty table treated as the table: a daemon starts before
+    the first configuration, and answers requests with 404 or 401.
     """
     async with Platform(configured=False) as made:
         await until("it listens", lambda: _answers(made))
@@ -183,12 +180,11 @@
     return True
 
 
-async def a_key_taken_away_is_refused_within_its_bound() -> None:
-    """A change of keys is in force within seconds, and never goes back.
+async def a_revoked_key_is_refused_within_its_time_limit() -> None:
+    """A change of keys takes effect within seconds and is never reverted.
 
-    Symptom: a key taken away is served.
-    Sequence: the operator writes a version without the key.
-    Cause: the table read once.
+    Guards against serving a revoked key because the table is read only once:
+    the operator writes a version without the key.
     """
     async with Platform(daemons=2) as made:
         made.store.put("op", "config", platform.config(2, keys=("new",)))
@@ -203,13 +199,13 @@
             assert got[0] == 200
 
 
-async def an_outage_of_the_store_ends_keys_alone() -> None:
-    """Without the store, keys are refused after their bound, others served.
+async def a_store_outage_ends_only_the_use_of_keys() -> None:
+    """Without the store, keys expire; requests without keys are served.
 
-    Symptom: a daemon that is cut off serves keys for ever, or nothing at all.
-    Sequence: the store falls silent for six seconds and comes back.
-    Cause: the age of the last confirmation not looked at, or an outage taken
-        for an empty table.
+    Guards against a daemon without the store that serves keys forever, or
+    nothing at all: the store does not answer for six seconds and comes back.
+    The age of the last confirmation was not checked, or an outage was treated
+    as an empty table.
     """
     async with Platform() as made:
         made.store.faults.silent = True
@@ -228,12 +224,12 @@
         await until("keys are served again", served, seconds=4)
 
 
-async def lost_history_is_survived() -> None:
-    """Where the store forgets its history, the table is read anew.
+async def a_daemon_recovers_from_lost_store_history() -> None:
+    """When the store drops its history, the table is read again.
 
-    Symptom: changes are not seen any more.
-    Sequence: the history is dropped; then a key is taken away.
-    Cause: the feed asked for the same version again and again.
+    Guards against changes that are no longer seen: the history is dropped, then
+    a key is revoked, and the feed was called with the same version again and
+    again.
     """
     async with Platform() as made:
         made.store.put("op", "config", platform.config(2, keys=("new",)))
@@ -246,11 +242,11 @@
 
 
 async def weights_are_rolled_out_once() -> None:
-    """A version that is named reaches every engine, by one order each.
+    """A published version reaches every engine, by one order each.
 
-    Symptom: engines stay on old weights, or load twice.
-    Sequence: version 2 is named while requests run; two daemons might lead.
-    Cause: orders without a lease, or progress known to one daemon only.
+    Guards against engines that stay on old weights, or load twice: version 2 is
+    published while requests run and two daemons may lead. Causes are orders
+    without a lease, or progress known to only one daemon.
     """
     async with Platform(daemons=2) as made:
         made.store.put("op", "version/m", {"model": "m", "version": 2})
@@ -269,12 +265,12 @@
         assert made.ran("last")[0].scope == "v2/"
 
 
-async def a_stream_that_breaks_goes_on_elsewhere() -> None:
+async def a_broken_stream_resumes_at_another_engine() -> None:
     """A caller gets each event once, from two engines.
 
-    Symptom: half an event, a missing or a doubled one in a stream.
-    Sequence: an engine breaks off in the middle of the third event.
-    Cause: bytes relayed as they come, or the stream started anew.
+    Guards against half an event, a missing or a duplicate one in a stream: an
+    engine breaks off in the middle of the third event. Causes are bytes relayed
+    as they arrive, or a stream started from its beginning.
     """
     async with Platform() as made:
         for name in ("i-e1", "i-e2"):
@@ -292,9 +288,8 @@
 async def a_broken_stream_never_looks_whole() -> None:
     """A stream that can't be resumed ends with a broken connection.
 
-    Symptom: half an answer looks complete.
-    Sequence: an engine breaks off a stream that may not be resumed.
-    Cause: the answer ended in order.
+    Guards against half an answer that looks complete: an engine breaks off a
+    stream that may not be resumed, and the answer was ended in order.
     """
     async with Platform() as made:
         for engine in ("i-e1", "i-e2"):
@@ -307,11 +302,11 @@
 
 
 async def a_caller_that_leaves_ends_the_work() -> None:
-    """An engine sees within half a second that nobody waits.
+    """An engine sees within half a second that its caller has left.
 
-    Symptom: engines work for callers that have left.
-    Sequence: a caller closes its connection in the middle of a stream.
-    Cause: the attempt not tied to its caller.
+    Guards against engines that work for callers that have left: a caller closes
+    its connection in the middle of a stream, and the attempt was not cancelled
+    with it.
     """
     async with Platform() as made:
         engines = [r for r in made.replicas.values() if r.model]
@@ -329,11 +324,11 @@
 
 
 async def a_planned_stop_cuts_nothing() -> None:
-    """SIGTERM under load: every request is answered, the address goes.
+    """SIGTERM under load: each request is answered, the address is removed.
 
-    Symptom: requests cut while a daemon is replaced.
-    Sequence: callers use two daemons; one is told to stop.
-    Cause: the process ended, or closed its door, while addresses were kept.
+    Guards against requests cut while a daemon is replaced: callers use two
+    daemons, one gets SIGTERM, and its process ended or stopped listening while
+    callers still had its address.
     """
     async with Platform(daemons=2) as made:
         failed: list[object] = []
@@ -367,12 +362,11 @@
             assert await made.processes[0].wait() == 0
 
 
-async def a_server_that_drains_gets_nothing_new() -> None:
-    """A server's word that it leaves counts within a moment.
+async def a_draining_server_gets_no_new_requests() -> None:
+    """A server's report that it leaves takes effect within a moment.
 
-    Symptom: work is sent to a server that is about to end.
-    Sequence: a server's row says that it drains.
-    Cause: the list read now and then.
+    Guards against work sent to a server that is about to end: its row says that
+    it drains, and the list was read only now and then.
     """
     async with Platform() as made:
         row = made.store.rows[("servers", "i-s1")]
@@ -391,23 +385,21 @@
 
 
 async def a_short_soak_keeps_every_promise() -> None:
-    """One seed of the soak, as played by hand with fifty.
+    """Plays one seed of the soak test, of which fifty are run by hand.
 
-    Symptom: any of the promises that `tests/soak/session.py` checks.
-    Sequence: traffic under a dozen faults in series that overlap.
-    Cause: the seed and the faults are told where it fails.
+    Checks the promises of `tests/soak/session.py`, with traffic under a dozen
+    faults in overlapping series. A failure shows the seed and the faults.
     """
     played = await session.play(1)
     assert not played.wrong, (played.wrong, played.faults)
     assert any(asked.status == 200 for asked in played.asked)
 
 
-def settings_that_lack_a_value_are_named() -> None:
-    """A missing value is one clear line and exit code 2.
+def a_missing_setting_is_named() -> None:
+    """A missing value gives one clear line and exit code 2.
 
-    Symptom: a daemon that does not start, for a reason nobody can read.
-    Sequence: the platform's settings lack the address of the store's peers.
-    Cause: a stack trace in place of a sentence.
+    Guards against a stack trace in place of a message: the platform's settings
+    lack the address for the store's peers.
     """
     fields = platform.settings_fields("edge-1", 1, [])
     del fields["listen"]["control"]
@@ -430,12 +422,11 @@
     assert len(lines) == 1 and "peer_address" in lines[0], done.stderr
 
 
-def names_of_the_wire_stand_in_one_folder() -> None:
-    """Nothing outside the adapter knows the platform's names.
+def wire_names_appear_only_in_the_adapter() -> None:
+    """Nothing outside the adapter uses the platform's names.
 
-    Symptom: a change of the platform's names reaches into decisions.
-    Sequence: a header's name is written where it is needed.
-    Cause: no line between what is decided and how it is said.
+    Guards against a change of the platform's names that affects decision code:
+    a header's name written wherever it is needed.
     """
     found = []
     for path in sorted(SOURCES.rglob("*.py")):
@@ -447,12 +438,11 @@
     assert not found, found
 
 
-def the_adapter_decides_nothing() -> None:
-    """The adapter has no clock, no chance, no pause and no second try.
+def the_adapter_makes_no_decisions() -> None:
+    """The adapter uses no clock, randomness, delay or retry.
 
-    Symptom: a decision that no test of the core sees.
-    Sequence: a retry or a timer is added where a call is made.
-    Cause: the adapter grew beyond names, formats and calls.
+    Guards against decisions that no test of the core covers: a retry or a timer
+    added where a call is made, beyond names, formats and calls.
     """
     found = {}
     lines = 0
@@ -463,7 +453,7 @@
         if hits:
             found[path.name] = hits
     assert not found, found
-    # The aim is 900; what is here are names, formats and calls alone.
+    # The target is 900; the adapter holds only names, formats and calls.
     assert lines < 950, lines
 
 
--- a/tests/cases/connections.py
+++ b/tests/cases/connections.py
@@ -1,4 +1,4 @@
-"""What a server's bytes mean, at each byte where they may go wrong."""
+"""Parsing of servers' answers and handling of their connections."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass
 class Sink:
-    """Keeps what happened on one attempt."""
+    """Records what happened on one attempt."""
 
     frames_seen: list[work.Frame] = dataclasses.field(default_factory=list)
     answered: work.Answer | None = None
@@ -48,24 +48,24 @@
     head: work.Head | None = None
 
     def opened(self, echoed_request, stamp, head=None) -> None:
-        """The head of a stream came."""
+        """Records the head of a stream."""
         del echoed_request, stamp
         self.head = head
 
     def usage(self, *, prompt, cached, generated) -> None:
-        """Not told by these servers."""
+        """Ignores usage, which these servers do not report."""
 
     async def frames(self, frames) -> None:
-        """Events came."""
+        """Records events."""
         self.frames_seen.extend(frames)
 
     def answer(self, echoed_request, answer, stamp) -> None:
-        """A whole answer came."""
+        """Records a complete answer."""
         del echoed_request, stamp
         self.answered = answer
 
     def failed(self, phase, cause, detail) -> None:
-        """The attempt failed."""
+        """Records a failure."""
         del detail
         self.failure = (phase, cause)
 
@@ -115,8 +115,8 @@
 )
 
 
-async def what_is_out_of_time_is_not_sent() -> None:
-    """Guards against a send after its connection has taken the time left."""
+async def a_call_past_its_deadline_is_not_sent() -> None:
+    """Guards against a send after connecting has used up the time left."""
     async with ScriptedServer(Say(whole(b"1"))) as server:
         backend = Backend(server)
         sink = await backend.send(ends_at_ms=SystemClock().now_ms())
@@ -127,8 +127,8 @@
         assert (await backend.send("r2")).answered.body == b"1"
 
 
-async def what_its_server_wants_no_more_is_not_sent() -> None:
-    """Guards against a send decided before its server asked for rest."""
+async def a_call_is_not_sent_once_its_server_rests_or_leaves() -> None:
+    """Guards against a send decided before its server requested a rest."""
     async with ScriptedServer(Say(whole(b"1")), Say(whole(b"2"))) as server:
         backend = Backend(server)
         core = routed_core.Core(servers=0)
@@ -159,8 +159,8 @@
         assert len(server.requests) == 1
 
 
-async def another_process_tells_nothing_of_a_server() -> None:
-    """Guards against words of the process that now has a server's address."""
+async def signals_of_another_process_are_ignored() -> None:
+    """Guards against signals of a process that now has a server's address."""
     words = b"Server-Leaving: 1\r\nRetry-After: 3\r\n"
     declined = HEAD.replace(b"200 OK", b"421 Misdirected Request") + words
     by_other = whole(b"", declined + b"X-Godwittack-Instance-Id: i-2\r\n")
@@ -176,8 +176,8 @@
         assert kinds == [server_inputs.ServerLeaving, server_inputs.RestAsked]
 
 
-async def control_calls_tell_of_their_server() -> None:
-    """Guards against words in reports, events and orders that nobody reads."""
+async def control_calls_report_their_server_s_signals() -> None:
+    """Guards against ignored signals in reports, events and orders."""
     declined = b"HTTP/1.1 503 Full\r\nServer-Leaving: 1\r\nRetry-After: 2\r\n"
     order = protocol.Order(
         kind=protocol.OrderKind.LOAD_WEIGHTS,
@@ -204,8 +204,8 @@
             assert rest.rest_ms == 2_000
 
 
-async def our_own_interface_hears_that_a_server_wants_rest() -> None:
-    """Guards against a wish for rest that only one interface reads."""
+async def the_http_backend_reports_a_requested_rest() -> None:
+    """Guards against a rest that only the routed backend reports."""
     full = whole(b"", b"HTTP/1.1 503 Full\r\nRetry-After: 1.5\r\n")
     sent = effects.Dispatch(
         request_id="r1",
@@ -236,12 +236,11 @@
         assert (rest.server_id, rest.rest_ms) == ("i-1", 1_500)
 
 
-async def a_kept_connection_is_used_again() -> None:
-    """Two calls in a row take one connection.
+async def an_idle_connection_is_reused() -> None:
+    """Two consecutive calls use one connection.
 
-    Symptom: a connection a request, each of which holds a slot for a while.
-    Sequence: two whole answers.
-    Cause: connections never kept.
+    Guards against a new connection for each request, which occupies a slot for
+    a while.
     """
     async with ScriptedServer(Say(whole(b"1")), Say(whole(b"2"))) as server:
         backend = Backend(server)
@@ -252,12 +251,12 @@
         assert head.startswith(b"POST /p/x?y=%2f HTTP/1.1\r\n") and body == b"b"
 
 
-async def a_second_answer_reaches_nobody() -> None:
+async def a_second_answer_to_one_request_is_discarded() -> None:
     """Bytes after a complete answer belong to no request.
 
-    Symptom: a caller gets the answer to another's request.
-    Sequence: a server sends two answers to one request, at once or late.
-    Cause: the next answer on a connection taken for the next request's.
+    Guards against a caller that gets the answer to another's request: a server
+    sends two answers to one request, at once or late, and the next answer on a
+    connection was assigned to the next request.
     """
     for say in (
         Say(whole(b"1") + whole(b"x", OTHER)),
@@ -273,14 +272,12 @@
             assert server.connections == 2, say
 
 
-async def a_late_answer_to_another_is_read_past() -> None:
-    """An answer that names another request is not the one asked for.
+async def a_late_answer_to_another_request_is_skipped() -> None:
+    """An answer that names another request is not the expected one.
 
-    Symptom: a caller gets the answer to another's request, or a call that
-        ran is reported as failed.
-    Sequence: the extra answer to the first request comes just before the
-        answer to the second.
-    Cause: the first answer after a request taken for its own.
+    Guards against a caller that gets the answer to another's request, or a call
+    that ran but is reported as failed: the extra answer to the first request
+    arrives just before the answer to the second.
     """
     async with ScriptedServer(
         Say(whole(b"1")), Say(whole(b"x", OTHER) + whole(b"2"))
@@ -290,13 +287,12 @@
         assert (await backend.send("r2")).answered.body == b"2"
 
 
-async def an_answer_cut_short_is_none() -> None:
-    """What ends before its end is no answer.
+async def a_truncated_answer_is_rejected() -> None:
+    """An answer cut off before its end is not delivered.
 
-    Symptom: half an answer looks whole to a caller.
-    Sequence: the connection ends in the head, in a body with a length, in a
-        chunk, or is reset where the end of the connection marks the body's.
-    Cause: the end of a connection taken for the end of an answer.
+    Guards against half an answer that looks complete to a caller: the
+    connection ends in the head, in a body with a length or in a chunk, or is
+    reset where the end of the connection marks that of the body.
     """
     cut = (
         Say(b"", then="close"),
@@ -313,23 +309,22 @@
             assert sink.failure == (SENT, inputs.FailureCause.BROKEN), say
 
 
-async def an_answer_without_length_ends_in_order() -> None:
+async def an_answer_without_a_length_ends_with_its_connection() -> None:
     """An answer may end with its connection.
 
-    Symptom: whole answers of old servers are taken for cut ones.
-    Sequence: no length, no chunks; the connection is closed in order.
-    Cause: every end of a connection taken for a failure.
+    Guards against complete answers of old servers treated as truncated: no
+    length, no chunks, and the connection is closed in order.
     """
     async with ScriptedServer(Say(HEAD + b"\r\n123", then="close")) as server:
         assert (await Backend(server).send()).answered.body == b"123"
 
 
-async def a_server_s_word_that_nothing_ran_is_told_apart() -> None:
-    """Only a server's own word says that a request has not run.
+async def declined_calls_are_distinguished_from_failed_ones() -> None:
+    """Only the server itself can declare that a request has not run.
 
-    Symptom: calls that ran are repeated, or ones that did not are lost.
-    Sequence: 503 with and without that word, 421 by another server.
-    Cause: the status alone looked at.
+    Guards against calls that ran and are repeated, or calls that did not run
+    and are lost, because only the status was checked: 503 with and without the
+    header for a call that was not executed, and 421 by another server.
     """
     busy = HEAD.replace(b"200 OK", b"503 Busy")
     not_run = busy + b"X-Godwittack-Not-Executed: 1\r\n"
@@ -348,13 +343,12 @@
             assert (sink.answered is None) == (failure is not None)
 
 
-async def a_body_answered_early_is_sent_to_its_end() -> None:
-    """The rest of a body is never followed by other bytes in its place.
+async def a_body_is_sent_to_its_end_after_an_early_answer() -> None:
+    """The rest of a body is never replaced by other bytes.
 
-    Symptom: a server runs a request with parts of the next one in its body.
-    Sequence: a server answers before it has read a long body, keeps the
-        connection and reads on; the next request follows.
-    Cause: sending stopped at the answer.
+    Guards against a server that reads the next request as part of a body: it
+    answers before it has read a long body, keeps the connection and reads on;
+    sending stopped at the answer, and the next request follows.
     """
     body = bytes(range(256)) * 8_000
     async with ScriptedServer(
@@ -368,12 +362,12 @@
         assert server.requests[0][1] == body
 
 
-async def a_stream_is_cut_back_to_whole_events() -> None:
-    """An event that stops in its middle is not handed on.
+async def a_broken_stream_delivers_only_whole_events() -> None:
+    """An incomplete event is not forwarded.
 
-    Symptom: half an event, and then the same event again, in one stream.
-    Sequence: a server stops in the middle of the third event.
-    Cause: bytes relayed as they come.
+    Guards against half an event, followed by the same event again, in one
+    stream: a server stops in the middle of the third event, and bytes were
+    relayed as they arrived.
     """
     events = b"id: 3\ndata: a\n\nid: 4\ndata: b\n\nid: 5\nda"
     async with ScriptedServer(
@@ -384,12 +378,11 @@
         assert sink.failure == (SENT, inputs.FailureCause.BROKEN)
 
 
-async def a_stream_ends_with_its_server_s_end() -> None:
+async def a_stream_ends_with_its_last_chunk() -> None:
     """The last chunk ends a stream, and the connection is kept.
 
-    Symptom: streams that never end, or a new connection for each.
-    Sequence: two whole streams.
-    Cause: the end looked for in the events.
+    Guards against streams that never end, or a new connection for each, because
+    the end is expected in the events: two complete streams.
     """
     say = Say(STREAM + CHUNKED + chunk(b"id: 1\ndata: a\n\n") + b"0\r\n\r\n")
     async with ScriptedServer(say, say) as server:
@@ -400,12 +393,11 @@
         assert server.connections == 1
 
 
-async def a_server_that_is_not_there_got_nothing() -> None:
+async def a_refused_connection_counts_as_not_sent() -> None:
     """A refused connection proves that nothing was sent.
 
-    Symptom: calls that can be sent elsewhere are given up.
-    Sequence: nobody listens at the address.
-    Cause: all failures taken alike.
+    Guards against failing calls that can be sent elsewhere: nothing listens at
+    the address, and all failures were handled alike.
     """
     async with ScriptedServer() as server:
         address = server.address
@@ -414,15 +406,13 @@
     assert sink.failure[0] is inputs.FailurePhase.CONNECT
 
 
-async def a_call_turned_away_on_connecting_got_nothing() -> None:
-    """A connection that is reset before anything was sent proves that.
+async def a_reset_on_connecting_counts_as_not_sent() -> None:
+    """A reset before anything was sent proves that nothing was sent.
 
-    Symptom: calls that may run once end with 502 while other servers are
-    idle.
-    Sequence: a server with a long queue accepts a connection and resets it at
-    once; the call has been written to it by then.
-    Cause: the call follows the opening without a pause, so that nobody can
-    say whether it ran.
+    Guards against calls that may run only once ending with 502 while other
+    servers are idle: a server with a long queue accepts a connection and resets
+    it at once. A call written right after connecting has been sent by then, and
+    it is unknown whether it ran.
     """
     async with ScriptedServer(Say(whole(b"1")), turns_away=1) as server:
         backend = Backend(server)
@@ -433,12 +423,12 @@
         assert sink.answered.body == b"1"
 
 
-async def a_connection_closed_while_idle_is_not_used() -> None:
-    """A kept connection that its server closed is left out.
+async def a_connection_closed_while_idle_is_not_reused() -> None:
+    """An idle connection that its server closed is not used.
 
-    Symptom: calls that may run once are lost on dead connections.
-    Sequence: a server answers, then closes; the next call follows.
-    Cause: kept connections taken without a look.
+    Guards against calls that may run only once being lost on dead connections:
+    a server answers, then closes; the next call follows, and idle connections
+    were not checked before use.
     """
     async with ScriptedServer(
         Say(whole(b"1"), then="close"), Say(whole(b"2"))
@@ -450,11 +440,11 @@
 
 
 async def a_cancelled_attempt_closes_its_connection() -> None:
-    """A server sees that nobody waits any more.
+    """A server can see that no caller waits any more.
 
-    Symptom: servers work on for callers that have left.
-    Sequence: an attempt is cancelled before its answer.
-    Cause: the connection kept for later use.
+    Guards against servers that keep working for callers that have left: an
+    attempt is cancelled before its answer, and its connection was kept for
+    reuse.
     """
     async with ScriptedServer(Say(b"")) as server:
         backend = Backend(server)
--- a/tests/cases/crash_rows.py
+++ b/tests/cases/crash_rows.py
@@ -1,4 +1,4 @@
-"""Quarantines kept in the platform's store."""
+"""Quarantines stored in the platform's store."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Store:
-    """Rows in memory; fails the next calls where told to."""
+    """Rows in memory; fails as many calls as set."""
 
     def __init__(self) -> None:
         self.rows: dict[str, str] = {}
@@ -29,7 +29,7 @@
         return self.fails >= 0
 
     async def transact(self, conditions, writes):
-        """Makes the writes."""
+        """Applies the writes."""
         assert not conditions
         if self._is_down():
             return FAILED
@@ -52,7 +52,7 @@
 
 
 class Daemon:
-    """A core with the rows of its crashes."""
+    """A core and its stored crash rows."""
 
     def __init__(self, store: Store) -> None:
         self.core = routed_core.Core()
@@ -63,7 +63,7 @@
         self.rows = crash_rows.CrashRows(service=store, runtime=runtime)
 
     def crash(self, *starts: str, content: str = "desk/f") -> None:
-        """Sees servers end under a content."""
+        """Records that servers crashed on a content."""
         seen = tuple(
             quarantine.Crash(
                 content=content, start=start, reporter="d", at_ms=1_000
@@ -76,7 +76,7 @@
 
     @property
     def known(self) -> quarantine.Quarantine:
-        """What its core knows of crashes."""
+        """Returns the crashes known to its core."""
         return self.core.world.quarantine
 
 
@@ -84,7 +84,7 @@
     await asyncio.sleep(0.01)
 
 
-async def rows_that_cannot_be_read_are_passed_over() -> None:
+async def unreadable_rows_are_skipped() -> None:
     """Guards against one bad row that hides all quarantines."""
     store = Store()
     store.rows = {"000": "{", "001": '{"crashes": []}', "002": "[1]"}
@@ -98,7 +98,7 @@
     assert second.known.until_ms("desk/f") == first.known.until_ms("desk/f")
 
 
-async def a_store_that_is_down_is_asked_again() -> None:
+async def a_call_to_an_unavailable_store_is_retried() -> None:
     """Guards against quarantines lost to one failed call."""
     store = Store()
     first = Daemon(store)
@@ -117,7 +117,7 @@
 
 
 async def a_quarantine_that_was_lifted_stays_so() -> None:
-    """Guards against a harmless request refused after the next restart."""
+    """Guards against refusing a harmless request after the next restart."""
     store = Store()
     first = Daemon(store)
     first.crash("s1", "s2", "s3")
@@ -132,7 +132,7 @@
 
 
 async def a_quarantine_that_another_daemon_lifted_stays_so() -> None:
-    """Guards against a row that only the daemon that wrote it overwrites."""
+    """Guards against a row that only its writer can overwrite."""
     store = Store()
     Daemon(store).crash("s1", "s2", "s3")
     await _settle()
@@ -147,7 +147,7 @@
 
 
 async def crashes_before_a_quarantine_outlive_the_daemons() -> None:
-    """Guards against a count that begins anew as all daemons are killed."""
+    """Guards against a count that restarts when all daemons are killed."""
     store = Store()
     Daemon(store).crash("s1", "s2")
     await _settle()
@@ -158,7 +158,7 @@
 
 
 async def a_completed_run_clears_crashes_before_a_quarantine() -> None:
-    """Guards against old crashes that put a harmless request in quarantine."""
+    """Guards against old crashes that quarantine a harmless request."""
     store = Store()
     first = Daemon(store)
     first.crash("s1", "s2")
@@ -180,8 +180,8 @@
     assert not later.known.until_ms("desk/f")
 
 
-async def crashes_of_long_ago_are_not_read() -> None:
-    """Guards against a quarantine by crashes that no daemon would remember."""
+async def expired_crashes_are_not_read() -> None:
+    """Guards against a quarantine by crashes that daemons have expired."""
     store = Store()
     Daemon(store).crash("s1", "s2")
     await _settle()
@@ -192,12 +192,12 @@
     assert not later.known.until_ms("desk/f")
 
 
-async def daemons_that_see_no_crash_make_no_call() -> None:
-    """Guards against calls of the store on days without crashes."""
+async def daemons_without_crashes_make_no_store_call() -> None:
+    """Guards against store calls on days without crashes."""
     store = Store()
     daemon = Daemon(store)
     done = quarantine.Completion(content="desk/f", at_ms=2_000)
-    # Never in quarantine, it is told to the daemons of its servers alone.
+    # Never quarantined, so it is sent only to the daemons of its servers.
     daemon.rows.record(effects.TellCrashes(target="m", completions=(done,)))
     for _ in range(3):
         daemon.crash("s1")
--- a/tests/cases/entries.py
+++ b/tests/cases/entries.py
@@ -1,4 +1,4 @@
-"""Entries of backend servers: by other writers, and of servers that restart."""
+"""Instance entries: invalid rows, and servers that restart."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def entry(**fields) -> dict:
-    """Returns what an engine writes of itself."""
+    """Returns the entry that an engine writes for itself."""
     return {
         "service": "llm",
         "address": "10.0.0.1:80",
@@ -43,7 +43,7 @@
 
 
 def decode(**entries: dict | str) -> reading.Entries:
-    """Reads rows with these values."""
+    """Parses rows with these values."""
     return reading.read(
         {
             key: protocol.ChangedRow(
@@ -59,18 +59,17 @@
 
 
 def good(number: int) -> dict:
-    """Returns an entry of a server of its own."""
+    """Returns a valid entry of a server with its own address."""
     return entry(address=f"10.0.0.{number}:80")
 
 
-def a_bad_entry_names_no_server_and_the_others_hold() -> None:
-    """Each row is read by itself.
+def an_invalid_entry_is_skipped_and_the_others_are_used() -> None:
+    """Each row is parsed by itself.
 
-    Symptom: one row by another writer, and no daemon hears of servers that
-        come, leave or change, for as long as it lies there.
-    Sequence: beside two good entries lies one with a field missing, of another
-        type, out of range, or with text that is no entry at all.
-    Cause: the whole list refused for one row.
+    Guards against a whole list refused for one row, after which no daemon sees
+    servers that come, leave or change. Between two valid entries is one with a
+    field missing, of another type or out of range, or with text that is no
+    entry at all.
     """
     bad = [without(name) for name in entry() if name != "models"]
     bad += [
@@ -99,7 +98,7 @@
 
 
 def _is_right(name: str, wrong: object) -> bool:
-    """Returns whether a value is one that a good entry may have."""
+    """Returns whether a value is valid for this field."""
     if name == "version":
         return isinstance(wrong, str)
     if name == "service":
@@ -109,13 +108,12 @@
     return name == "cold-remaining-ms" and wrong == 2.5
 
 
-def bytes_of_any_kind_in_a_row_hurt_no_other() -> None:
-    """Seeded changes to an entry's bytes, as another writer could make.
+def corrupted_bytes_in_a_row_affect_no_other_row() -> None:
+    """Applies seeded changes to an entry's bytes, as another writer could.
 
-    Symptom: the reader of the list ends with an error, or a page is lost.
-    Sequence: bytes of one row are changed, cut, doubled; the value may be no
-        base64 and no UTF-8.
-    Cause: one error for a whole page.
+    Guards against a list reader that fails, or a page that is lost, for one
+    row: its bytes are changed, cut or doubled, and the value may be neither
+    base64 nor UTF-8.
     """
     rng = random.Random(SEED)
     whole = json.dumps(entry()).encode()
@@ -133,46 +131,41 @@
         assert rows._decoded(value) == ""
 
 
-def servers_that_tell_no_start_are_named_by_their_id() -> None:
-    """Where no server tells its start, entries without it are good.
+def servers_without_a_start_time_are_identified_by_their_id() -> None:
+    """Where no server publishes a start time, entries without one are valid.
 
-    Symptom: no server of a whole site is used.
-    Sequence: all entries lack the start; then all but one have it.
-    Cause: a rule made for sites whose servers tell it.
+    Guards against a site none of whose servers is used: all entries lack the
+    start time; then all but one have it.
     """
     old = [{**good(n), "born": 1} for n in (1, 2, 3)]
     for told in old:
         del told["born"]
     got = decode(a=old[0], b=old[1], c=old[2])
     assert [i.incarnation for i in got.listed.values()] == ["a", "b", "c"]
-    # One entry that has it must not end the use of all others.
+    # One entry with a start time must not invalidate all others.
     got = decode(a=old[0], b=old[1], c=good(3))
     assert set(got.listed) == {"a", "b", "c"}
     got = decode(a=good(1), b=old[1], c=good(3))
     assert set(got.listed) == {"a", "c"}
 
 
-def of_two_rows_with_an_address_the_later_start_counts() -> None:
+def of_two_rows_with_one_address_the_later_start_wins() -> None:
     """An address belongs to the server that started there last.
 
-    Symptom: requests sent to a server that is gone, answered 421 by another.
-    Sequence: an entry still lies there; a server that started later has its
-        address.
-    Cause: both entries believed.
+    Guards against requests to a server that is gone, answered 421 by another:
+    its entry still exists, and a server that started later has its address.
     """
     got = decode(a=entry(born=BORN_MS + 1), b=entry(), c=good(3))
     assert set(got.listed) == {"a", "c"} and set(got.refused) == {"b"}
 
 
-def a_bad_row_of_weights_keeps_the_version_in_force() -> None:
-    """What names weights can't be read: the version before holds.
+def an_invalid_weights_row_keeps_the_active_version() -> None:
+    """If the row that publishes weights is unreadable, the version stays.
 
-    Symptom: weights go back to the first version, or no change of the
-        configuration is put in force any more.
-    Sequence: version 4 is named; its row is overwritten; the operator changes
-        a route.
-    Cause: a row left out taken for a version never named; or the whole table
-        refused.
+    Guards against weights that revert to the first version, or configuration
+    changes that no longer take effect. Version 4 is published; its row is
+    overwritten; the operator changes a route. The omitted row must not count as
+    a version never published, nor invalidate the whole table.
     """
     config = {
         "version": 1,
@@ -195,12 +188,11 @@
         assert got.ok_value.models["llm"].weights_version == "4", value
 
 
-def an_engine_that_tells_no_weights_gets_no_work() -> None:
-    """An entry of an engine's service without weights names no engine.
+def an_engine_that_reports_no_weights_gets_no_work() -> None:
+    """An entry of an engine's service without weights lists no engine.
 
-    Symptom: prompts are answered by nobody knows which weights.
-    Sequence: a row of the model's service bears no weights.
-    Cause: weights compared where they are told alone.
+    Guards against prompts answered with unknown weights: a row of the model's
+    service has no weights, and weights were compared only where reported.
     """
     core = routed_core.Core(servers=0)
     _listed(core, 1_000, weights_version="")
@@ -254,14 +246,13 @@
     )
 
 
-def a_server_that_starts_again_has_nothing_of_before() -> None:
-    """Cache, backlog, leaving and pause are of the process that ended.
+def a_restarted_server_keeps_no_earlier_state() -> None:
+    """Cache, backlog, leaving and ejection belong to the process that ended.
 
-    Symptom: prompts sent to where their levels were cached before a restart;
-        or a server that came back gets no work, since it was leaving.
-    Sequence: a server leaves with a full cache and requests; it starts again
-        under its id, and its entry has a later start.
-    Cause: the id taken for the incarnation.
+    Guards against an id that is treated as the incarnation: a server leaves
+    with a full cache and requests, then starts again under its id with a later
+    start time in its entry. Prompts were sent to it for levels cached before
+    the restart, or it got no work, since it was leaving.
     """
     core = routed_core.Core(servers=0)
     _listed(core, 1_000)
@@ -282,13 +273,12 @@
     assert core.dispatch().server_id == "e1"
 
 
-def late_news_of_the_start_before_is_dropped() -> None:
-    """Entry, report, cache events: none brings the earlier process back.
+def late_updates_of_an_earlier_incarnation_are_dropped() -> None:
+    """No entry, report or cache event restores the earlier process.
 
-    Symptom: a server that has just started is taken for one that leaves, or
-        for one with a cache.
-    Sequence: each source tells of the later start, then of the earlier one.
-    Cause: news taken in by id alone.
+    Guards against updates applied by id alone: each source reports the later
+    start, then the earlier one, and a server that has just started was
+    considered leaving, or to have a cache.
     """
     for first in (_listed, _loaded):
         core = routed_core.Core(servers=0)
@@ -310,13 +300,12 @@
         assert server.cache.cached_at_ms(13) is not None
 
 
-def an_answer_of_the_start_before_changes_nothing() -> None:
-    """An attempt that was sent to the earlier process proves nothing new.
+def an_answer_of_an_earlier_incarnation_changes_nothing() -> None:
+    """An attempt sent to the earlier process shows nothing about the new one.
 
-    Symptom: a restarted server's state goes back and forth.
-    Sequence: a stream is opened by the process before; the entry tells of the
-        later start; frames of the stream are read after that.
-    Cause: state of an answer believed whatever it is of.
+    Guards against a restarted server whose state alternates: the earlier
+    process opens a stream; the entry reports the later start; frames of the
+    stream are read after that.
     """
     core = routed_core.Core(servers=0)
     _listed(core, 1_000)
@@ -332,13 +321,12 @@
     assert _engine(core).incarnation == "e1@2000"
 
 
-def an_order_to_the_start_before_is_not_waited_for() -> None:
-    """A server that starts again while it loads is ordered once more.
+def an_order_to_an_earlier_incarnation_is_not_awaited() -> None:
+    """A server that restarts while it loads is ordered once more.
 
-    Symptom: a server keeps replaced weights until an order is given up.
-    Sequence: a server is ordered to load; it starts again under its id, with
-        the weights it had.
-    Cause: the order taken for one of the new process.
+    Guards against a server that keeps replaced weights until its order times
+    out: it is ordered to load, then starts again under its id with the weights
+    it had, and the order was attributed to the new process.
     """
     planned = rollout.Rollout(
         policy=rollout.RolloutPolicy(order_after_ms=100, load_limit_ms=4_000)
@@ -363,12 +351,12 @@
     assert decide(2_000, 550).load == ("e1",)
 
 
-def reports_and_events_bear_the_start() -> None:
-    """All that a server says of itself is dated by its start.
+def reports_and_events_carry_the_incarnation() -> None:
+    """All that a server reports about itself is tagged with its incarnation.
 
-    Symptom: events of a process that ended fill the cache of the new one.
-    Sequence: a report and events, with a start, without one, with text there.
-    Cause: the id taken for the incarnation.
+    Guards against events of an ended process that fill the cache of the new
+    one: reports and events with a start time, without one, and with an invalid
+    one.
     """
     spoken = servers.ServerFormat(lambda target: "m")
     report = {"models": [{"name": "m", "version": 2}], "sequence": 0}
--- a/tests/cases/fleet_bounds.py
+++ b/tests/cases/fleet_bounds.py
@@ -1,4 +1,4 @@
-"""What one daemon of a large fleet may do, and knows."""
+"""Bounds on what each daemon of a large fleet does."""
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
 from sim import loop
 from standins.scripted import Say, ScriptedServer
 
-# Daemons up to which each hears of every server, as deployed.
+# Fleet size up to which each daemon receives every server's reports,
+# as deployed.
 MESH_LIMIT = 100
 DAEMONS = 340
 MODELS = 15
@@ -34,13 +35,13 @@
     ]
 
 
-def a_model_is_led_by_a_daemon_that_hears_of_its_servers() -> None:
-    """Whoever rolls weights out knows the load of the servers concerned.
+def a_model_is_led_by_a_daemon_that_receives_its_load_reports() -> None:
+    """The lead of a model must be among the daemons that get its load reports.
 
-    Beyond a hundred daemons, some twenty hear of each model's servers; the
-    one that leads its roll-outs is chosen among all. It is told neither what
-    waits at the servers nor what runs there, takes each for idle, and has as
-    many load at one time as may, whatever the load.
+    With more than 100 daemons, some 20 receive the reports of each model's
+    servers. A lead chosen among all daemons knew neither the queues nor the
+    running requests, treated each server as idle, and loaded the maximum number
+    at one time whatever the load.
     """
     members = _members(DAEMONS)
     targets = tuple(f"model-{number}" for number in range(MODELS))
@@ -55,11 +56,11 @@
 
 
 def each_daemon_of_a_large_fleet_may_retry() -> None:
-    """However many daemons there are, accepted requests earn retries.
+    """Accepted requests earn retries, however many daemons there are.
 
-    With 166 retries allowed at once, dealt to 340 daemons, each had half a
-    one, and a retry takes a whole one: no daemon ever sent a request again,
-    however many it had accepted.
+    With a burst of 166 retries divided among 340 daemons, each had half a
+    retry. A retry takes a whole one, so no daemon ever retried, however many
+    requests it had accepted.
     """
     core = routed_core.Core(servers=3, retry_ratio=0.15, retry_burst=166.0)
     core.tell(inputs.MembersChanged, tuple(f"d{n}" for n in range(DAEMONS)))
@@ -74,8 +75,8 @@
 def retries_of_a_fleet_stay_within_their_budget() -> None:
     """In no window do all daemons together retry more than is allowed.
 
-    Daemons whose part of the burst is less than one retry save up for one;
-    savings of many windows spent in one would exceed the budget.
+    Daemons whose share of the burst is less than one retry save up for one.
+    Savings of many windows spent in one window would exceed the budget.
     """
     rng = random.Random(7)
     window_ms, burst, allowed_ratio = 10_000, 166.0, 0.2
@@ -114,13 +115,13 @@
     return sum(n for at_ms, n in counts.items() if start_ms <= at_ms < end_ms)
 
 
-async def a_full_server_is_not_taken_for_gone() -> None:
+async def a_full_server_is_not_considered_gone() -> None:
     """A server that accepts a connection and resets it is full, not gone.
 
     On a fleet of 63 daemons, two of three servers of a service were left, had
-    long queues, and reset what was opened beyond. Each daemon took that for
-    the end of the process and paused the server for 1, 2, 4 s; with both
-    paused it refused every call: 2,063 in 13 s.
+    long queues, and reset further connections. Each daemon treated a reset as
+    the end of the process and ejected the server for 1, 2, 4 s. With both
+    ejected it refused every call: 2,063 in 13 s.
 
         event=attempt_failed step=connect cause=broken
         detail="reset before anything was sent"
@@ -137,11 +138,11 @@
     ), sink.failure
 
 
-def a_server_that_turned_a_call_away_is_used_last_for_a_while() -> None:
-    """A full server stays in service, behind those that have room.
+def a_server_that_reset_a_call_is_used_last_for_a_while() -> None:
+    """A full server stays in service, ranked behind those with room.
 
-    Paused like one that is gone, the two servers left of a service took no
-    call at all; not remembered as full, it was tried by each next call.
+    Ejected like a server that is gone, the last two servers of a service got no
+    calls. Not remembered as full, the server was tried first by each next call.
     """
     core = routed_core.Core(servers=2)
     core.arrive("release", "first")
@@ -175,10 +176,10 @@
     )
 
 
-def an_ejected_engine_is_asked_by_the_daemon_that_follows_it() -> None:
-    """In a large fleet a report tells that an engine is back, not a question.
+def an_ejected_engine_is_probed_by_its_watcher_only() -> None:
+    """In a large fleet a load report ends an ejection, not a probe.
 
-    Sixty daemons asked each of twenty dark engines every 1, 2, 4 s.
+    Sixty daemons probed each of twenty unresponsive engines every 1, 2, 4 s.
     """
     core = routed_core.Core(servers=1)
     core.tell(inputs.MembersChanged, tuple(f"d{n}" for n in range(60)))
@@ -195,8 +196,8 @@
     assert core.dispatch().server_id == "e1"
 
 
-def a_daemon_without_reports_asks_an_ejected_engine_itself() -> None:
-    """A daemon outside the serving set doesn't wait for news it won't get."""
+def a_daemon_without_reports_probes_an_ejected_engine_itself() -> None:
+    """A daemon outside the serving set does not wait for reports."""
     core = routed_core.Core(servers=1)
     core.tell(inputs.MembersChanged, tuple(f"d{n}" for n in range(60)))
     core.arrive("short", "lost")
@@ -210,11 +211,11 @@
     return is_question and made.server_id == server.server_id
 
 
-def a_member_is_passed_on_a_bounded_number_of_times() -> None:
-    """News of members doesn't fill the links between failure domains.
+def a_member_is_gossiped_a_bounded_number_of_times() -> None:
+    """Member updates must not fill the links between failure domains.
 
-    Each daemon passed each state on 32 times: 195 daemons that had lost a
-    third of each other told each other for most of a minute.
+    Each daemon sent each state 32 times: 195 daemons that had lost a third of
+    each other exchanged updates for most of a minute.
     """
     for daemons, most in ((7, 12), (63, 12), (195, 16), (340, 18)):
         me, *others = _members(daemons)
@@ -230,7 +231,7 @@
 
 
 class _Streams:
-    """Streams that take all news; keeps when loads were told on each."""
+    """Accepts all updates and records when load reports were sent."""
 
     def __init__(self, clock) -> None:
         self._clock = clock
@@ -242,22 +243,22 @@
         return self
 
     async def send(self, told):
-        """Takes a message."""
+        """Accepts a message."""
         if told.loads:
             self.told_ms.append(self._clock.now_ms())
         return Ok(None)
 
     def close(self) -> None:
-        """Ends it."""
+        """Closes the stream."""
 
 
-def loads_told_in_a_large_fleet_are_news() -> None:
+def load_reports_in_a_large_fleet_arrive_in_time() -> None:
     """A load report reaches its readers before it is too old for use.
 
-    The pause between two messages grows with the daemons told, 10 ms for
-    each. A daemon that has told all 339 others of something, as those that
-    read the list do at each change, told loads 3.4 s late; from 3 s on they
-    count for nothing, and each server looks idle.
+    The interval between two messages grows by 10 ms for each recipient. A
+    daemon that sent an update to all 339 others, as list readers do at each
+    change, sent loads 3.4 s late. Reports are ignored from an age of 3 s on,
+    and each server looks idle.
     """
 
     async def case() -> None:
--- a/tests/cases/following.py
+++ b/tests/cases/following.py
@@ -1,4 +1,4 @@
-"""The store's rows: what is believed of them, and until when."""
+"""Following the store's rows: which are applied, and until when they hold."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class FakeFeed:
-    """Answers calls from a list; keeps what was asked."""
+    """Answers calls from a list and records them."""
 
     def __init__(self, clock: ManualClock) -> None:
         self.clock = clock
@@ -27,7 +27,7 @@
         self.answers.append((takes_ms, answer))
 
     async def page(self, table, *, from_key):
-        """Answers a reading."""
+        """Answers a call for a snapshot."""
         del from_key
         return self._next(f"snapshot {table}")
 
@@ -61,14 +61,14 @@
 
 
 def error(**fields):
-    """Returns a call that brought nothing."""
+    """Returns a failed call."""
     return Err(
         protocol.PlatformError(step="feed", peer="p", detail="test", **fields)
     )
 
 
 class Followed:
-    """A follower with what it told."""
+    """A feed follower and what it published."""
 
     def __init__(self) -> None:
         self.clock = ManualClock(START_MS)
@@ -93,12 +93,12 @@
         return await self.follower.step()
 
 
-async def changes_are_merged_and_told() -> None:
-    """Rows that change, come and go are told whole.
+async def changes_are_merged_and_published() -> None:
+    """Changed, new and removed rows are published as one whole table.
 
-    Symptom: a route that was dropped is served on, or one is missing.
-    Sequence: a snapshot of two rows; one changes, one goes.
-    Cause: a page of changes taken for the whole table.
+    Guards against a page of changes treated as the whole table, so that a
+    removed route is still served or one is missing: a snapshot of two rows; one
+    changes, one is removed.
     """
     case = Followed()
     await case.step(page(5, ("a", "1"), ("b", "1")))
@@ -107,14 +107,14 @@
     assert case.feed.asked == ["snapshot op", "changes op 5"]
 
 
-async def a_row_made_and_removed_unseen_is_a_version() -> None:
-    """What the store has done with a row nobody here saw counts as read.
+async def a_row_added_and_removed_unseen_advances_the_version() -> None:
+    """A change that leaves the rows as they were still advances the version.
 
-    Another writer made a row and removed it while this daemon did not read.
-    The rows were as before, so that nobody was told of the new version; the
-    version in force stayed behind the one read, and none of the store's
-    answers confirmed it any more, until some other row changed. Keys would
-    be refused once the last confirmation is too old.
+    Another writer added a row and removed it between two reads of this daemon.
+    The rows were as before, so that the new version was not published; the
+    active version stayed behind the one read, and no further answer of the
+    store confirmed it until some other row changed. Keys would be refused once
+    the last confirmation is too old.
     """
     case = Followed()
     known = freshness.Freshness(topic=freshness.Topic.SERVERS)
@@ -129,12 +129,11 @@
     assert len(case.confirmed) == confirmed + 1
 
 
-async def lost_history_is_read_anew() -> None:
-    """Where the store has forgotten its history, a snapshot follows.
+async def lost_history_leads_to_a_new_snapshot() -> None:
+    """When the store has dropped its history, a snapshot is read.
 
-    Symptom: changes are missed for good.
-    Sequence: the feed says that the version asked for is too old.
-    Cause: the call repeated as it was.
+    Guards against changes that are missed for good: the feed reports that the
+    requested version is too old, and the same call was repeated.
     """
     case = Followed()
     await case.step(page(5, ("a", "1")))
@@ -144,12 +143,12 @@
     assert case.told[-1] == {"b": "1"}
 
 
-async def a_stale_reading_takes_nothing_back() -> None:
-    """A reading older than what is known is left out.
+async def a_stale_read_reverts_nothing() -> None:
+    """A read older than the known version is ignored.
 
-    Symptom: a change that was in force goes back.
-    Sequence: version 7 is known; a lagging copy answers with version 5.
-    Cause: whatever came last was believed, and called a confirmation.
+    Guards against a change that is reverted: version 7 is known, and a lagging
+    replica answers with version 5. The last answer was applied and counted as a
+    confirmation.
     """
     case = Followed()
     await case.step(page(7, ("a", "2")))
@@ -159,12 +158,12 @@
     assert len(case.confirmed) == confirmed
 
 
-async def a_long_call_confirms_from_its_answer_on() -> None:
-    """The store's clock dates an answer that was waited for.
+async def a_long_poll_confirms_from_its_answer_on() -> None:
+    """The store's clock dates the answer to a long poll.
 
-    Symptom: keys refused although the store has just confirmed them.
-    Sequence: a quick snapshot; a call that waits for 2 s.
-    Cause: the confirmation counted from before the call.
+    Guards against keys refused although the store has just confirmed them:
+    after a quick snapshot, a call waits for 2 s, and the confirmation was dated
+    from before the call.
     """
     case = Followed()
     await case.step(page(5, ("a", "1"), clock_ms=50_002))
@@ -172,12 +171,11 @@
     assert case.confirmed == [START_MS, START_MS + 2_004], case.confirmed
 
 
-async def an_answer_that_was_held_up_confirms_less() -> None:
-    """An answer delayed on its way is as old as it is.
+async def a_delayed_answer_is_dated_by_the_store_s_clock() -> None:
+    """An answer delayed in transit confirms only the time it was made.
 
-    Symptom: a key taken away is served beyond its bound.
-    Sequence: the store answers at once, the answer arrives 3 s later.
-    Cause: the time of arrival taken for the time of the answer.
+    Guards against a revoked key that is served past its time limit: the store
+    answers at once, the answer arrives 3 s later, and was dated by its arrival.
     """
     case = Followed()
     await case.step(page(5, ("a", "1"), clock_ms=50_002))
@@ -185,12 +183,11 @@
     assert case.confirmed[-1] <= START_MS + 10, case.confirmed
 
 
-async def an_outage_keeps_what_is_known() -> None:
-    """While the store is away, the last rows stay in force.
+async def an_outage_keeps_the_last_known_rows() -> None:
+    """While the store is unavailable, the last rows stay active.
 
-    Symptom: everything is refused during an outage of the store.
-    Sequence: calls fail; the store comes back unchanged.
-    Cause: an error taken for an empty table.
+    Guards against an error treated as an empty table, so that everything is
+    refused during an outage: calls fail, then the store returns unchanged.
     """
     case = Followed()
     await case.step(page(5, ("a", "1")))
--- a/tests/cases/freshness.py
+++ b/tests/cases/freshness.py
@@ -1,4 +1,4 @@
-"""What daemons believe of the store by each other's word."""
+"""How daemons confirm the store's state by each other's reports."""
 
 from __future__ import annotations
 
@@ -14,13 +14,12 @@
     return known
 
 
-def an_answer_that_waited_is_not_fresh() -> None:
-    """A peer's word counts from when it was asked.
+def a_peer_s_delayed_answer_is_dated_by_its_request() -> None:
+    """A peer's confirmation counts from when it was requested.
 
-    Symptom: a key taken away is served by a daemon that was suspended.
-    Sequence: a peer is asked; this process is suspended for 8 s; it wakes and
-        reads the answer from its socket.
-    Cause: the age counted from the arrival of the answer.
+    Guards against a revoked key served by a daemon that was suspended: it sends
+    a request to a peer, is suspended for 8 s, then reads the answer from its
+    socket. The age was counted from the arrival of the answer.
     """
     known = _fresh()
     belief = Belief(Topic.TABLE, 5, age_ms=200)
@@ -29,11 +28,10 @@
 
 
 def a_peer_with_a_newer_version_confirms_nothing() -> None:
-    """Another version's confirmation is none of this one's.
+    """Confirmation of another version does not confirm this one.
 
-    Symptom: a daemon serves an older table as if it were the newest.
-    Sequence: a peer says that version 6 was confirmed a moment ago.
-    Cause: only the age looked at.
+    Guards against an older table served as the newest: a peer reports that
+    version 6 was confirmed a moment ago, and only the age was checked.
     """
     known = _fresh()
     known.apply_belief(
@@ -48,9 +46,9 @@
 def a_peer_that_lags_confirms_nothing() -> None:
     """A peer with an older version does not know of the newer one.
 
-    Symptom: a table is called confirmed by daemons that have not seen it.
-    Sequence: a peer that is cut off says that version 4 is the newest.
-    Cause: any confirmation taken for one of the own version.
+    Guards against a table confirmed by daemons that have not seen it: a peer
+    that is cut off reports version 4 as the newest, and any confirmation
+    counted for the daemon's own version.
     """
     known = _fresh()
     known.apply_belief(
@@ -59,12 +57,12 @@
     assert known.confirmed_at_ms < 0 and known.behind_since_ms < 0
 
 
-def ages_add_up_over_many_daemons() -> None:
-    """A confirmation passed on by many is as old as the store's answer.
+def confirmation_ages_add_up_over_many_daemons() -> None:
+    """A forwarded confirmation is as old as the store's answer.
 
-    Symptom: daemons cut off from the store keep each other fresh for ever.
-    Sequence: ten daemons without the store ask each other for 10 s.
-    Cause: each dated what it heard by its own clock.
+    Guards against daemons without the store that keep each other fresh forever:
+    ten of them query each other for 10 s, and each dated what it received by
+    its own clock.
     """
     daemons = [_fresh() for _ in range(10)]
     daemons[0].record_confirmation(1_000)
@@ -76,12 +74,12 @@
     assert max(known.confirmed_at_ms for known in daemons) == 1_000
 
 
-async def a_daemon_rests_while_peers_confirm() -> None:
-    """Only readers ask the store all the time.
+async def a_daemon_does_not_poll_while_peers_confirm() -> None:
+    """Only readers poll the store all the time.
 
-    Symptom: the store's calls grow with the fleet.
-    Sequence: a daemon that is no reader hears from peers, then no more.
-    Cause: each daemon followed the store by itself.
+    Guards against store calls that grow with the fleet, each daemon following
+    the store by itself: a daemon that is no reader gets confirmations from
+    peers, then none.
     """
     case = cases.Followed()
     known = _fresh(version=5)
@@ -98,12 +96,12 @@
     assert not case.follower.may_rest()
 
 
-async def rows_that_can_t_be_read_confirm_nothing() -> None:
-    """A table that stayed in force for want of a better one is not fresh.
+async def unreadable_rows_confirm_nothing() -> None:
+    """A table kept because its successor is unreadable is not fresh.
 
-    Symptom: keys taken away by a change that could not be read are served.
-    Sequence: version 5 is in force; a row of version 7 can't be decoded.
-    Cause: the store's answer taken for a word on what is in force.
+    Guards against serving keys that an unreadable change revoked: version 5 is
+    active; a row of version 7 can't be decoded; the store's answer counted as a
+    confirmation of the active table.
     """
     case = cases.Followed()
     known = _fresh(version=5)
@@ -115,14 +113,14 @@
 
 
 class _News:
-    """Keeps what readers tell."""
+    """Records what readers publish."""
 
     def __init__(self) -> None:
         self.published: list[tuple[dict, int, int]] = []
         self.on_versioned_list = lambda changes, before, version: None
 
     def publish_listed(self, changes, *, before=0, version=0) -> None:
-        """A reader tells of changes."""
+        """Records a change."""
         self.published.append((changes, before, version))
 
 
@@ -157,12 +155,12 @@
     return held, follower, known, news
 
 
-def a_gap_in_the_list_s_changes_is_seen() -> None:
-    """Changes that do not follow on what is known are not taken for all.
+def a_gap_in_the_list_s_changes_is_detected() -> None:
+    """Changes that do not continue the known version are not complete.
 
-    Symptom: a daemon sends work to a server that left long ago.
-    Sequence: the news of one change is lost, the next one arrives.
-    Cause: changes merged without a look at what they follow on.
+    Guards against work sent to a server that left long ago: the update of one
+    change is lost, the next one arrives, and changes were merged without
+    comparing versions.
     """
     held, _, known, _ = _list(is_reader=False)
     known.record_version(5)
@@ -173,14 +171,14 @@
     assert "s9" not in held._seen
 
 
-def a_gap_is_read_also_while_more_news_comes() -> None:
-    """More news of changes does not put off the reading of a missed one.
+def a_gap_is_repaired_while_more_updates_arrive() -> None:
+    """Further updates do not postpone the read for a missed one.
 
-    A daemon that rests missed the news that a server leaves; news of other
-    servers followed every 0.3 s, none of which it could take in. Each began
-    the wait of 0.4 s for the missing one anew, so that the list was read only
-    once peers' word was two seconds old, and the server got new work until
-    then. The wait counts from the first sign of the gap.
+    A daemon that does not poll missed the update that a server leaves; updates
+    of other servers followed every 0.3 s, none of which it could apply. Each
+    restarted the wait of 0.4 s for the missing one, so that the list was read
+    only once peers' confirmations were two seconds old, and the server got new
+    work until then. The wait counts from the first update after the gap.
     """
     held, follower, known, _ = _list(is_reader=False)
     clock = held._core.clock
@@ -196,13 +194,13 @@
     assert not follower.may_rest()
 
 
-def entries_that_lapse_in_an_outage_are_kept_for_a_while() -> None:
-    """A server whose entry lapsed while the store was away is not gone yet.
+def entries_that_expire_in_an_outage_are_kept_for_a_while() -> None:
+    """A server whose entry expired during a store outage may still exist.
 
-    Symptom: for two seconds after an outage no server is known.
-    Sequence: the store is away; entries lapse; it returns without them; one
-        comes back, the other does not.
-    Cause: a missing entry taken for a server that left.
+    Guards against an empty server list for two seconds after an outage: the
+    store is unavailable; entries expire; it returns without them; one comes
+    back, the other does not. A missing entry must not yet mean that its server
+    left.
     """
     held, follower, _, news = _list(is_reader=True)
     clock = held._core.clock
@@ -222,12 +220,12 @@
     assert news.published[-1][0] == {"b": None}
 
 
-def a_leaving_server_is_told_by_readers_at_once() -> None:
-    """Readers pass on what the store says of servers, others do not.
+def a_leaving_server_is_announced_by_readers_at_once() -> None:
+    """Readers forward what the store lists, other daemons do not.
 
-    Symptom: new work for a leaving server, from daemons that rest.
-    Sequence: a reader and another daemon read that a server leaves.
-    Cause: news of the list only on the tick.
+    Guards against new work for a leaving server from daemons that do not poll:
+    list changes were sent only on the tick. A reader and another daemon read
+    that a server leaves.
     """
     for is_reader in (True, False):
         held, follower, _, news = _list(is_reader=is_reader)
@@ -239,17 +237,19 @@
         assert bool(news.published) == is_reader
 
 
-def a_reader_that_keeps_entries_back_claims_no_newer_list() -> None:
-    """What a reader does not tell yet is not skipped by those that hear it.
+def a_reader_that_retains_expired_entries_claims_no_newer_list() -> None:
+    """Receivers must not skip changes that a reader has not published yet.
 
-    One daemon of 63 went on with eleven servers that had left. 15 s later it
-    took the lead of a roll-out to bring them new weights: `event=lease held=1
-    fencing=2`, then orders answered 421, one every 0.2 s. It had heard no news
-    for a second, and then first those of a reader whose store had just come
-    back.
-    That reader kept lapsed entries for 2.3 s, in case their servers lived, and
-    told another server's change as the newest list; the other readers' word
-    that those were gone came after it, was older than that, and was dropped.
+    One daemon of 63 kept using eleven servers that had left. 15 s later it took
+    the lead of a roll-out to give them new weights: `event=lease held=1
+    fencing=2`, then orders answered 421, one every 0.2 s. It had received no
+    updates for a second, and then first those of a reader whose store had just
+    come back.
+
+    That reader kept expired entries for 2.3 s, in case their servers were
+    alive, and published another server's change as the newest list. The other
+    readers' updates that those servers were gone arrived later, had an older
+    version, and were dropped.
     """
     reader, follower, _, news = _list(is_reader=True)
     peer, _, known, _ = _list(is_reader=False)
@@ -272,15 +272,15 @@
     assert news.published[-1][0] == {**changed, "b": None}
 
 
-def what_is_told_while_entries_are_kept_back_is_taken_in() -> None:
-    """A daemon that has read the list takes a change told at its version.
+def updates_sent_while_entries_are_retained_are_applied() -> None:
+    """A daemon that has read the list applies a change sent at its version.
 
-    A reader that keeps entries back tells other changes at the version of its
-    last whole account. A daemon that had read the list itself, with the store
-    at version 9 and the list at 5, took that for older than its own reading: a
-    server that leaves got new work from it for 2.3 s more, until the rest was
-    told. Its reading showed nothing newer than 5, so that what follows on 5 is
-    newer than the reading.
+    A reader that retains entries publishes other changes at the version of its
+    last complete list. A daemon that had read the list itself, with the store
+    at version 9 and the list at 5, considered that older than its own read: a
+    leaving server got new work from it for 2.3 s more, until the rest was
+    published. Its read showed nothing newer than 5, so that a change based on 5
+    is newer than the read.
     """
     peer, follower, known, _ = _list(is_reader=False)
     follower.version, follower._newest = 5, 9
@@ -290,12 +290,13 @@
     assert known.version == 5
 
 
-def an_answer_that_was_long_on_its_way_brings_nobody_back() -> None:
-    """A reader's answer older than a peer's word is not told as the list.
+def a_slow_answer_does_not_restore_a_removed_server() -> None:
+    """A reader's store answer older than a peer's update is not published.
 
-    A reader's link was slow: the store's answer of version 4 came after a
-    peer's word that a server had left with version 5. The reader listed it
-    again, and told that as a change of version 5, which all others believed.
+    A reader's link was slow: the store's answer of version 4 arrived after a
+    peer's update that a server had left with version 5. The reader listed the
+    server again and published that as a change of version 5, which all others
+    applied.
     """
     reader, follower, _, news = _list(is_reader=True)
     peer, _, _, _ = _list(is_reader=False)
@@ -316,13 +317,13 @@
     assert set(reader._seen) == {"a", "c"}
 
 
-def older_word_does_not_replace_what_was_read_here() -> None:
-    """While entries are kept back, a peer's word may be older than the rows.
+def an_older_update_does_not_replace_newer_rows() -> None:
+    """While entries are retained, a peer's update may be older than the rows.
 
     A reader whose store had just come back had read version 5, in which a
-    server leaves, and kept another's lapsed entry. A peer's word on version 4
-    put the server's older entry in its place, and the reader then told its
-    list as version 5 without the leaving.
+    server leaves, and retained another's expired entry. A peer's update of
+    version 4 replaced the server's entry by an older one, and the reader then
+    published its list as version 5 without the leaving state.
     """
     reader, follower, known, news = _list(is_reader=True)
     both = {name: _instance(name) for name in ("a", "b")}
@@ -340,13 +341,13 @@
     assert news.published[-1] == ({"a": leaving, "b": None}, 4, 5)
 
 
-def an_entry_that_came_back_by_a_peer_s_word_stays() -> None:
-    """An entry kept back that a newer list has again is not dropped.
+def an_entry_restored_by_a_peer_s_update_stays() -> None:
+    """A retained entry that a newer list has again is not dropped.
 
-    A daemon that rests again had read version 5 without a server whose entry
-    had lapsed; with version 6 it was back, unchanged, so that no reader told a
-    change of it. The daemon dropped it after 2.3 s, and had the newest list
-    without it.
+    A daemon that no longer polls had read version 5 without a server whose
+    entry had expired. With version 6 the entry was back, unchanged, so that no
+    reader published a change of it. The daemon dropped it after 2.3 s, and had
+    the newest list without it.
     """
     held, follower, known, _ = _list(is_reader=False)
     both = {name: _instance(name) for name in ("a", "b")}
@@ -362,13 +363,13 @@
     assert set(held._seen) == {"a", "b", "c"}, held._seen
 
 
-def news_that_waits_is_not_told_over_a_gap() -> None:
-    """Changes of others' telling are not skipped by what waits for a peer.
+def queued_updates_are_not_merged_over_a_gap() -> None:
+    """Merging queued updates must not skip another reader's change.
 
-    The stream to a peer was broken for a moment. A reader's changes of
-    versions 4 and 6 waited for it, and between them another reader told it
-    that a server had left. Sent as one, from version 3 to 6, they had the peer
-    drop the other reader's word of version 5, and go on with the server.
+    The stream to a peer was broken for a moment. A reader's changes of versions
+    4 and 6 were queued for it, and in between another reader sent it the change
+    of version 5, that a server had left. Merged into one update from version 3
+    to 6, they made the peer drop the update of version 5 and keep the server.
     """
     first = pending.PendingNews()
     first.add_listed({"x": _instance("x")}, before=3, version=4)
--- a/tests/cases/fuzz.py
+++ b/tests/cases/fuzz.py
@@ -1,4 +1,4 @@
-"""Both parsers under bytes that nobody would write by hand, seeded."""
+"""Both HTTP parsers with malformed and randomly split bytes, seeded."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 EXAMPLES = 150
 MAX_LINE_BYTES = 1 << 16
-# Half of the spoiled requests are no whole ones and get no answer.
+# Half of the corrupted requests are incomplete and get no answer.
 SPOILED_WAIT_S = 0.05
 GOOD_WAIT_S = 5.0
 MINE = b"X-Godwittack-Request-Id: mine\r\n"
@@ -32,14 +32,14 @@
 
 
 class FakeTransport(asyncio.Transport):
-    """Takes what is written, and remembers whether it was closed."""
+    """Discards what is written, and records whether it was closed."""
 
     def __init__(self) -> None:
         super().__init__()
         self.closed = False
 
     def write(self, data) -> None:
-        """Takes bytes."""
+        """Discards bytes."""
 
     def is_closing(self) -> bool:
         """Returns whether it was closed."""
@@ -76,7 +76,7 @@
 
 
 async def _read(pieces: list[bytes], *, reset: bool) -> bytes | None:
-    """Returns the body that a connection makes of bytes, None for none."""
+    """Returns the body parsed from pieces of an answer, None if rejected."""
     used = connection.Connection()
     transport = FakeTransport()
     used.connection_made(transport)
@@ -97,12 +97,13 @@
         return None
 
 
-def an_answer_is_whole_or_none_however_it_is_cut() -> None:
-    """Symptom: a caller gets half an answer, or another's, as whole.
+def an_answer_is_complete_or_rejected_however_it_is_split() -> None:
+    """Splitting the bytes of an answer never changes what is delivered.
 
-    Sequence: a server answers after another's late answer or not, by length
-    or in chunks; the bytes come in any pieces, and end anywhere. Cause if it
-    happens: a piece's end taken for the answer's.
+    Guards against a caller that gets half an answer, or another's, as complete:
+    a server answers with or without a late answer to another request before it,
+    by length or in chunks; the bytes arrive in any pieces and end anywhere. The
+    end of a piece must not count as the end of the answer.
     """
     integers = strategies.integers(0, 2_000)
 
@@ -124,11 +125,11 @@
     check()
 
 
-def bytes_that_are_no_answer_are_none() -> None:
-    """Symptom: a daemon logs a traceback, or waits, for a server's noise.
+def malformed_answers_are_rejected() -> None:
+    """Malformed bytes give a body or a `ReplyError`, at once.
 
-    Sequence: a good answer with some bytes changed, lost or added anywhere.
-    What comes of it is a body or a `ReplyError`, at once.
+    Guards against a daemon that logs a traceback, or waits: a valid answer with
+    some bytes changed, lost or added anywhere.
     """
 
     @seeded
@@ -148,11 +149,12 @@
     check()
 
 
-def events_are_the_same_however_they_are_cut() -> None:
-    """Symptom: a stream with a hole, or an event in two halves.
+def events_are_the_same_however_they_are_split() -> None:
+    """Splitting the bytes of a stream never changes its events.
 
-    Sequence: ten events come in any pieces and end anywhere. Whole ones come
-    out, numbered in order, and the rest is kept back.
+    Guards against a stream with a gap, or an event in two halves: ten events
+    arrive in any pieces and end anywhere. Complete ones are returned, numbered
+    in order, and the rest is kept back.
     """
     events = [b"id: %d\ndata: word\n\n" % n for n in range(1, 11)]
     integers = strategies.integers(0, 400)
@@ -173,12 +175,12 @@
     check()
 
 
-async def a_spoiled_request_is_answered_or_closed() -> None:
-    """Symptom: a daemon that fails, or serves a request within a request.
+async def a_corrupted_request_is_answered_or_its_connection_closed() -> None:
+    """A corrupted request is served at most once, gets 4xx, or is closed.
 
-    Sequence: requests whose bytes are changed, lost or added anywhere, each
-    on a connection of its own, and a good one after all of them. Each is
-    served once at most, or answered with 4xx, or its connection is closed.
+    Guards against a daemon that fails, or serves a request within a request:
+    requests whose bytes are changed, lost or added anywhere, each on a
+    connection of its own, and a valid one after all of them.
     """
     served: list[str] = []
 
@@ -241,7 +243,7 @@
 
 
 def _changed(data: bytes, changes: list[tuple[int, bytes]]) -> bytes:
-    """Returns bytes with others in their place; none cut one byte out."""
+    """Replaces bytes at positions; an empty change deletes one byte."""
     for place, new in changes:
         at = place % (len(data) + 1)
         data = data[:at] + new + data[at + 1 :]
--- a/tests/cases/joining.py
+++ b/tests/cases/joining.py
@@ -1,4 +1,4 @@
-"""Daemons that start beside others, on virtual time."""
+"""Daemons that start while others run, on virtual time."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from sim import loop
 
 PREPARES_S = 4.0
-# Some probing periods of 500 ms.
+# Several probe periods of 500 ms.
 KNOWN_S = 2.0
 
 
-def a_daemon_that_does_not_listen_yet_is_named_to_nobody():
-    """`where` named a daemon that was still starting; its door was closed.
+def a_daemon_that_does_not_listen_yet_is_not_advertised():
+    """`where` must not name a daemon that does not accept callers yet.
 
-    A daemon's own probes name no sender until it listens to callers. The others
-    ask the seeds that they don't know who is there, and were told at once: with
-    a start that took 4 s longer, `where` of the other daemon named it from
-    1.5 s on, and callers were refused connections until it listened at 5.3 s.
-    Probes of it failed meanwhile, so that it was suspected as well.
+    A daemon's own probes carry no sender until it listens to callers. The
+    others ask seeds that they don't know who they are, and were answered at
+    once: with a start that took 4 s longer, `where` of the other daemon named
+    it from 1.5 s on, and callers' connections were refused until it listened at
+    5.3 s. Probes of it failed meanwhile, so that it was suspected as well.
     """
     loop.run(_start_slowly())
 
--- a/tests/cases/leading.py
+++ b/tests/cases/leading.py
@@ -1,4 +1,4 @@
-"""The daemon that leads a model: when it drains and orders."""
+"""When the daemon that leads a model drains and orders servers."""
 
 from __future__ import annotations
 
@@ -13,15 +13,14 @@
 
 
 def servers_that_may_not_be_ordered_are_not_drained() -> None:
-    """While no order may go out yet, no server is out of service for it.
-
-    Symptom: callers are refused during a roll-out: no server takes work.
-    Sequence: another daemon has ordered all engines a moment ago and is gone;
-        this one takes over, and may not order them for 3 s. Later the store
-        answers nothing.
-    Cause: servers drained before anybody may order them; or an order that was
-        not sent counted as refused, so that the next were drained beside
-        them, until all were.
+    """While no order may be sent yet, no server is out of service for it.
+
+    Guards against callers refused during a roll-out because no server takes
+    work. Another daemon has ordered all engines a moment ago and is gone; this
+    one takes over, and may not order them for 3 s. Later the store does not
+    answer. Servers were drained before any order was allowed, or an order that
+    was not sent counted as refused, so that further servers were drained until
+    all were.
     """
 
     async def case() -> None:
@@ -46,12 +45,11 @@
     one_lead.play(case())
 
 
-def a_roll_out_begins_at_once() -> None:
-    """Where nobody ordered a moment ago, the first order needs no waiting.
+def a_roll_out_starts_at_once() -> None:
+    """Without recent orders, the first order is sent without waiting.
 
-    Symptom: weights are first ordered 3 s after they were named.
-    Sequence: weights are named; nobody ever ordered.
-    Cause: each new holder waited for a lease that nobody could have held.
+    Guards against a first order 3 s after weights were published: each new
+    holder waited for a lease to expire that nobody could have held.
     """
 
     async def case() -> None:
@@ -63,13 +61,13 @@
     one_lead.play(case())
 
 
-def a_server_that_leaves_while_the_store_is_asked_is_not_ordered() -> None:
-    """Between the decision and the store's answer a server may be gone.
+def a_server_that_leaves_during_a_store_call_is_not_ordered() -> None:
+    """A server may leave between the decision and the store's answer.
 
-    Symptom: the loop that leads ends, and no weights are ordered any more.
-    Sequence: an engine is drained and may be ordered; another is recorded at
-        the store, which takes 400 ms; the first engine leaves the list.
-    Cause: the server looked up as if it were still listed.
+    Guards against an error that ends the leading loop, after which no weights
+    are ordered: an engine is drained and may be ordered; another is recorded at
+    the store, which takes 400 ms; the first engine leaves the list and was
+    looked up as if it were still listed.
     """
 
     async def case() -> None:
@@ -90,13 +88,13 @@
     one_lead.play(case())
 
 
-def a_row_by_another_writer_hides_no_order() -> None:
-    """A lease's row that can't be read is taken for all orders given now.
+def an_unreadable_lease_row_hides_no_order() -> None:
+    """An unreadable lease row counts as orders for all servers given now.
 
-    Symptom: the loop that leads ends, or two holders order one server.
-    Sequence: a holder has ordered; the row's text is spoiled; another daemon
-        looks at it.
-    Cause: an error of the reader; or numbers that begin anew.
+    Guards against a leading loop that ends, or two holders that order one
+    server: a holder has ordered, the row's text is corrupted, and another
+    daemon reads it. The reader failed, or fencing numbers started again from
+    the beginning.
     """
 
     async def case() -> None:
@@ -118,13 +116,12 @@
     one_lead.play(case())
 
 
-def a_roll_out_goes_on_without_pauses() -> None:
+def a_roll_out_continues_without_pauses() -> None:
     """Six engines, two at a time, take three loads and little more.
 
-    Symptom: a roll-out of six engines takes 12 s instead of 5.
-    Sequence: version 2 is named; each load takes 1.1 s.
-    Cause: a pause of 2 s after each load at a daemon that is not first in
-        rank, and drains that lapsed by their time alone.
+    Guards against a roll-out that takes 12 s instead of 5, with loads of 1.1 s
+    each: a daemon that is not first in rank paused for 2 s after each load, and
+    drains expired by their time alone.
     """
 
     async def case() -> None:
@@ -136,12 +133,12 @@
     one_lead.play(case())
 
 
-def an_old_fencing_number_ends_the_term() -> None:
+def a_rejected_fencing_number_ends_the_lead() -> None:
     """A server that has seen a higher number ends this daemon's lead.
 
-    Symptom: a daemon that was replaced goes on giving orders.
-    Sequence: an engine refuses an order for its fencing number.
-    Cause: the refusal taken for a busy server, and the order repeated.
+    Guards against a replaced lead that keeps giving orders: an engine's refusal
+    for the fencing number was treated like that of a busy server, and the order
+    was repeated.
     """
 
     async def case() -> None:
@@ -154,13 +151,13 @@
     one_lead.play(case())
 
 
-def a_server_whose_address_another_has_is_not_ordered_again() -> None:
-    """An order that another server answers says that its own is gone.
+def a_server_whose_address_was_reused_is_not_ordered_again() -> None:
+    """An order that another server answers shows that its server is gone.
 
     A daemon that still listed servers which had left ordered them again and
-    again, and held the lead for it: `detail='status 421'`, nine servers within
-    2 s, none of which could ever load. What a request learns by the same answer
-    was not learnt here.
+    again, and kept the lead for it: `detail='status 421'`, nine servers within
+    2 s, none of which could ever load. Requests acted on that answer, orders
+    did not.
     """
 
     async def case() -> None:
@@ -176,20 +173,20 @@
     one_lead.play(case())
 
 
-def a_server_is_drained_anew_for_each_load() -> None:
-    """Each order follows a drain that was told since the server's last load.
+def a_server_is_drained_again_for_each_load() -> None:
+    """Each order follows a drain announced since the server's last load.
 
     Requests were sent to engines that had begun to load, in 26 of 30 sessions
-    of large fleets with namings that follow each other. A drain ends with the
-    weights that it was for, at all daemons. Version 3 was named while an
-    engine loaded version 2; loaded with that, it was to be drained again
-    within a second of the last notice, and none went out, since notices of
-    one engine were told once a second. From one such session, e26 with its
-    load of version 5 done at 1049.3 s:
-
-        1048.659 drain told of e26
+    of large fleets with publications in quick succession. A drain ends, at all
+    daemons, with the weights that it was for. Version 3 was published while an
+    engine loaded version 2; once loaded, it had to be drained again within a
+    second of the last notice, and none was sent, since notices of one engine
+    were limited to one a second. From one such session, e26 with its load of
+    version 5 done at 1049.3 s:
+
+        1048.659 drain of e26 announced
         1048.772 order to e26: version 5
-        1048.802 version 6 is named
+        1048.802 version 6 is published
         1049.386 order to e26: version 6
         1049.400 a request is sent to e26
     """
@@ -231,26 +228,26 @@
 
 
 class _DeafTable(fakes.TableFake):
-    """A store whose readings may get lost."""
+    """A store whose read replies may be lost."""
 
     is_deaf = False
 
     async def read(self, row_id):
-        """Reads a row, or answers nothing."""
+        """Reads a row, or does not answer."""
         if self.is_deaf:
             return await self._silence("read")
         return await super().read(row_id)
 
 
-def a_lead_that_was_cut_off_takes_nothing_over_unseen() -> None:
-    """A holder that learns of another one right before its write stops.
+def a_lead_that_was_cut_off_does_not_overwrite_a_new_holder() -> None:
+    """A holder that finds another holder just before its write stops.
 
-    13 engines of 43 were ordered by two leads within 0.7 s, where 3 s must lie
-    between. The store does not tell what version a write made, so that the
-    holder reads the row after each; it was cut off between the two, and went
-    on deciding as the holder while another took over. Back again it read the
-    row, as it must before a write, found the other's orders there, and wrote
-    its own over them all the same, decided on before:
+    13 engines of 43 were ordered by two leads within 0.7 s, where 3 s must pass
+    in between. The store does not return the version that a write made, so that
+    the holder reads the row after each write. It was cut off between the two,
+    and kept deciding as the holder while another took over. Reconnected, it
+    read the row, as it must before a write, found the other's orders there, and
+    still wrote its own, decided earlier, over them:
 
         1056.475 d3 records e20, fencing 5
         1056.496 d0 records e14 and 12 others, fencing 6
@@ -275,7 +272,7 @@
         assert await first.record(["e1"]) and first.is_own
         table.is_deaf = False
         assert await second.record(["e2"])
-        # Decided as the holder, which it is no more.
+        # Decided while it still considered itself the holder.
         assert not await first.record(["e2"])
         assert not first.is_own and not first.may_send("e2")
         assert "e2" in first.held_by_others()
@@ -283,12 +280,12 @@
     one_lead.play(case())
 
 
-def a_drain_by_the_lead_before_is_told_again() -> None:
-    """A lead tells the drains that it counts on, whoever began them.
+def a_previous_lead_s_drain_is_announced_again() -> None:
+    """A lead announces the drains that it relies on, whoever began them.
 
     A lead was lost after it had drained an engine, and its notice had reached
-    the next lead alone. That one saw the engine drained and gave its order
-    100 ms later, while all others sent requests there.
+    only the next lead. That one saw the engine drained and gave its order 100
+    ms later, while all other daemons sent requests there.
     """
 
     async def case() -> None:
--- a/tests/cases/logs.py
+++ b/tests/cases/logs.py
@@ -1,4 +1,4 @@
-"""Log lines: bounded, never waited for, whole stories or none."""
+"""Log lines: bounded, non-blocking, all or none of a request."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Told:
-    """A core whose events become lines."""
+    """A core whose events are logged."""
 
     def __init__(self, *, lines_per_s: int = 200) -> None:
         self.lines: list[str] = []
@@ -29,7 +29,7 @@
         )
 
     def take(self) -> None:
-        """Tells the events that the core made last."""
+        """Logs the events of the core's last step."""
         for event in self.core.find(effects.Event):
             self.stories.record(event, observer.format_line(event))
 
@@ -45,13 +45,12 @@
         self.take()
 
 
-def a_flood_is_bounded_and_tells_whole_stories() -> None:
-    """Under load, requests that end well are left out whole.
+def log_volume_is_bounded_and_requests_are_logged_whole() -> None:
+    """Under load, the lines of successful requests are all left out.
 
-    Symptom: logging takes the processor from requests; or a story whose
-        first half is missing.
-    Sequence: 5,000 requests within a second; one in a hundred fails.
-    Cause: lines written or left out one by one.
+    Guards against logging that takes processor time from requests, or a request
+    whose first lines are missing because lines were written or left out one by
+    one: 5,000 requests within a second, of which one in a hundred fails.
     """
     told = Told()
     for number in range(5_000):
@@ -71,12 +70,12 @@
     assert len(failed) == 50, len(failed)
 
 
-def a_reader_that_stops_holds_nothing_up() -> None:
+def a_stalled_log_reader_blocks_nothing() -> None:
     """A pipe that nobody reads costs lines, not time.
 
-    Symptom: the daemon stands still when its log is not read.
-    Sequence: a pipe is full; 10,000 more lines are written; it is read again.
-    Cause: lines written by whoever decides.
+    Guards against a daemon that blocks when its log is not read, because lines
+    are written by the deciding thread: a pipe is full; 10,000 more lines are
+    written; it is read again.
     """
     reader, writer = os.pipe()
     with os.fdopen(writer, "w") as out:
@@ -106,11 +105,11 @@
 
 
 def a_failed_request_is_explained_by_its_id() -> None:
-    """The lines of one id tell why a request failed.
+    """The lines with a request's id explain why it failed.
 
-    Symptom: on-call staff can't say why an officer got no answer.
-    Sequence: a call's server breaks off; its id is looked up in two logs.
-    Cause: lines without the caller's id, or without what decided.
+    Guards against lines without the caller's id, or without the reason for a
+    decision, so that on-call staff can't tell why an officer got no answer. A
+    call's server breaks off; its id is looked up in two logs.
     """
     told = Told()
     told.core.arrive("confirm", "9c41d07b~7")
@@ -137,12 +136,11 @@
     assert "other" not in story and "no line" in errors.getvalue()
 
 
-def a_value_from_outside_forges_no_line() -> None:
-    """A line break in a caller's id does not begin a line of its own.
+def an_external_value_forges_no_log_line() -> None:
+    """A line break in a caller's id does not start a new line.
 
-    Symptom: a log that says what never happened.
-    Sequence: an id holds a line break and a pair.
-    Cause: values written as they came.
+    Guards against a log with events that never happened: an id contains a line
+    break and a key-value pair, and values were written unescaped.
     """
     event = effects.Event("refused", "a\nevent=forged", ())
     assert "\n" not in observer.format_line(event)
--- a/tests/cases/one_lead.py
+++ b/tests/cases/one_lead.py
@@ -16,14 +16,14 @@
 from sim import fakes, loop
 
 MODEL = routed_core.ENGINES
-# Prompts that wait at each engine under load: twice the wait from which a
-# roll-out spares the engines.
+# Queued prompts at each engine under load: twice the wait from which a
+# roll-out limits how many engines load.
 WAITING_MS = 160
 WAITING_TOKENS = 1_600
 
 
 class Engines:
-    """Engines that load weights; answers may be refused or lost."""
+    """Engines that load weights; may refuse orders."""
 
     def __init__(self, clock, *, load_s: float) -> None:
         self.clock = clock
@@ -49,7 +49,7 @@
         )
 
     async def order(self, address, order):
-        """Takes an order and carries it out."""
+        """Accepts an order and carries it out."""
         del address
         if self.refuse:
             return Err(
@@ -68,22 +68,22 @@
 
 
 class News:
-    """Keeps the drains told."""
+    """Records announced drains."""
 
     def __init__(self) -> None:
         self.drained: set[str] = set()
 
     def publish_draining(self, server_id, target) -> None:
-        """A drain was told."""
+        """Records a drain."""
         del target
         self.drained.add(server_id)
 
     def publish_load(self, load, target, *, now=False) -> None:
-        """A load report was told."""
+        """Ignores a load report."""
 
 
 class Runtime:
-    """A core with the clock of the loop."""
+    """A core on the event loop's clock."""
 
     def __init__(self, clock, *, servers: int = 6) -> None:
         self.clock = clock
@@ -91,12 +91,12 @@
         self.core = self.held.router
 
     def submit(self, told) -> None:
-        """Hands an input to the core."""
+        """Applies an input to the core."""
         self.core.step(told)
 
 
 class Led:
-    """One daemon that leads the engines of one model, six unless told else."""
+    """One daemon that leads the engines of one model, by default six."""
 
     def __init__(self, *, servers: int = 6, load_s: float = 1.1) -> None:
         self.clock = loop.LoopClock(asyncio.get_running_loop())
@@ -129,7 +129,7 @@
         )
 
     async def run(self, *, for_s: float) -> None:
-        """Lets it lead for a time."""
+        """Runs the leading loop for some time."""
         task = asyncio.create_task(self.lead.lead_forever(step_ms=100))
         await asyncio.sleep(for_s)
         task.cancel()
--- a/tests/cases/patience.py
+++ b/tests/cases/patience.py
@@ -1,4 +1,4 @@
-"""Callers' connections that take too long, over real sockets."""
+"""Timeouts of callers' connections, over real sockets."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @contextlib.asynccontextmanager
 async def connected():
-    """Runs a server whose answers wait, and opens a connection to it."""
+    """Runs a server whose answers are held, and connects to it."""
     clock = ManualClock(1_000)
     may_answer = asyncio.Event()
     bodies: list[bytes] = []
@@ -52,11 +52,12 @@
         await runner.cleanup()
 
 
-async def a_head_that_never_ends_is_not_waited_for():
-    """Symptom: a daemon has no descriptors left, and few requests.
+async def unfinished_request_headers_time_out():
+    """A connection whose request headers never end is closed.
 
-    Sequence: callers open connections, send half of a request's headers, and
-    nothing more. Cause: nothing limits how long the headers may take.
+    Guards against a daemon that runs out of descriptors with few requests:
+    callers open connections, send half of a request's headers, and nothing
+    more, and nothing limits how long the headers may take.
     """
     async with connected() as test:
         test.writer.write(REQUEST[:20])
@@ -68,11 +69,11 @@
         assert await test.reader.read() == b""
 
 
-async def a_connection_kept_for_nothing_is_closed():
-    """Symptom: as above, with connections that are idle.
+async def an_idle_connection_is_closed():
+    """A connection stays open for the operators' limit, not for longer.
 
-    Sequence: a request is answered, and no other follows for longer than the
-    operators' limit. Until then the connection stays.
+    Guards against idle connections that use up all descriptors: a request is
+    answered, and no other follows for longer than the limit.
     """
     async with connected() as test:
         test.may_answer.set()
@@ -85,11 +86,11 @@
         assert await test.reader.read() == b""
 
 
-async def a_request_being_served_is_no_idle_connection():
-    """Symptom: a long answer is cut off with no trouble anywhere.
+async def a_connection_with_a_running_request_is_not_idle():
+    """A request may wait for its server for longer than both limits.
 
-    Sequence: a request waits for its server longer than both limits. Cause if
-    it happens: time is counted from the last byte read, not from the answer.
+    Guards against a long answer that is cut off without any fault: time counted
+    from the last byte read, not from the answer.
     """
     async with connected() as test:
         test.writer.write(REQUEST + b"abc")
@@ -100,18 +101,18 @@
         assert b"whole" in await test.reader.readuntil(b"whole")
 
 
-async def no_limit_ends_nothing():
-    """A table without limits of time, or none yet, closes nothing."""
+async def without_limits_no_connection_is_closed():
+    """A table without time limits, or no table yet, closes nothing."""
     async with connected() as test:
         test.clock.advance(by_ms=1 << 30)
         assert test.server.end_slow(forwarding.CallerLimits()) == 0
 
 
-async def a_compressed_body_is_passed_on_as_it_came():
-    """Symptom: a server gets another body than the caller sent.
+async def a_compressed_body_is_forwarded_unchanged():
+    """A server gets the body that the caller sent.
 
-    Sequence: a caller sends a compressed body and says so. Cause: the HTTP
-    library unpacks it, and its header still says that it is compressed.
+    Guards against a body that the HTTP library decompresses while its header
+    still declares it compressed.
     """
     async with connected() as test:
         test.may_answer.set()
--- a/tests/cases/peers.py
+++ b/tests/cases/peers.py
@@ -1,4 +1,4 @@
-"""Calls and news between daemons, over real sockets on loopback."""
+"""Calls and updates between daemons, over real loopback sockets."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 
 
 class FakeHandler:
-    """Keeps what it is told."""
+    """Records what it receives."""
 
     def __init__(self) -> None:
         self.news: list[tuple[str, list[str]]] = []
 
     def exchanged(self, told):
-        """Returns the same."""
+        """Returns the same envelope."""
         return told
 
     def told(self, sender_id, news, reader):
-        """Keeps the servers named as leaving."""
+        """Records the servers reported as leaving."""
         del reader
         self.news.append((sender_id, [told.server_id for told in news.leaving]))
 
@@ -73,8 +73,8 @@
         await listening.stop()
 
 
-async def news_arrive_in_order_with_their_sender():
-    """One stream carries many messages; the first one names the sender."""
+async def updates_arrive_in_order_with_their_sender():
+    """One stream carries many messages; the first identifies the sender."""
     async with pair() as two:
         stream = two.client.open_news(two.address, on_broken=_never)
         for number in range(5):
@@ -88,7 +88,7 @@
 
 
 async def calls_are_answered():
-    """Each call finds its handler."""
+    """Each call reaches its handler."""
     async with pair() as two:
         got = await two.client.fetch_table(two.address, known_version=4)
         assert got.ok_value.version == 5, got
@@ -98,11 +98,11 @@
         assert got.ok_value.table_version == 7, got
 
 
-async def a_stranger_gets_neither_answers_nor_streams():
-    """Symptom: a process of another cluster changes what this one believes.
+async def a_peer_with_another_secret_gets_neither_answers_nor_streams():
+    """Each entry point checks the proof of the cluster secret.
 
-    Sequence: it connects to a daemon's address with another secret. Cause if
-    it happens: a way in that does not check the proof.
+    Guards against a process of another cluster that changes this one's state:
+    it connects to a daemon's address with another secret.
     """
     async with pair(secret=STRANGER) as two:
         got = await two.client.fetch_table(two.address, known_version=4)
@@ -113,11 +113,13 @@
     assert two.handler.news == []
 
 
-async def what_cannot_be_read_is_refused():
-    """Symptom: a daemon logs a traceback, or ends, for another's bytes.
+async def unreadable_messages_are_refused():
+    """Malformed bytes are refused without an exception.
 
-    Sequence: a call, and a message on a stream, that are no messages. The
-    call is answered so; the stream ends, and its sender opens another.
+    Guards against a daemon that logs a traceback, or ends, for a peer's bytes:
+    a call, and a message on a stream, that can't be decoded. The call is
+    answered with an error status; the stream ends, and its sender opens
+    another.
     """
     broken = asyncio.Event()
     async with pair() as two:
@@ -141,10 +143,10 @@
 
 
 async def a_server_that_stops_ends_its_streams_at_once():
-    """Symptom: news is written for seconds to a daemon that is gone.
+    """A daemon that stops closes the streams that others hold to it.
 
-    Sequence: a daemon stops while others hold streams to it. Cause if it
-    happens: a sender that doesn't read its stream does not see it closed.
+    Guards against updates written for seconds to a daemon that is gone, by a
+    sender that doesn't read its stream and so does not see it closed.
     """
     broken = asyncio.Event()
     async with pair() as two:
@@ -160,14 +162,14 @@
 
 
 class ScriptedStreams:
-    """A client whose streams break when told to."""
+    """A client whose streams break on demand."""
 
     def __init__(self) -> None:
         self.sent: list[list[peer_pb2.News]] = []
         self.breaks = []
 
     def open_news(self, address, *, on_broken):
-        """Returns a stream that keeps what is sent."""
+        """Returns a stream that records what is sent."""
         del address
         self.sent.append([])
         self.breaks.append(on_broken)
@@ -178,13 +180,13 @@
         return Ok(None)
 
 
-async def what_matters_at_once_is_told_without_a_stream():
-    """Long prompts are announced to peers by datagrams with a proof.
+async def urgent_updates_are_sent_as_datagrams():
+    """Long prompts are announced to peers by authenticated datagrams.
 
-    Symptom if it fails: two daemons send their prompts to one idle engine, or
-    a stranger makes an engine look busy.
-    Sequence: a daemon spreads news to a peer that listens and to one that is
-    gone; a stranger spreads the same.
+    Guards against two daemons that send their prompts to one idle engine, and a
+    foreign process that makes an engine look busy. A daemon sends an update to
+    a peer that listens and to one that is gone; a process with another secret
+    sends the same.
     """
     heard: list[peer_pb2.News] = []
     told = peer_pb2.News()
@@ -206,12 +208,12 @@
     assert heard == [told]
 
 
-async def ports_to_listen_on_are_no_outgoing_ones():
-    """Symptom: a test's daemon ends at once, "address already in use".
+async def test_ports_are_outside_the_ephemeral_range():
+    """Ports for test daemons are not those of outgoing connections.
 
-    Sequence: a port is chosen while it is free; the daemon's process starts,
-    which takes a second; an outgoing connection of any process has got the
-    port meanwhile. Cause: chosen among those that outgoing connections get.
+    Guards against a daemon that ends at once, "address already in use": a port
+    is chosen while it is free; the process takes a second to start, and an
+    outgoing connection of any process has got the port meanwhile.
     """
     listed = pathlib.Path("/proc/sys/net/ipv4/ip_local_port_range").read_text()
     first, last = map(int, listed.split())
@@ -220,12 +222,13 @@
     assert not [port for port in ports if first <= port <= last], ports
 
 
-async def ports_of_processes_beside_each_other_differ():
-    """Symptom: a stand-in ends at once, "address already in use".
+async def concurrent_processes_choose_different_ports():
+    """Test processes never choose the same port.
 
-    Sequence: features run in three processes; one chooses a port, and what it
-    starts there listens a second later; another one has chosen it meanwhile.
-    Cause: each looked only at what listens, and at what it had given itself.
+    Guards against a test server that ends at once, "address already in use":
+    features run in three processes; one chooses a port, whose server listens a
+    second later, and another one has chosen it meanwhile, since each checked
+    only what listens and what it had chosen itself.
     """
     script = (
         "from cluster import processes;"
@@ -256,12 +259,13 @@
     return address
 
 
-async def demand_is_told_again_when_a_stream_breaks():
-    """Symptom: two daemons split a limit by figures of long ago.
+async def demand_is_sent_again_when_a_stream_breaks():
+    """The last demand is sent again on a new stream.
 
-    Sequence: a daemon tells its demand; the stream breaks before the peer
-    reads it; the demand stays as it is. Cause: demand is told on changes
-    only, and the next change may be minutes away.
+    Guards against two daemons that split a limit by outdated figures: a daemon
+    sends its demand; the stream breaks before the peer reads it; the demand
+    does not change. Demand is sent only on changes, and the next one may be
+    minutes away.
     """
     streams = ScriptedStreams()
     told = _news(streams)
@@ -274,11 +278,12 @@
     told.close()
 
 
-async def demand_that_stays_is_told_once():
-    """Symptom: sixty daemons tell each other their demand five times a second.
+async def unchanged_demand_is_sent_once():
+    """Demand is not sent again while its relevant figures stay the same.
 
-    Cause: what was told held a figure that nobody reads, and that changed with
-    each request: the number in flight.
+    Guards against sixty daemons that send each other their demand five times a
+    second: the message contained a figure that nobody reads and that changed
+    with each request, the number in flight.
     """
     streams = ScriptedStreams()
     told = _news(streams)
@@ -291,12 +296,13 @@
     assert len(streams.sent[0]) == 1, streams.sent
 
 
-async def a_model_s_rate_is_told_when_it_moves():
-    """Symptom: sixty daemons tell each other of every request that comes.
+async def a_model_s_rate_is_sent_when_it_changes():
+    """Small variations of a model's request rate are not sent.
 
-    Sequence: the rate of a model's requests wavers by a tenth, then doubles.
-    Cause: a figure that only weighs others' load was told as exactly as one by
-    which limits are split.
+    Guards against sixty daemons that notify each other of every request: the
+    rate of a model's requests varies by a tenth, then doubles. A figure that
+    only weights others' load was sent as precisely as one by which limits are
+    split.
     """
     streams = ScriptedStreams()
     told = _news(streams)
@@ -352,8 +358,8 @@
             await asyncio.sleep(0.005)
 
 
-def a_table_passed_on_is_the_same_table() -> None:
-    """Peers read what they were sent, compressed or not, and nothing else."""
+def a_forwarded_table_is_unchanged() -> None:
+    """Peers decode what was sent, compressed or not, and nothing else."""
     told = routed_core.table(7, keys=tuple(f"key{n}" for n in range(280)))
     for number in range(140):
         name = f"workspace-{number}"
@@ -374,8 +380,8 @@
     assert tables.read(writer.reply(told, newest)) is None
 
 
-def a_damaged_table_is_not_taken_in() -> None:
-    """A reply that is cut, spoiled or too long is an error, not a table."""
+def a_damaged_table_is_rejected() -> None:
+    """A truncated, corrupted or oversized reply is an error, not a table."""
     asked = peer_pb2.TableRequest(accepts_deflate=True)
     whole = tables.TableWriter().reply(routed_core.table(3), asked)
     packed = whole.table_deflated
--- a/tests/cases/registry.py
+++ b/tests/cases/registry.py
@@ -1,4 +1,4 @@
-"""Finds cases by the sentence that names them."""
+"""Finds test cases by the sentences that name them."""
 
 from __future__ import annotations
 
--- a/tests/cases/rollout_bounds.py
+++ b/tests/cases/rollout_bounds.py
@@ -1,4 +1,4 @@
-"""Bounds that a roll-out keeps where loads are slow or servers are away."""
+"""Bounds of a roll-out when loads are slow or servers unreachable."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from godwittack.member import assignment, view
 from sim import fakes, loop
 
-# From an order under load to the report of new weights, where the requests
-# that run end first; seen were 1.0 to 3.2 s.
+# Time from an order under load to the report of new weights: running requests
+# end first, which takes 1.0 to 3.2 s.
 LOADED_S = 2.4
 ENGINES = 56
 
@@ -32,7 +32,7 @@
         self.most_loading = 0
 
     async def order(self, address, order):
-        """Takes an order unless one is under way."""
+        """Accepts an order unless the engine is loading."""
         now_ms = self.clock.now_ms()
         self.loading = {n: e for n, e in self.loading.items() if e > now_ms}
         if order.server_id in self.loading:
@@ -48,7 +48,7 @@
 
 
 class _Daemon(one_lead.Led):
-    """One of some daemons that lead the same engines by one table."""
+    """One of several daemons that may lead the same engines by one table."""
 
     def __init__(
         self, name: str, names, *, engines, table, use_limit_ms: int
@@ -76,7 +76,7 @@
         )
 
     async def hear(self) -> None:
-        """Learns the engines' weights, as polls tell them."""
+        """Polls the engines for their weights."""
         while True:
             for row in list(self.runtime.core.world.servers.values()):
                 got = await self.engines.load(
@@ -98,16 +98,16 @@
     )
 
 
-def leads_that_see_different_waits_do_not_take_turns() -> None:
-    """A lead that lives is not taken for lost while its loads last.
+def leads_that_see_different_waits_do_not_alternate() -> None:
+    """A running lead is not considered lost while its loads last.
 
-    How many may load follows from the wait, and daemons see it differently:
-    each knows best what it sent itself. Where older weights may be used for
-    any time, the lead has nine of 56 engines at work by its wait, and orders
-    none for as long as their loads take, 1.0 to 3.2 s under load. The second
-    in rank waits 2 s, has room for 20 by its own wait, and takes the lease;
-    the first begins its roll-out anew, its own loads held as another's. With
-    one load at a time the one held left no room:
+    How many may load follows from the wait, which each daemon sees differently:
+    it knows its own requests best. Where older weights may be used without
+    limit, the lead loads nine of 56 engines by its wait and gives no order
+    until these finish, 1.0 to 3.2 s under load. The second in rank waited 2 s,
+    had 20 slots by its own wait, and took the lease. The first then started its
+    roll-out again, with its own loads held as another's. With one load at a
+    time the held one left no slot:
 
         event=rollout behind=40 loading=0 held=1 room=0 pressed=1 (edge-2)
     """
@@ -140,12 +140,12 @@
     one_lead.play(case())
 
 
-def loads_longer_than_their_limit_take_no_more_out_of_service() -> None:
-    """An engine whose load lasts longer than expected is still loading.
+def loads_past_their_limit_take_no_more_servers_out_of_service() -> None:
+    """An engine whose load exceeds the expected time is still loading.
 
-    After the limit of a load an order was taken for lost: the engine was
-    drained and ordered again, refused that because it was at work, and went
-    behind the others, whose turn came at once. So 34 of 56 were out of
+    After the time limit of a load the order was considered lost: the engine was
+    drained and ordered again, refused because it was loading, and was ranked
+    behind the others, which were ordered at once. So 34 of 56 were out of
     service where 20 may be, and two of a fleet of two.
     """
 
@@ -164,12 +164,13 @@
         one_lead.play(case(servers))
 
 
-def a_late_refusal_while_the_store_is_asked_ends_no_daemon() -> None:
-    """An answer to an earlier order may come in at any moment.
+def a_late_refusal_during_a_store_call_stops_no_daemon() -> None:
+    """An answer to an earlier order may arrive at any moment.
 
-    An engine was ordered, seemed away for a moment, and was drained again. The
-    refusal of its first order came while the store was asked for another's:
-    `event=loop_failed detail=KeyError('e1')`, and the daemon stopped itself.
+    An engine was ordered, seemed unreachable for a moment, and was drained
+    again. The refusal of its first order arrived during the store call for
+    another's: `event=loop_failed detail=KeyError('e1')`, and the daemon stopped
+    itself.
     """
 
     async def case() -> None:
@@ -200,7 +201,7 @@
 
         async def ask(server_ids):
             got = await record(server_ids)
-            # Drained anew for as long as that takes, so that its order is due.
+            # Drained again for long enough that its order is due.
             again = own.rollout._progress.get(name)
             if again is not None and again.step is rollout.Step.DRAINING:
                 drained_ms = led.clock.now_ms() - again.since_ms
@@ -220,12 +221,12 @@
     one_lead.play(case())
 
 
-def a_fleet_that_is_mostly_away_keeps_some_in_service() -> None:
-    """Of the servers that answer, half at most load at one time.
+def a_mostly_unreachable_fleet_keeps_some_in_service() -> None:
+    """At most half of the reachable servers load at one time.
 
-    With two thirds of a fleet away, all that were left loaded together: the
-    number at one time followed from the whole fleet, and while no server
-    takes work no wait is seen, so that the load counts as low.
+    With two thirds of a fleet unreachable, all that were left loaded together:
+    the concurrency was derived from the whole fleet, and while no server takes
+    work no wait is seen, so that the load counts as low.
     """
     for fleet in (5, 22, 56, 112, 600):
         away = fleet * 2 // 3 + 1
@@ -244,16 +245,16 @@
             .draining
         )
         left = fleet - away
-        # The only one left has to load at some time.
+        # A single reachable server has to load at some time.
         assert len(drained) <= max(1, left // 2), (fleet, left, len(drained))
 
 
 def servers_that_get_no_work_do_not_lower_the_wait() -> None:
-    """The load is that of the servers that serve.
+    """The load is computed from the servers that serve.
 
-    When most weights became too old for use, the wait seen fell from 134 to
+    When most weights became too old for use, the observed wait fell from 134 to
     73 ms, since nothing waits where nothing is sent, and the load counted as
-    low at the moment when few carried it all:
+    low while few servers carried all of it:
 
         event=rollout behind=39 too_old=0 room=1 pressed=1 wait_ms=134
         event=rollout behind=39 too_old=39 room=15 pressed=0 wait_ms=73
@@ -289,12 +290,12 @@
 
 
 def a_large_fleet_whose_requests_end_first_has_new_weights_in_time() -> None:
-    """Loads that wait for running requests are reckoned with from the start.
+    """Loads that wait for running requests are planned for from the start.
 
-    Under load a load was seen to take 1.0 to 3.2 s, since what runs ends
-    first. The time assumed is that of servers with little to do, so that the
-    first seconds went by with nine and then twelve of 56 at work; of loads of
-    2.1 s the last two ended too late. Three times twenty would have done.
+    Under load a load took 1.0 to 3.2 s, since running requests end first. The
+    initial estimate is that of lightly loaded servers, so that the first
+    seconds passed with nine and then twelve of 56 loading; with loads of 2.1 s
+    the last two ended too late. Three rounds of twenty would have been enough.
     """
 
     async def case() -> None:
--- a/tests/cases/rollouts.py
+++ b/tests/cases/rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-outs over many servers: their pace, and what is told of them."""
+"""Roll-outs over many servers: concurrency, order and log lines."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class _Lines(logging.Handler):
-    """Keeps the messages of log records."""
+    """Collects the messages of log records."""
 
     def __init__(self) -> None:
         super().__init__()
         self.lines: list[str] = []
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Takes in a record."""
+        """Records a message."""
         self.lines.append(record.getMessage())
 
 
@@ -44,12 +44,11 @@
         )
 
 
-def a_roll_out_under_load_tells_its_pace() -> None:
-    """The lines of a roll-out say why no further server is ordered.
+def a_roll_out_under_load_logs_its_progress() -> None:
+    """The log lines of a roll-out show why no further server is ordered.
 
-    Symptom: servers stay on old weights, and the log names orders alone.
-    Sequence: requests wait at all of 56 engines; weights are named.
-    Cause: nothing was written of what a step is decided from.
+    Guards against a log that names only orders while servers stay on old
+    weights: requests wait at all of 56 engines when new weights are published.
     """
 
     async def case() -> None:
@@ -66,12 +65,11 @@
     one_lead.play(case())
 
 
-def a_lead_without_the_store_says_so_once() -> None:
-    """A daemon that may not order tells why, when that changes.
+def a_lead_without_the_store_logs_it_once() -> None:
+    """A daemon that may not order logs the reason when it changes.
 
-    Symptom: no orders for seconds, and no line of any daemon says why.
-    Sequence: the store answers nothing for 3 s, and then again.
-    Cause: only orders and changes of the holder were written.
+    Guards against a log that names only orders and changes of the holder: the
+    store does not answer for 3 s, no orders are given, and no daemon logs why.
     """
 
     async def case() -> None:
@@ -88,14 +86,14 @@
 
 
 def a_large_fleet_under_load_has_new_weights_in_time() -> None:
-    """Weights reach every server before those that they replace are too old.
+    """Weights reach every server before the replaced ones are too old.
 
-    Requests ran on weights that had been replaced for longer than allowed, on
-    a fleet of 56 engines under load. While requests waited at the engines, one
-    at a time was taken out of service to load, however many there were and
-    however little time was left. Six had new weights after 4 s; 56 would have
-    needed 40. The lead itself was well, and so were 42 engines that had to
-    wait; its line 2.1 s after the naming, with one order given until then:
+    On a fleet of 56 engines under load, requests ran on replaced weights for
+    longer than allowed. While requests waited at the engines, one engine loaded
+    at a time, whatever the fleet and the time left. Six had new weights after 4
+    s; 56 would have needed 40 s. The lead itself worked, and so did 42 engines
+    that had to wait; its log line 2.1 s after the publication, with one order
+    given until then:
 
         event=rollout version=2 behind=42 unreachable=5 too_old=0
         oldest_ms=2109 draining=0 loading=1 held=0 room=1 pressed=1 wait_ms=400
@@ -112,13 +110,13 @@
     one_lead.play(case())
 
 
-def a_small_fleet_under_load_spares_all_but_one_while_there_is_time() -> None:
-    """The time left decides how many load; half of those that serve go on.
+def a_small_fleet_under_load_loads_one_at_a_time_while_there_is_time() -> None:
+    """The time left sets how many load; half of the usable ones keep serving.
 
-    Symptom: callers of five engines wait while two of them load, though there
-        was time for one after the other.
-    Sequence: requests wait at all engines; time goes by; engines are lost.
-    Cause: the number at one time follows from the fleet alone.
+    Guards against a concurrency derived from the fleet size alone: callers of
+    five engines waited while two of them loaded, though there was time to load
+    one after the other. Requests wait at all engines; time passes; engines are
+    lost.
     """
 
     def room(*, oldest_ms: int, usable: int = 5) -> int:
@@ -145,13 +143,12 @@
     )
 
 
-def servers_that_get_no_work_are_not_spared() -> None:
+def servers_that_get_no_work_load_at_once() -> None:
     """A server with weights too old for use loads at once, also under load.
 
-    Symptom: once weights are too old for use, a roll-out does not recover.
-    Sequence: a third of the servers get no work for the age of their weights;
-        requests wait at the others, which carry the load of all.
-    Cause: the load on those that serve kept those from loading that don't.
+    Guards against a roll-out that does not recover once weights are too old: a
+    third of the servers get no work because of it, requests wait at the others,
+    and the load on those kept the servers without work from loading.
     """
     rolling = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
     behind = [
@@ -164,13 +161,13 @@
     assert drained == ("r0", "r1", "r2", "r3"), drained
 
 
-def held_servers_without_work_leave_room_to_those_that_serve() -> None:
-    """Servers held for another lead that get no work take nobody's place.
+def servers_held_by_others_without_work_take_no_load_slot() -> None:
+    """Servers without work ordered by another lead do not use up load slots.
 
     A lead took over while ten servers whose weights were too old for use were
-    held for the lead before. They were counted against the room of those that
-    serve, so that none of these was ordered until the hold was over, though
-    the time for their weights ran out as well.
+    held for the previous lead. They counted against the load slots of serving
+    servers, so that none of these was ordered until the hold ended, though the
+    time for their weights ran out as well.
     """
     rolling = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
     replicas = [
@@ -188,11 +185,11 @@
 
 
 def the_oldest_weights_are_replaced_first() -> None:
-    """With namings that follow each other, no server is passed over.
+    """With publications in quick succession, no server is passed over.
 
-    Symptom: servers grow too old for use while others load twice.
-    Sequence: version 3 is named while half of the servers have version 2.
-    Cause: the least busy server goes first, whatever weights it has.
+    Guards against servers that become too old for use while others load twice:
+    version 3 is published while half of the servers have version 2, and the
+    least busy server goes first whatever weights it has.
     """
     rolling = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
     replicas = [
@@ -207,13 +204,12 @@
     assert drained == ("c", "d"), drained
 
 
-def a_server_with_any_newer_weights_is_drained_no_more() -> None:
+def newer_weights_end_a_drain_whoever_ordered_them() -> None:
     """A load that another lead ordered ends a drain as well.
 
-    Symptom: a server that has the newest weights gets no work for 20 s.
-    Sequence: it takes an order for version 2; another daemon takes over and
-        has it load version 3; the first has not heard of that yet.
-    Cause: only the version that the first had ordered ended its drain.
+    Guards against a server with the newest weights that gets no work for 20 s:
+    it accepts an order for version 2; another daemon takes over and has it load
+    version 3; only the version that the first lead had ordered ended its drain.
     """
     rolling = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
     rolling.decide(desired_version="2", replicas=[_replica("a")], now_ms=0)
@@ -224,11 +220,11 @@
     assert not after.draining, after
 
 
-def a_late_report_of_older_weights_is_no_end_of_a_load() -> None:
-    """Guards against more loads at one time than the store of weights bears."""
+def a_late_report_of_older_weights_does_not_end_a_load() -> None:
+    """Guards against more concurrent loads than the weight store supports."""
     rolling = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
     names = [f"s{number}" for number in range(40)]
-    # Too old for use, as far as this lead has heard.
+    # Too old for use, by the reports that this lead has.
     stale = [_replica(name, accepts_work=False) for name in names]
     rolling.decide(desired_version="5", replicas=stale, now_ms=0)
     first = rolling.decide(desired_version="5", replicas=stale, now_ms=100).load
@@ -249,13 +245,12 @@
     ).overview.loading
 
 
-def slow_loads_are_begun_earlier() -> None:
-    """Loads that take longer than those before make more load at a time.
+def slow_loads_are_started_earlier() -> None:
+    """Loads that take longer than earlier ones raise the concurrency.
 
-    Symptom: a roll-out that was to take 5 s takes 12.
-    Sequence: loads took 0.6 s while little was asked; now long requests end
-        before each load, which takes seconds, and none has ended yet.
-    Cause: the time of a load known only once the next one has ended.
+    Guards against a load time that is known only once the next load has ended:
+    loads took 0.6 s with little load; now long requests end before each load,
+    which takes seconds. A roll-out planned for 5 s took 12.
     """
     rolling = rollout.Rollout(
         rollout.RolloutPolicy(order_after_ms=100, use_limit_ms=12_000)
@@ -284,11 +279,11 @@
 
 
 def a_short_load_lowers_the_estimate_slowly() -> None:
-    """One server with nothing to do says little of those that are busy.
+    """The load time of one idle server says little about busy ones.
 
-    Symptom: each naming after a quiet moment is rolled out too slowly.
-    Sequence: loads take 2.4 s under load; one idle server takes 0.4 s.
-    Cause: the last load counted for half of the estimate.
+    Guards against an estimate in which the last load counts for half: loads
+    take 2.4 s under load, one idle server takes 0.4 s, and each roll-out after
+    a quiet moment is too slow.
     """
     seen = pacing.LoadTime()
     for took_ms in (2_400, 400):
@@ -298,12 +293,13 @@
     assert seen.estimate_ms == 3_000, seen
 
 
-def a_pause_of_the_lead_is_no_slow_load() -> None:
-    """Time in which the lead itself stood still says little of loads.
+def a_suspended_lead_does_not_count_as_a_slow_load() -> None:
+    """Time in which the lead was suspended is not a load time.
 
-    A lead that was suspended for ten seconds took that for the time of a load.
-    The estimate fell by a fifth with each load after it: eleven later it still
-    had half of the fleet out of service under load, with time for a sixth.
+    A lead that was suspended for ten seconds recorded that as the time of a
+    load. The estimate fell by a fifth with each load after it: eleven loads
+    later it still had half of the fleet out of service under load, with time
+    for a sixth.
     """
     rolling = rollout.Rollout(
         rollout.RolloutPolicy(load_limit_ms=4_000, use_limit_ms=12_000)
@@ -321,12 +317,12 @@
     assert decided.overview.room < 20, decided.overview
 
 
-def a_server_that_refuses_each_order_serves_between_them() -> None:
-    """Between two tries a server that takes no order gets work.
+def a_server_that_refuses_each_order_serves_in_between() -> None:
+    """A server that refuses an order gets work until the next attempt.
 
     A server refused each order, as one whose weights can't be loaded does. It
-    was drained again with the next step: out of service in each of 200 steps
-    of a tenth of a second, with 100 orders and a write of the store for each.
+    was drained again with the next step: out of service in each of 200 steps of
+    a tenth of a second, with 100 orders and a store write for each.
     """
     rolling = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
     replicas = [_replica("a")]
@@ -344,13 +340,13 @@
     assert drained <= 40, drained
 
 
-def a_refused_order_counts_for_its_version_alone() -> None:
-    """A server that took no order once is not last for ever.
+def a_refused_order_counts_for_its_version_only() -> None:
+    """A server that refused one order is not ranked last forever.
 
-    Symptom: a server grows too old for use while others load several times.
-    Sequence: it refuses an order for version 2, as while it starts; versions
-        3 and 4 are named; the others are loaded before it each time.
-    Cause: refusals counted for as long as the lead leads.
+    Guards against refusals that count for as long as the lead leads: a server
+    refuses an order for version 2, for instance while it starts; versions 3 and
+    4 are published; the others load before it each time, and it becomes too old
+    for use.
     """
     rolling = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
     replicas = [_replica(name) for name in ("a", "b", "c", "d")]
--- a/tests/cases/serving.py
+++ b/tests/cases/serving.py
@@ -1,4 +1,4 @@
-"""Which daemons of a large fleet carry its traffic."""
+"""Which daemons of a large fleet serve its callers."""
 
 from __future__ import annotations
 
@@ -35,10 +35,10 @@
 
 
 def callers_of_a_large_fleet_are_sent_to_few_daemons() -> None:
-    """Each failure domain has its part of the set, of its largest machines.
+    """Each failure domain has a share of the set, on its largest machines.
 
-    Spread over all, half of the requests reached daemons that knew nothing
-    of the servers they needed.
+    With callers spread over all daemons, half of the requests reached daemons
+    that knew nothing of the servers they needed.
     """
     chosen = serving.choose(_fleet(), POLICY)
     assert len(chosen.serving) == POLICY.serving
@@ -58,18 +58,18 @@
 
 
 def all_daemons_of_a_small_fleet_serve() -> None:
-    """Up to the limit, nobody is left out, not even the smallest machine."""
+    """Up to the limit all daemons serve, even on the smallest machine."""
     for count in (1, 7, 63, POLICY.mesh_limit):
         chosen = serving.choose(_fleet(count), POLICY)
         assert _ids(chosen.serving) == _ids(_fleet(count)), count
         assert not chosen.standby, count
 
 
-def a_lost_daemon_is_replaced_by_one_that_is_up_to_date() -> None:
-    """A suspected daemon is named no more; a standby takes its place alone.
+def a_lost_daemon_is_replaced_by_one_standby() -> None:
+    """A suspected daemon is no longer advertised; one standby replaces it.
 
-    A set that moves as a whole with each loss would send all callers to
-    daemons without connections, loads and caches.
+    A set that changed entirely with each loss would send all callers to daemons
+    without connections, load reports and cache state.
     """
     fleet = _fleet()
     before = serving.choose(fleet, POLICY)
@@ -89,9 +89,9 @@
 
 
 def a_restarted_fleet_has_the_same_serving_set() -> None:
-    """Callers that kept addresses over a loss of power find who serves.
+    """Addresses that callers kept over a power loss still serve.
 
-    Ranked by the ids of processes, it was another set after each restart.
+    Ranked by process id, the set was a different one after each restart.
     """
     before = serving.choose(_fleet(), POLICY)
     restarted = [
@@ -113,8 +113,8 @@
     assert set(named) == {m.http_address for m in chosen.serving}
 
 
-def an_overloaded_daemon_calls_in_another() -> None:
-    """The set grows by one where one of its daemons is overloaded."""
+def an_overloaded_daemon_adds_a_standby_to_the_serving_set() -> None:
+    """The set grows by one when one of its daemons is overloaded."""
     fleet = _fleet()
     before = serving.choose(fleet, POLICY)
     busy = before.serving[0]
@@ -130,10 +130,11 @@
     assert len(come) == 1 and come <= _ids(before.standby), come
 
 
-def views_that_differ_name_mostly_the_same_daemons() -> None:
-    """Two views that each miss a tenth of the fleet agree on most of a set.
+def views_that_differ_choose_mostly_the_same_daemons() -> None:
+    """Two views that each lack a tenth of the fleet agree on most of a set.
 
-    Chosen by position in a list, one member more or less would move all.
+    Chosen by position in a list, the set would change entirely with one member
+    more or less.
     """
     rng = random.Random(5)
     fleet = _fleet()
@@ -150,8 +151,8 @@
         assert common >= 0.75 * POLICY.serving, common
 
 
-def a_fleet_that_grows_through_the_limit_serves_all_the_time() -> None:
-    """With each size from 1 to 340 and back, every domain has daemons."""
+def a_fleet_that_grows_past_the_limit_serves_all_the_time() -> None:
+    """At each size from 1 to 340 and back, every domain has daemons."""
     for count in (*range(1, 341), *range(340, 0, -1)):
         fleet = _fleet(count)
         chosen = serving.choose(fleet, POLICY)
@@ -160,15 +161,15 @@
 
 
 def members_without_a_known_domain_serve() -> None:
-    """An empty or unknown failure domain is a domain of its own."""
+    """An empty or unknown failure domain counts as a separate domain."""
     fleet = [*_fleet(), *(_member(n, failure_domain="") for n in (500, 501))]
     chosen = serving.choose(fleet, POLICY)
     assert {"edge-500", "edge-501"} <= _ids(chosen.serving)
     assert directory.choose(chosen.serving, failure_domain="nowhere")
 
 
-def lasting_lag_alone_counts_as_overload() -> None:
-    """A suspended machine is not overloaded; a busy one is, for a while."""
+def only_lasting_lag_counts_as_overload() -> None:
+    """A suspended machine is not overloaded; one busy for a while is."""
     detector = overload.OverloadDetector()
     assert not detector.observe(8_000, now_ms=0)
     now_ms = 0
@@ -186,8 +187,8 @@
     )
 
 
-def news_of_overload_reaches_other_views() -> None:
-    """What a daemon says of itself later replaces what it said before."""
+def a_change_of_overload_reaches_other_views() -> None:
+    """A daemon's later state replaces its earlier one."""
     own = view.View(
         me=_member(1), policy=view.MemberPolicy(), rng=random.Random(1)
     )
--- a/tests/cases/starts.py
+++ b/tests/cases/starts.py
@@ -1,4 +1,4 @@
-"""What the harness says of a start of daemons that goes wrong."""
+"""What the test harness reports when daemons fail to start."""
 
 from __future__ import annotations
 
@@ -35,10 +35,10 @@
 
 
 class Stranger(http.server.BaseHTTPRequestHandler):
-    """Answers as a daemon of another cluster does, of the same name."""
+    """Answers like a daemon of the same name in another cluster."""
 
     def do_GET(self):
-        """Says that it lives, alone, and serves."""
+        """Reports itself as the only member, alive and serving."""
         stranger_id = "entry-1@stranger"
         told = {"daemon": stranger_id, "members": {stranger_id: "alive"}}
         body = json.dumps(told).encode()
@@ -53,13 +53,13 @@
 
 
 def a_scenario_that_ends_in_an_error_shows_its_logs():
-    """A start of three daemons timed out, and nobody could say why.
+    """The daemons' logs are printed when a scenario ends in an error.
 
-    The harness prints the daemons' logs when a scenario fails. A wait that
-    times out raises an error of the harness, and to behave such a scenario
-    has not "failed" but ended in an "error": after a failed assertion the
-    output held "event=serving daemon=entry-1@4a820845", after a wait that
-    timed out it held the traceback alone.
+    A start of three daemons timed out and left no cause. The harness printed
+    logs when a scenario failed, but a wait that times out raises an error of
+    the harness, and behave marks such a scenario as "error", not as "failed":
+    after a failed assertion the output held "event=serving
+    daemon=entry-1@4a820845", after a wait that timed out only the traceback.
     """
     with tempfile.TemporaryDirectory(prefix="godwittack-") as folder:
         path = pathlib.Path(folder)
@@ -90,16 +90,16 @@
     assert SHOWN_LINE in output, output
 
 
-def a_stranger_on_the_port_of_a_daemon_is_not_taken_for_it():
-    """A start timed out "waiting until entry-1 knows the others".
+def a_foreign_process_on_a_daemon_s_port_is_detected():
+    """The harness checks that answers on a port come from its own daemon.
 
-    It looked as if membership had failed. A daemon of another cluster had got
-    entry-1's HTTP port between its choice and its use. Entry-1 ended at once,
-    "address already in use", but the stranger's answers on the port were taken
-    for its own: it was up, and its members stayed {"alien-1@82ca1271"} while
-    entry-2 and entry-3 knew each other. Eleven starts were disturbed in other
-    ways, with another port held, a peer late, stopped or killed, or datagrams
-    lost; none of them said so.
+    A start timed out "waiting until entry-1 knows the others", as if membership
+    had failed. A daemon of another cluster had got entry-1's HTTP port between
+    its choice and its use. Entry-1 ended at once, "address already in use", but
+    the other's answers on the port were attributed to it: it was up, and its
+    members stayed {"alien-1@82ca1271"} while entry-2 and entry-3 knew each
+    other. Eleven starts disturbed in other ways (another port occupied, a peer
+    late, stopped or killed, datagrams lost) gave no such message.
     """
     cluster = processes.Cluster()
     stranger = None
@@ -121,12 +121,12 @@
     assert "in use" in problem, problem
 
 
-def a_wait_for_members_tells_whom_each_daemon_sees():
-    """A start timed out, and its message held what was waited for alone.
+def a_failed_wait_for_members_shows_whom_each_daemon_sees():
+    """The error of a timed-out wait contains each daemon's members.
 
-    "Timed out waiting until entry-1 knows the others" left open whether a
-    member was missing, one too many was there, or entry-1 was no longer asked
-    at all. Here three are waited for and two were started.
+    "Timed out waiting until entry-1 knows the others" did not show whether a
+    member was missing, one too many was there, or entry-1 no longer answered.
+    Here three daemons are awaited and two were started.
     """
     with _daemons("entry-1", "entry-2") as cluster:
         cluster.reserve_daemons("entry-3")
@@ -140,11 +140,11 @@
     assert "entry-3 sees nobody" in problem, problem
 
 
-def a_daemon_that_has_ended_is_not_waited_for():
-    """A daemon ended while three waited for each other, and none said so.
+def a_daemon_that_has_exited_is_not_waited_for():
+    """A wait for members ends as soon as one of the daemons has exited.
 
-    The wait went on for 30 s and ended by "timed out waiting until entry-2
-    knows the others", which was killed after it had answered.
+    The wait continued for 30 s and ended with "timed out waiting until entry-2
+    knows the others", though entry-2 was killed after it had answered.
     """
     with _daemons("entry-1", "entry-2") as cluster:
         cluster.kill("entry-2")
@@ -159,7 +159,7 @@
 
 @contextlib.contextmanager
 def _daemons(*names: str):
-    """Runs daemons that have answered."""
+    """Runs daemons that have answered once."""
     cluster = processes.Cluster()
     try:
         cluster.start_platform()
@@ -174,7 +174,7 @@
 
 
 def _problem(wait) -> str:
-    """Returns what a wait in vain says; empty if it succeeds."""
+    """Returns the error of a failed wait; empty if it succeeds."""
     try:
         wait()
     except processes.StepError as error:
--- a/tests/features/crashing.feature
+++ b/tests/features/crashing.feature
@@ -36,11 +36,11 @@
       | quarantines | an older completed run takes back no newer one |
       | quarantines | news that is lost is made up for |
       | quarantines | crashes remembered are bounded |
-      | crash_rows | rows that cannot be read are passed over |
-      | crash_rows | a store that is down is asked again |
+      | crash_rows | unreadable rows are skipped |
+      | crash_rows | a call to an unavailable store is retried |
       | crash_rows | a quarantine that was lifted stays so |
       | crash_rows | a quarantine that another daemon lifted stays so |
       | crash_rows | crashes before a quarantine outlive the daemons |
       | crash_rows | a completed run clears crashes before a quarantine |
-      | crash_rows | crashes of long ago are not read |
-      | crash_rows | daemons that see no crash make no call |
+      | crash_rows | expired crashes are not read |
+      | crash_rows | daemons without crashes make no store call |
--- a/tests/features/platform.feature
+++ b/tests/features/platform.feature
@@ -37,48 +37,48 @@
 
     Examples: peers
       | group | case |
-      | peers | news arrive in order with their sender |
+      | peers | updates arrive in order with their sender |
       | peers | calls are answered |
-      | peers | a stranger gets neither answers nor streams |
-      | peers | what cannot be read is refused |
+      | peers | a peer with another secret gets neither answers nor streams |
+      | peers | unreadable messages are refused |
       | peers | a server that stops ends its streams at once |
-      | peers | what matters at once is told without a stream |
-      | peers | ports to listen on are no outgoing ones |
-      | peers | ports of processes beside each other differ |
-      | peers | demand is told again when a stream breaks |
-      | peers | demand that stays is told once |
-      | peers | a model's rate is told when it moves |
-      | peers | a table passed on is the same table |
-      | peers | a damaged table is not taken in |
+      | peers | urgent updates are sent as datagrams |
+      | peers | test ports are outside the ephemeral range |
+      | peers | concurrent processes choose different ports |
+      | peers | demand is sent again when a stream breaks |
+      | peers | unchanged demand is sent once |
+      | peers | a model's rate is sent when it changes |
+      | peers | a forwarded table is unchanged |
+      | peers | a damaged table is rejected |
 
     Examples: patience
       | group    | case |
-      | patience | a head that never ends is not waited for |
-      | patience | a connection kept for nothing is closed |
-      | patience | a request being served is no idle connection |
-      | patience | no limit ends nothing |
-      | patience | a compressed body is passed on as it came |
+      | patience | unfinished request headers time out |
+      | patience | an idle connection is closed |
+      | patience | a connection with a running request is not idle |
+      | patience | without limits no connection is closed |
+      | patience | a compressed body is forwarded unchanged |
 
     Examples: bytes
       | group | case |
-      | fuzz  | an answer is whole or none however it is cut |
-      | fuzz  | bytes that are no answer are none |
-      | fuzz  | events are the same however they are cut |
-      | fuzz  | a spoiled request is answered or closed |
+      | fuzz  | an answer is complete or rejected however it is split |
+      | fuzz  | malformed answers are rejected |
+      | fuzz  | events are the same however they are split |
+      | fuzz  | a corrupted request is answered or its connection closed |
 
     Examples: entries
       | group   | case |
-      | entries | a bad entry names no server and the others hold |
-      | entries | bytes of any kind in a row hurt no other |
-      | entries | servers that tell no start are named by their id |
-      | entries | of two rows with an address the later start counts |
-      | entries | a bad row of weights keeps the version in force |
-      | entries | a server that starts again has nothing of before |
-      | entries | late news of the start before is dropped |
-      | entries | an answer of the start before changes nothing |
-      | entries | an order to the start before is not waited for |
-      | entries | reports and events bear the start |
-      | entries | an engine that tells no weights gets no work |
+      | entries | an invalid entry is skipped and the others are used |
+      | entries | corrupted bytes in a row affect no other row |
+      | entries | servers without a start time are identified by their id |
+      | entries | of two rows with one address the later start wins |
+      | entries | an invalid weights row keeps the active version |
+      | entries | a restarted server keeps no earlier state |
+      | entries | late updates of an earlier incarnation are dropped |
+      | entries | an answer of an earlier incarnation changes nothing |
+      | entries | an order to an earlier incarnation is not awaited |
+      | entries | reports and events carry the incarnation |
+      | entries | an engine that reports no weights gets no work |
 
     Examples: pace of engines
       | group | case |
@@ -107,90 +107,90 @@
 
     Examples: a server's bytes
       | group | case |
-      | connections | what is out of time is not sent |
-      | connections | what its server wants no more is not sent |
-      | connections | another process tells nothing of a server |
-      | connections | control calls tell of their server |
-      | connections | our own interface hears that a server wants rest |
-      | connections | a kept connection is used again |
-      | connections | a second answer reaches nobody |
-      | connections | a late answer to another is read past |
-      | connections | an answer cut short is none |
-      | connections | an answer without length ends in order |
-      | connections | a server's word that nothing ran is told apart |
-      | connections | a body answered early is sent to its end |
-      | connections | a stream is cut back to whole events |
-      | connections | a stream ends with its server's end |
-      | connections | a server that is not there got nothing |
-      | connections | a call turned away on connecting got nothing |
-      | connections | a connection closed while idle is not used |
+      | connections | a call past its deadline is not sent |
+      | connections | a call is not sent once its server rests or leaves |
+      | connections | signals of another process are ignored |
+      | connections | control calls report their server's signals |
+      | connections | the HTTP backend reports a requested rest |
+      | connections | an idle connection is reused |
+      | connections | a second answer to one request is discarded |
+      | connections | a late answer to another request is skipped |
+      | connections | a truncated answer is rejected |
+      | connections | an answer without a length ends with its connection |
+      | connections | declined calls are distinguished from failed ones |
+      | connections | a body is sent to its end after an early answer |
+      | connections | a broken stream delivers only whole events |
+      | connections | a stream ends with its last chunk |
+      | connections | a refused connection counts as not sent |
+      | connections | a reset on connecting counts as not sent |
+      | connections | a connection closed while idle is not reused |
       | connections | a cancelled attempt closes its connection |
 
     Examples: the store's rows
       | group | case |
-      | following | changes are merged and told |
-      | following | lost history is read anew |
-      | following | a stale reading takes nothing back |
-      | following | a long call confirms from its answer on |
-      | following | an answer that was held up confirms less |
-      | following | an outage keeps what is known |
-      | following | a row made and removed unseen is a version |
+      | following | changes are merged and published |
+      | following | lost history leads to a new snapshot |
+      | following | a stale read reverts nothing |
+      | following | a long poll confirms from its answer on |
+      | following | a delayed answer is dated by the store's clock |
+      | following | an outage keeps the last known rows |
+      | following | a row added and removed unseen advances the version |
 
     Examples: the lead of a model
       | group   | case |
       | leading | servers that may not be ordered are not drained |
-      | leading | a roll out begins at once |
-      | leading | a row by another writer hides no order |
-      | leading | a server that leaves while the store is asked is not ordered |
-      | leading | a roll out goes on without pauses |
-      | leading | an old fencing number ends the term |
-      | leading | a server whose address another has is not ordered again |
-      | leading | a server is drained anew for each load |
-      | leading | a lead that was cut off takes nothing over unseen |
-      | leading | a drain by the lead before is told again |
+      | leading | a roll out starts at once |
+      | leading | an unreadable lease row hides no order |
+      | leading | a server that leaves during a store call is not ordered |
+      | leading | a roll out continues without pauses |
+      | leading | a rejected fencing number ends the lead |
+      | leading | a server whose address was reused is not ordered again |
+      | leading | a server is drained again for each load |
+      | leading | a lead that was cut off does not overwrite a new holder |
+      | leading | a previous lead's drain is announced again |
 
     Examples: roll-outs over many servers
       | group    | case |
-      | rollouts | a roll out under load tells its pace |
-      | rollouts | a lead without the store says so once |
+      | rollouts | a roll out under load logs its progress |
+      | rollouts | a lead without the store logs it once |
       | rollouts | a large fleet under load has new weights in time |
-      | rollouts | a small fleet under load spares all but one while there is time |
-      | rollouts | servers that get no work are not spared |
+      | rollouts | a small fleet under load loads one at a time while there is time |
+      | rollouts | servers that get no work load at once |
       | rollouts | the oldest weights are replaced first |
-      | rollouts | slow loads are begun earlier |
+      | rollouts | slow loads are started earlier |
       | rollouts | a short load lowers the estimate slowly |
-      | rollouts | a refused order counts for its version alone |
-      | rollouts | a server with any newer weights is drained no more |
-      | rollouts | a late report of older weights is no end of a load |
-      | rollouts | held servers without work leave room to those that serve |
-      | rollouts | a pause of the lead is no slow load |
-      | rollouts | a server that refuses each order serves between them |
+      | rollouts | a refused order counts for its version only |
+      | rollouts | newer weights end a drain whoever ordered them |
+      | rollouts | a late report of older weights does not end a load |
+      | rollouts | servers held by others without work take no load slot |
+      | rollouts | a suspended lead does not count as a slow load |
+      | rollouts | a server that refuses each order serves in between |
 
     Examples: what peers say of the store
       | group | case |
-      | freshness | an answer that waited is not fresh |
+      | freshness | a peer's delayed answer is dated by its request |
       | freshness | a peer with a newer version confirms nothing |
       | freshness | a peer that lags confirms nothing |
-      | freshness | ages add up over many daemons |
-      | freshness | a daemon rests while peers confirm |
-      | freshness | rows that can't be read confirm nothing |
-      | freshness | a gap in the list's changes is seen |
-      | freshness | entries that lapse in an outage are kept for a while |
-      | freshness | a leaving server is told by readers at once |
-      | freshness | a reader that keeps entries back claims no newer list |
-      | freshness | a gap is read also while more news comes |
-      | freshness | what is told while entries are kept back is taken in |
-      | freshness | an answer that was long on its way brings nobody back |
-      | freshness | older word does not replace what was read here |
-      | freshness | an entry that came back by a peer's word stays |
-      | freshness | news that waits is not told over a gap |
+      | freshness | confirmation ages add up over many daemons |
+      | freshness | a daemon does not poll while peers confirm |
+      | freshness | unreadable rows confirm nothing |
+      | freshness | a gap in the list's changes is detected |
+      | freshness | entries that expire in an outage are kept for a while |
+      | freshness | a leaving server is announced by readers at once |
+      | freshness | a reader that retains expired entries claims no newer list |
+      | freshness | a gap is repaired while more updates arrive |
+      | freshness | updates sent while entries are retained are applied |
+      | freshness | a slow answer does not restore a removed server |
+      | freshness | an older update does not replace newer rows |
+      | freshness | an entry restored by a peer's update stays |
+      | freshness | queued updates are not merged over a gap |
 
     Examples: log lines
       | group | case |
-      | logs | a flood is bounded and tells whole stories |
-      | logs | a reader that stops holds nothing up |
+      | logs | log volume is bounded and requests are logged whole |
+      | logs | a stalled log reader blocks nothing |
       | logs | a failed request is explained by its id |
-      | logs | a value from outside forges no line |
+      | logs | an external value forges no log line |
 
     Examples: long prompts and their cached levels
       | group | case |
@@ -213,46 +213,46 @@
 
     Examples: bounds of roll-outs
       | group          | case |
-      | rollout_bounds | leads that see different waits do not take turns |
-      | rollout_bounds | loads longer than their limit take no more out of service |
-      | rollout_bounds | a fleet that is mostly away keeps some in service |
-      | rollout_bounds | a late refusal while the store is asked ends no daemon |
+      | rollout_bounds | leads that see different waits do not alternate |
+      | rollout_bounds | loads past their limit take no more servers out of service |
+      | rollout_bounds | a mostly unreachable fleet keeps some in service |
+      | rollout_bounds | a late refusal during a store call stops no daemon |
       | rollout_bounds | servers that get no work do not lower the wait |
       | rollout_bounds | a large fleet whose requests end first has new weights in time |
 
     Examples: daemons of a large fleet
       | group        | case |
-      | fleet_bounds | a model is led by a daemon that hears of its servers |
+      | fleet_bounds | a model is led by a daemon that receives its load reports |
       | fleet_bounds | each daemon of a large fleet may retry |
-      | fleet_bounds | a full server is not taken for gone |
-      | fleet_bounds | loads told in a large fleet are news |
+      | fleet_bounds | a full server is not considered gone |
+      | fleet_bounds | load reports in a large fleet arrive in time |
       | fleet_bounds | retries of a fleet stay within their budget |
-      | fleet_bounds | a server that turned a call away is used last for a while |
-      | fleet_bounds | an ejected engine is asked by the daemon that follows it |
-      | fleet_bounds | a daemon without reports asks an ejected engine itself |
-      | fleet_bounds | a member is passed on a bounded number of times |
+      | fleet_bounds | a server that reset a call is used last for a while |
+      | fleet_bounds | an ejected engine is probed by its watcher only |
+      | fleet_bounds | a daemon without reports probes an ejected engine itself |
+      | fleet_bounds | a member is gossiped a bounded number of times |
 
     Examples: starts of test clusters
       | group  | case |
       | starts | a scenario that ends in an error shows its logs |
-      | starts | a stranger on the port of a daemon is not taken for it |
-      | starts | a wait for members tells whom each daemon sees |
-      | starts | a daemon that has ended is not waited for |
+      | starts | a foreign process on a daemon's port is detected |
+      | starts | a failed wait for members shows whom each daemon sees |
+      | starts | a daemon that has exited is not waited for |
 
     Examples: daemons that start
       | group   | case |
-      | joining | a daemon that does not listen yet is named to nobody |
+      | joining | a daemon that does not listen yet is not advertised |
 
     Examples: daemons that carry the traffic
       | group   | case |
       | serving | callers of a large fleet are sent to few daemons |
       | serving | all daemons of a small fleet serve |
-      | serving | a lost daemon is replaced by one that is up to date |
+      | serving | a lost daemon is replaced by one standby |
       | serving | a restarted fleet has the same serving set |
       | serving | a lost failure domain leaves the others serving |
-      | serving | an overloaded daemon calls in another |
-      | serving | views that differ name mostly the same daemons |
-      | serving | a fleet that grows through the limit serves all the time |
+      | serving | an overloaded daemon adds a standby to the serving set |
+      | serving | views that differ choose mostly the same daemons |
+      | serving | a fleet that grows past the limit serves all the time |
       | serving | members without a known domain serve |
-      | serving | lasting lag alone counts as overload |
-      | serving | news of overload reaches other views |
+      | serving | only lasting lag counts as overload |
+      | serving | a change of overload reaches other views |
--- a/tests/features/platform_path.feature
+++ b/tests/features/platform_path.feature
@@ -8,19 +8,19 @@
     Examples: the path
       | group | case |
       | adapter | every kind of request is served whole |
-      | adapter | what is not allowed is said so |
+      | adapter | invalid requests get a status of their own |
       | adapter | nothing is ready before the first table |
-      | adapter | a large fleet serves by some of its daemons |
-      | adapter | a key taken away is refused within its bound |
-      | adapter | an outage of the store ends keys alone |
-      | adapter | lost history is survived |
+      | adapter | a large fleet serves from some of its daemons |
+      | adapter | a revoked key is refused within its time limit |
+      | adapter | a store outage ends only the use of keys |
+      | adapter | a daemon recovers from lost store history |
       | adapter | weights are rolled out once |
-      | adapter | a stream that breaks goes on elsewhere |
+      | adapter | a broken stream resumes at another engine |
       | adapter | a broken stream never looks whole |
       | adapter | a caller that leaves ends the work |
       | adapter | a planned stop cuts nothing |
-      | adapter | a server that drains gets nothing new |
-      | adapter | settings that lack a value are named |
-      | adapter | names of the wire stand in one folder |
-      | adapter | the adapter decides nothing |
+      | adapter | a draining server gets no new requests |
+      | adapter | a missing setting is named |
+      | adapter | wire names appear only in the adapter |
+      | adapter | the adapter makes no decisions |
       | adapter | a short soak keeps every promise |
