--- a/tests/cases/freshness.py
+++ b/tests/cases/freshness.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from cases import following as cases
+from cases import feed_follower as cases
 from godwittack.member.freshness import Belief, Freshness, Topic
 from godwittack.peer import pending
 from godwittack.store import protocol
--- a/tests/features/platform.feature
+++ b/tests/features/platform.feature
@@ -51,34 +51,34 @@
       | peers | a forwarded table is unchanged |
       | peers | a damaged table is rejected |
 
-    Examples: patience
-      | group    | case |
-      | patience | unfinished request headers time out |
-      | patience | an idle connection is closed |
-      | patience | a connection with a running request is not idle |
-      | patience | without limits no connection is closed |
-      | patience | a compressed body is forwarded unchanged |
+    Examples: timeouts of callers' connections
+      | group               | case |
+      | connection_timeouts | unfinished request headers time out |
+      | connection_timeouts | an idle connection is closed |
+      | connection_timeouts | a connection with a running request is not idle |
+      | connection_timeouts | without limits no connection is closed |
+      | connection_timeouts | a compressed body is forwarded unchanged |
 
-    Examples: bytes
+    Examples: malformed bytes
       | group | case |
       | fuzz  | an answer is complete or rejected however it is split |
       | fuzz  | malformed answers are rejected |
       | fuzz  | events are the same however they are split |
       | fuzz  | a corrupted request is answered or its connection closed |
 
-    Examples: entries
-      | group   | case |
-      | entries | an invalid entry is skipped and the others are used |
-      | entries | corrupted bytes in a row affect no other row |
-      | entries | servers without a start time are identified by their id |
-      | entries | of two rows with one address the later start wins |
-      | entries | an invalid weights row keeps the active version |
-      | entries | a restarted server keeps no earlier state |
-      | entries | late updates of an earlier incarnation are dropped |
-      | entries | an answer of an earlier incarnation changes nothing |
-      | entries | an order to an earlier incarnation is not awaited |
-      | entries | reports and events carry the incarnation |
-      | entries | an engine that reports no weights gets no work |
+    Examples: instance entries
+      | group         | case |
+      | instance_rows | an invalid entry is skipped and the others are used |
+      | instance_rows | corrupted bytes in a row affect no other row |
+      | instance_rows | servers without a start time are identified by their id |
+      | instance_rows | of two rows with one address the later start wins |
+      | instance_rows | an invalid weights row keeps the active version |
+      | instance_rows | a restarted server keeps no earlier state |
+      | instance_rows | late updates of an earlier incarnation are dropped |
+      | instance_rows | an answer of an earlier incarnation changes nothing |
+      | instance_rows | an order to an earlier incarnation is not awaited |
+      | instance_rows | reports and events carry the incarnation |
+      | instance_rows | an engine that reports no weights gets no work |
 
     Examples: pace of engines
       | group | case |
@@ -105,7 +105,7 @@
       | weights | news after a long silence leaves a quarter of the limit |
       | weights | a calm daemon dates a naming a second early at most |
 
-    Examples: a server's bytes
+    Examples: server connections
       | group | case |
       | connections | a call past its deadline is not sent |
       | connections | a call is not sent once its server rests or leaves |
@@ -127,14 +127,14 @@
       | connections | a cancelled attempt closes its connection |
 
     Examples: the store's rows
-      | group | case |
-      | following | changes are merged and published |
-      | following | lost history leads to a new snapshot |
-      | following | a stale read reverts nothing |
-      | following | a long poll confirms from its answer on |
-      | following | a delayed answer is dated by the store's clock |
-      | following | an outage keeps the last known rows |
-      | following | a row added and removed unseen advances the version |
+      | group         | case |
+      | feed_follower | changes are merged and published |
+      | feed_follower | lost history leads to a new snapshot |
+      | feed_follower | a stale read reverts nothing |
+      | feed_follower | a long poll confirms from its answer on |
+      | feed_follower | a delayed answer is dated by the store's clock |
+      | feed_follower | an outage keeps the last known rows |
+      | feed_follower | a row added and removed unseen advances the version |
 
     Examples: the lead of a model
       | group   | case |
@@ -166,7 +166,7 @@
       | rollouts | a suspended lead does not count as a slow load |
       | rollouts | a server that refuses each order serves in between |
 
-    Examples: what peers say of the store
+    Examples: confirmations by peers
       | group | case |
       | freshness | a peer's delayed answer is dated by its request |
       | freshness | a peer with a newer version confirms nothing |
@@ -243,7 +243,7 @@
       | group   | case |
       | joining | a daemon that does not listen yet is not advertised |
 
-    Examples: daemons that carry the traffic
+    Examples: daemons that serve callers
       | group   | case |
       | serving | callers of a large fleet are sent to few daemons |
       | serving | all daemons of a small fleet serve |
--- a/tests/features/steps/fleet_steps.py
+++ b/tests/features/steps/fleet_steps.py
@@ -52,7 +52,9 @@
         assert len(live) == context.daemons, (daemon.name, len(live))
 
 
-@when("servers come and go while <news is lost, readers die, links are cut>")
+@when(
+    "servers come and go while <updates are lost, readers die, links are cut>"
+)
 def list_changes(context):
     """Plays 180 s of changes and faults."""
     context.fleet = loop.run(_list_session(context.daemons))
@@ -88,8 +90,8 @@
 
 
 @when(
-    'workspace "desk" wants more than its limit of 100 at its three daemons and'
-    " a fourth"
+    'workspace "desk" demands more than its limit of 100 at its three daemons'
+    " and a fourth"
 )
 def demand(context):
     """Plays steady demand until the shares are settled."""
@@ -97,8 +99,7 @@
 
 
 @then(
-    "these let {least:d} to {most:d} through before they have heard of each"
-    " other"
+    "these admit {least:d} to {most:d} requests before they know of each other"
 )
 def first_shares(context, least, most):
     """Checks what the four let through at once."""
@@ -116,7 +117,7 @@
     assert least <= total <= most, context.fleet.shares
 
 
-@then("no other daemon was told of the demand")
+@then("no other daemon received the demand")
 def untold(context):
     """Checks the figures that the others hold."""
     for daemon in context.fleet.alive():
@@ -137,7 +138,7 @@
     assert min(len(names) for names in heard.values()) >= least, heard
 
 
-@then("a daemon that goes moves no other")
+@then("a daemon that leaves changes no other assignment")
 def no_moves(context):
     """Checks the audiences without one daemon."""
     gone = _names(340)[200]
@@ -170,7 +171,7 @@
             victim.kill()
         case "is paused":
             victim.pause()
-        case "hears nobody":
+        case "receives nothing":
             fleet.cuts |= {(a, victim.address) for a in fleet.seeds}
     await asyncio.sleep(6)
     return fleet
@@ -224,7 +225,7 @@
     fleet = await _started(daemons)
     _list(fleet, *range(20))
     await asyncio.sleep(5)
-    if told == "by its own word":
+    if told == "by its own report":
         # Its watcher alone reads it in a load report.
         fleet.daemons[2].news.publish_leaving("server-7")
         fleet.daemons[2].runtime.submit(
--- a/tests/features/steps/large_fleet_steps.py
+++ b/tests/features/steps/large_fleet_steps.py
@@ -24,14 +24,14 @@
     context.fleets = {seed: loop.run(large_fleet_sessions.random_session(seed))}
 
 
-@then("in 10 s without trouble every engine has replaced weights replaced")
+@then("no engine keeps replaced weights for 10 s without faults")
 def none_too_old(context):
     """Checks each engine against the first naming of newer weights."""
     for seed, fleet in context.fleets.items():
         assert not fleet.promises.too_old, (seed, fleet.promises.too_old)
 
 
-@then("in 14 s without trouble nine in ten engines have the last weights")
+@then("nine in ten engines have the last weights after 14 s without faults")
 def fleet_in_time(context):
     """Checks each naming."""
     for seed, fleet in context.fleets.items():
@@ -53,7 +53,7 @@
         assert not fleet.promises.cut, (seed, fleet.promises.cut[:3])
 
 
-@then("never more engines loaded than the store bears")
+@then("never more engines loaded than the store supports")
 def not_crowded(context):
     """Checks loads, also in trouble."""
     for seed, fleet in context.fleets.items():
--- a/tests/features/steps/lead_steps.py
+++ b/tests/features/steps/lead_steps.py
@@ -18,7 +18,7 @@
     ]
 
 
-@when("the holder is cut from the table service and weights are named")
+@when("the holder is cut off from the table service and weights are published")
 def cut_holder(context):
     """Plays that one session."""
     context.worlds = [loop.run(leads.cut_holder_session())]
@@ -45,7 +45,7 @@
         assert not world.wrong, (seed, world.wrong[:3])
 
 
-@then("every replica has the last version wanted")
+@then("every replica has the last published version")
 def all_wanted(context):
     """Checks the quiet end."""
     for seed, world in enumerate(context.worlds):
@@ -96,7 +96,7 @@
 
 
 @then(
-    'every engine runs version "{version}", ordered once or anew by the next'
+    'every engine runs version "{version}", ordered once or again by the next'
     " lead"
 )
 def ordered_once(context, version):
