--- a/tests/cases/adapter.py
+++ b/tests/cases/adapter.py
@@ -50,10 +50,10 @@
         yield b"bo"
         yield b"dy"
 
-    async with Platform() as made:
+    async with Platform() as platform_run:
         for number, name in enumerate(("confirm", "release", "open")):
             body = chunks() if number else b"body"
-            status, headers, data = await made.call(
+            status, headers, data = await platform_run.call(
                 name,
                 f"r{number}",
                 key="" if name == "open" else KEY,
@@ -62,7 +62,7 @@
                 path="a%2Fb?c=%20",
             )
             assert (status, data) == (200, b"ydob"), (name, status, data)
-            (ran,) = made.ran(f"r{number}")
+            (ran,) = platform_run.ran(f"r{number}")
             assert headers["x-godwittack-response-signature"].endswith(
                 ran.request_id
             )
@@ -76,9 +76,9 @@
             hidden -= {"x-godwittack-tenant", "x-godwittack-cache-salt"}
             assert not hidden & ran.headers.keys(), ran.headers
         for name in ("long", "short"):
-            status, _, data = await made.call(name, name)
+            status, _, data = await platform_run.call(name, name)
             assert status == 200 and data.count(b"data: e") == 5, data
-            assert made.ran(name)[0].scope == "v1/"
+            assert platform_run.ran(name)[0].scope == "v1/"
 
 
 async def invalid_requests_get_a_status_of_their_own() -> None:
@@ -88,54 +88,54 @@
     because all get one answer: an unknown key, no key, no route, no id, headers
     and bodies that are too long.
     """
-    async with Platform() as made:
+    async with Platform() as platform_run:
         expected = {
             401: {"key": "unknown"},
             413: {"body": b"x" * 100_001},
             431: {"headers": {"X-Long": "x" * 20_000}},
         }
         for status, fields in expected.items():
-            got = await made.call("release", f"r{status}", **fields)
-            assert got[0] == status, got
-        assert (await made.call("release", "r0", key=""))[0] == 401
-        assert (await made.call("nowhere", "r1"))[0] == 404
-        assert (await made.call("release", ""))[0] == 400
-        assert not any(made.ran(f"r{n}") for n in (0, 1, 401, 413, 431))
+            result = await platform_run.call("release", f"r{status}", **fields)
+            assert result[0] == status, result
+        assert (await platform_run.call("release", "r0", key=""))[0] == 401
+        assert (await platform_run.call("nowhere", "r1"))[0] == 404
+        assert (await platform_run.call("release", ""))[0] == 400
+        assert not any(platform_run.ran(f"r{n}") for n in (0, 1, 401, 413, 431))
 
 
 async def a_large_fleet_serves_from_some_of_its_daemons() -> None:
     """Callers are sent to the serving set; a standby replaces a lost daemon."""
     small = "mesh_limit: 2\nserving_daemons: 2\n"
-    async with Platform(daemons=5, settings=small) as made:
+    async with Platform(daemons=5, settings=small) as platform_run:
 
         async def named(number: int) -> frozenset[str]:
             path = "/resolve?name=h.example&region=all&zone=north"
-            _, body = await made.get(number, "directory", path)
+            _, body = await platform_run.get(number, "directory", path)
             return frozenset(json.loads(body)["addresses"])
 
         async def agree(*numbers: int) -> bool:
             answers = {await named(number) for number in numbers}
             return len(answers) == 1 and len(next(iter(answers))) == 2
 
-        fronts = [fields["listen"]["front"] for fields in made.fields]
+        fronts = [fields["listen"]["front"] for fields in platform_run.fields]
         everyone = range(len(fronts))
         await until("all name one set", lambda: agree(*everyone))
         before = await named(0)
         for number in everyone:
             # Callers keep addresses, so daemons that don't serve answer too.
-            assert (await made.call("long", f"l{number}", daemon=number))[
-                0
-            ] == (200)
-            assert (await made.call("release", f"r{number}", daemon=number))[
-                0
-            ] == 200
-        roles = [made.log(n).count("role=idle") for n in everyone]
+            assert (
+                await platform_run.call("long", f"l{number}", daemon=number)
+            )[0] == (200)
+            assert (
+                await platform_run.call("release", f"r{number}", daemon=number)
+            )[0] == 200
+        roles = [platform_run.log(n).count("role=idle") for n in everyone]
         assert sum(roles) >= 1, roles
         serving = 0
-        for fields in made.fields:
+        for fields in platform_run.fields:
             port = fields["internal-port-range"][1]
             url = f"http://{fields['ip']}:{port}/"
-            async with made.session.get(url) as response:
+            async with platform_run.session.get(url) as response:
                 lines = (await response.text()).splitlines()
             serving += any(
                 line.startswith("godwittack_is_serving")
@@ -144,7 +144,7 @@
             )
         assert serving == 2, serving
         lost = fronts.index(sorted(before)[0])
-        made.signal(lost, signal.SIGKILL)
+        platform_run.signal(lost, signal.SIGKILL)
         others = [number for number in everyone if number != lost]
 
         async def replaced() -> bool:
@@ -155,8 +155,10 @@
         after = await named(others[0])
         assert len(after & before) == 1, (before, after)
         for number in (fronts.index(front) for front in after):
-            got = await made.call("long", f"again{number}", daemon=number)
-            assert got[0] == 200, got
+            result = await platform_run.call(
+                "long", f"again{number}", daemon=number
+            )
+            assert result[0] == 200, result
 
 
 async def nothing_is_ready_before_the_first_table() -> None:
@@ -165,18 +167,18 @@
     Guards against an empty table treated as the table: a daemon starts before
     the first configuration, and answers requests with 404 or 401.
     """
-    async with Platform(configured=False) as made:
-        await until("it listens", lambda: _answers(made))
-        assert (await made.get(0, "ready", "/ready"))[0] == 503
-        status, headers, _ = await made.call("release", "r1")
+    async with Platform(configured=False) as platform_run:
+        await until("it listens", lambda: _answers(platform_run))
+        assert (await platform_run.get(0, "ready", "/ready"))[0] == 503
+        status, headers, _ = await platform_run.call("release", "r1")
         assert status == 503 and float(headers["retry-after"]) > 0
-        made.store.put("op", "config", platform.config(1))
-        await made.until_ready()
-        assert (await made.call("release", "r2"))[0] == 200
+        platform_run.store.put("op", "config", platform.config(1))
+        await platform_run.until_ready()
+        assert (await platform_run.call("release", "r2"))[0] == 200
 
 
-async def _answers(made: Platform) -> bool:
-    await made.get(0, "ready", "/ready")
+async def _answers(platform_run: Platform) -> bool:
+    await platform_run.get(0, "ready", "/ready")
     return True
 
 
@@ -186,17 +188,21 @@
     Guards against serving a revoked key because the table is read only once:
     the operator writes a version without the key.
     """
-    async with Platform(daemons=2) as made:
-        made.store.put("op", "config", platform.config(2, keys=("new",)))
+    async with Platform(daemons=2) as platform_run:
+        platform_run.store.put(
+            "op", "config", platform.config(2, keys=("new",))
+        )
         for number in (0, 1):
 
             async def refused(number: int = number) -> bool:
-                got = await made.call("release", "r1", daemon=number)
-                return got[0] == 401
+                result = await platform_run.call("release", "r1", daemon=number)
+                return result[0] == 401
 
             await until(f"daemon {number} refuses", refused, seconds=3)
-            got = await made.call("release", "r2", daemon=number, key="new")
-            assert got[0] == 200
+            result = await platform_run.call(
+                "release", "r2", daemon=number, key="new"
+            )
+            assert result[0] == 200
 
 
 async def a_store_outage_ends_only_the_use_of_keys() -> None:
@@ -207,19 +213,19 @@
     The age of the last confirmation was not checked, or an outage was treated
     as an empty table.
     """
-    async with Platform() as made:
-        made.store.faults.silent = True
+    async with Platform() as platform_run:
+        platform_run.store.faults.silent = True
 
         async def refused() -> bool:
-            status, headers, _ = await made.call("release", "r1")
+            status, headers, _ = await platform_run.call("release", "r1")
             return status == 503 and "retry-after" in headers
 
         await until("keys are refused", refused, seconds=6)
-        assert (await made.call("open", "r2", key=""))[0] == 200
-        made.store.faults.silent = False
+        assert (await platform_run.call("open", "r2", key=""))[0] == 200
+        platform_run.store.faults.silent = False
 
         async def served() -> bool:
-            return (await made.call("release", "r3"))[0] == 200
+            return (await platform_run.call("release", "r3"))[0] == 200
 
         await until("keys are served again", served, seconds=4)
 
@@ -231,12 +237,14 @@
     a key is revoked, and the feed was called with the same version again and
     again.
     """
-    async with Platform() as made:
-        made.store.put("op", "config", platform.config(2, keys=("new",)))
-        made.store.faults.forgotten_up_to = made.store.version
+    async with Platform() as platform_run:
+        platform_run.store.put(
+            "op", "config", platform.config(2, keys=("new",))
+        )
+        platform_run.store.faults.forgotten_up_to = platform_run.store.version
 
         async def refused() -> bool:
-            return (await made.call("release", "r1"))[0] == 401
+            return (await platform_run.call("release", "r1"))[0] == 401
 
         await until("the key is refused", refused, seconds=4)
 
@@ -248,21 +256,21 @@
     published while requests run and two daemons may lead. Causes are orders
     without a lease, or progress known to only one daemon.
     """
-    async with Platform(daemons=2) as made:
-        made.store.put("op", "version/m", {"model": "m", "version": 2})
-        engines = [r for r in made.replicas.values() if r.model]
+    async with Platform(daemons=2) as platform_run:
+        platform_run.store.put("op", "version/m", {"model": "m", "version": 2})
+        engines = [r for r in platform_run.replicas.values() if r.model]
 
         async def loaded() -> bool:
-            got = await made.call("long", "r", daemon=1)
-            assert got[0] in (200, 503), got
+            result = await platform_run.call("long", "r", daemon=1)
+            assert result[0] in (200, 503), result
             return all(engine.version == 2 for engine in engines)
 
         await until("all engines have version 2", loaded)
         await asyncio.sleep(0.5)
         assert [len(engine.orders) for engine in engines] == [1, 1]
         assert len({e.orders[0]["holder"] for e in engines}) == 1
-        await made.call("long", "last")
-        assert made.ran("last")[0].scope == "v2/"
+        await platform_run.call("long", "last")
+        assert platform_run.ran("last")[0].scope == "v2/"
 
 
 async def a_broken_stream_resumes_at_another_engine() -> None:
@@ -272,12 +280,12 @@
     engine breaks off in the middle of the third event. Causes are bytes relayed
     as they arrive, or a stream started from its beginning.
     """
-    async with Platform() as made:
+    async with Platform() as platform_run:
         for name in ("i-e1", "i-e2"):
-            await made.earn_retry("long")
-            made.replicas[name].faults.cut_after = 2
-            status, headers, data = await made.call("long", f"r-{name}")
-            made.replicas[name].faults.cut_after = -1
+            await platform_run.earn_retry("long")
+            platform_run.replicas[name].faults.cut_after = 2
+            status, headers, data = await platform_run.call("long", f"r-{name}")
+            platform_run.replicas[name].faults.cut_after = -1
             expected = b"".join(
                 b"id: %d\ndata: e%d\n\n" % (n, n) for n in range(1, 6)
             )
@@ -291,11 +299,11 @@
     Guards against half an answer that looks complete: an engine breaks off a
     stream that may not be resumed, and the answer was ended in order.
     """
-    async with Platform() as made:
+    async with Platform() as platform_run:
         for engine in ("i-e1", "i-e2"):
-            made.replicas[engine].faults.cut_after = 2
+            platform_run.replicas[engine].faults.cut_after = 2
         try:
-            await made.call("short", "r1")
+            await platform_run.call("short", "r1")
         except aiohttp.ClientError:
             return
         raise AssertionError("the stream looked whole")
@@ -308,11 +316,11 @@
     its connection in the middle of a stream, and the attempt was not cancelled
     with it.
     """
-    async with Platform() as made:
-        engines = [r for r in made.replicas.values() if r.model]
+    async with Platform() as platform_run:
+        engines = [r for r in platform_run.replicas.values() if r.model]
         for engine in engines:
             engine.event_gap_s = 0.5
-        call = asyncio.create_task(made.call("long", "r1"))
+        call = asyncio.create_task(platform_run.call("long", "r1"))
         await asyncio.sleep(0.3)
         call.cancel()
         await asyncio.gather(call, return_exceptions=True)
@@ -330,7 +338,7 @@
     daemons, one gets SIGTERM, and its process ended or stopped listening while
     callers still had its address.
     """
-    async with Platform(daemons=2) as made:
+    async with Platform(daemons=2) as platform_run:
         failed: list[object] = []
         stopping = asyncio.Event()
 
@@ -339,27 +347,31 @@
             while not stopping.is_set():
                 count += 1
                 name = ("long", "release", "confirm")[count % 3]
-                got = await made.call(name, f"{number}-{count}", daemon=0)
-                if got[0] != 200:
-                    failed.append(got)
+                result = await platform_run.call(
+                    name, f"{number}-{count}", daemon=0
+                )
+                if result[0] != 200:
+                    failed.append(result)
 
         tasks = [asyncio.create_task(load(n)) for n in range(4)]
         await asyncio.sleep(0.5)
-        made.signal(0, signal.SIGTERM)
+        platform_run.signal(0, signal.SIGTERM)
 
         async def unnamed() -> bool:
-            _, data = await made.get(1, "directory", "/resolve?zone=north")
-            front = made.fields[0]["listen"]["front"]
+            _, data = await platform_run.get(
+                1, "directory", "/resolve?zone=north"
+            )
+            front = platform_run.fields[0]["listen"]["front"]
             return front not in json.loads(data)["addresses"]
 
         await until("the other no longer names it", unnamed, seconds=2)
-        assert (await made.get(0, "ready", "/ready"))[0] == 503
+        assert (await platform_run.get(0, "ready", "/ready"))[0] == 503
         await asyncio.sleep(0.5)
         stopping.set()
         await asyncio.gather(*tasks)
         assert not failed, failed[:3]
         async with asyncio.timeout(8):
-            assert await made.processes[0].wait() == 0
+            assert await platform_run.processes[0].wait() == 0
 
 
 async def a_draining_server_gets_no_new_requests() -> None:
@@ -368,19 +380,20 @@
     Guards against work sent to a server that is about to end: its row says that
     it drains, and the list was read only now and then.
     """
-    async with Platform() as made:
-        row = made.store.rows[("servers", "i-s1")]
+    async with Platform() as platform_run:
+        row = platform_run.store.rows[("servers", "i-s1")]
         address = json.loads(platform.decoded(row["value"]))["address"]
-        made.list_server("i-s1", address, state="draining")
+        platform_run.list_server("i-s1", address, state="draining")
 
         async def known() -> bool:
-            return "server_leaving" in made.log()
+            return "server_leaving" in platform_run.log()
 
         await until("the daemon knows", known, seconds=2)
         for number in range(10):
-            await made.call("release", f"r{number}")
+            await platform_run.call("release", f"r{number}")
         assert not any(
-            ran.request_id.startswith("r") for ran in made.replicas["i-s1"].ran
+            ran.request_id.startswith("r")
+            for ran in platform_run.replicas["i-s1"].ran
         )
 
 
--- a/tests/cases/connection_timeouts.py
+++ b/tests/cases/connection_timeouts.py
@@ -59,14 +59,14 @@
     callers open connections, send half of a request's headers, and nothing
     more, and nothing limits how long the headers may take.
     """
-    async with connected() as test:
-        test.writer.write(REQUEST[:20])
+    async with connected() as setup:
+        setup.writer.write(REQUEST[:20])
         await asyncio.sleep(0.05)
-        test.clock.advance(by_ms=LIMITS.header_timeout_ms - 1)
-        assert test.server.end_slow(LIMITS) == 0
-        test.clock.advance(by_ms=1)
-        assert test.server.end_slow(LIMITS) == 1
-        assert await test.reader.read() == b""
+        setup.clock.advance(by_ms=LIMITS.header_timeout_ms - 1)
+        assert setup.server.end_slow(LIMITS) == 0
+        setup.clock.advance(by_ms=1)
+        assert setup.server.end_slow(LIMITS) == 1
+        assert await setup.reader.read() == b""
 
 
 async def an_idle_connection_is_closed():
@@ -75,15 +75,15 @@
     Guards against idle connections that use up all descriptors: a request is
     answered, and no other follows for longer than the limit.
     """
-    async with connected() as test:
-        test.may_answer.set()
-        test.writer.write(REQUEST + b"abc")
-        assert b"whole" in await test.reader.readuntil(b"whole")
-        test.clock.advance(by_ms=LIMITS.idle_timeout_ms - 1)
-        assert test.server.end_slow(LIMITS) == 0
-        test.clock.advance(by_ms=1)
-        assert test.server.end_slow(LIMITS) == 1
-        assert await test.reader.read() == b""
+    async with connected() as setup:
+        setup.may_answer.set()
+        setup.writer.write(REQUEST + b"abc")
+        assert b"whole" in await setup.reader.readuntil(b"whole")
+        setup.clock.advance(by_ms=LIMITS.idle_timeout_ms - 1)
+        assert setup.server.end_slow(LIMITS) == 0
+        setup.clock.advance(by_ms=1)
+        assert setup.server.end_slow(LIMITS) == 1
+        assert await setup.reader.read() == b""
 
 
 async def a_connection_with_a_running_request_is_not_idle():
@@ -92,20 +92,20 @@
     Guards against a long answer that is cut off without any fault: time counted
     from the last byte read, not from the answer.
     """
-    async with connected() as test:
-        test.writer.write(REQUEST + b"abc")
+    async with connected() as setup:
+        setup.writer.write(REQUEST + b"abc")
         await asyncio.sleep(0.05)
-        test.clock.advance(by_ms=2 * LIMITS.idle_timeout_ms)
-        assert test.server.end_slow(LIMITS) == 0
-        test.may_answer.set()
-        assert b"whole" in await test.reader.readuntil(b"whole")
+        setup.clock.advance(by_ms=2 * LIMITS.idle_timeout_ms)
+        assert setup.server.end_slow(LIMITS) == 0
+        setup.may_answer.set()
+        assert b"whole" in await setup.reader.readuntil(b"whole")
 
 
 async def without_limits_no_connection_is_closed():
     """A table without time limits, or no table yet, closes nothing."""
-    async with connected() as test:
-        test.clock.advance(by_ms=1 << 30)
-        assert test.server.end_slow(forwarding.CallerLimits()) == 0
+    async with connected() as setup:
+        setup.clock.advance(by_ms=1 << 30)
+        assert setup.server.end_slow(forwarding.CallerLimits()) == 0
 
 
 async def a_compressed_body_is_forwarded_unchanged():
@@ -114,11 +114,11 @@
     Guards against a body that the HTTP library decompresses while its header
     still declares it compressed.
     """
-    async with connected() as test:
-        test.may_answer.set()
-        test.writer.write(
+    async with connected() as setup:
+        setup.may_answer.set()
+        setup.writer.write(
             REQUEST.replace(b"Host", b"Content-Encoding: gzip\r\nHost")
             + b"\x1f\x8b\x08"
         )
-        assert b"whole" in await test.reader.readuntil(b"whole")
-        assert test.bodies == [b"\x1f\x8b\x08"]
+        assert b"whole" in await setup.reader.readuntil(b"whole")
+        assert setup.bodies == [b"\x1f\x8b\x08"]
--- a/tests/cases/connections.py
+++ b/tests/cases/connections.py
@@ -28,7 +28,7 @@
 DECLINED = inputs.FailurePhase.DECLINED
 
 
-def whole(body: bytes, head: bytes = HEAD) -> bytes:
+def complete(body: bytes, head: bytes = HEAD) -> bytes:
     """Returns an answer with a length."""
     return head + b"Content-Length: %d\r\n\r\n" % len(body) + body
 
@@ -117,7 +117,7 @@
 
 async def a_call_past_its_deadline_is_not_sent() -> None:
     """Guards against a send after connecting has used up the time left."""
-    async with ScriptedServer(Say(whole(b"1"))) as server:
+    async with ScriptedServer(Say(complete(b"1"))) as server:
         backend = Backend(server)
         sink = await backend.send(ends_at_ms=SystemClock().now_ms())
         assert sink.failure == (
@@ -129,7 +129,9 @@
 
 async def a_call_is_not_sent_once_its_server_rests_or_leaves() -> None:
     """Guards against a send decided before its server requested a rest."""
-    async with ScriptedServer(Say(whole(b"1")), Say(whole(b"2"))) as server:
+    async with ScriptedServer(
+        Say(complete(b"1")), Say(complete(b"2"))
+    ) as server:
         backend = Backend(server)
         core = routed_core.Core(servers=0)
         core.list_server("i-1", routed_core.SERVICE)
@@ -161,18 +163,22 @@
 
 async def signals_of_another_process_are_ignored() -> None:
     """Guards against signals of a process that now has a server's address."""
-    words = b"Server-Leaving: 1\r\nRetry-After: 3\r\n"
-    declined = HEAD.replace(b"200 OK", b"421 Misdirected Request") + words
-    by_other = whole(b"", declined + b"X-Godwittack-Instance-Id: i-2\r\n")
-    by_itself = whole(b"", HEAD.replace(b"200 OK", b"503 Full") + words)
-    told: list[object] = []
-    async with ScriptedServer(Say(by_other), Say(by_itself)) as server:
+    signal_headers = b"Server-Leaving: 1\r\nRetry-After: 3\r\n"
+    declined = (
+        HEAD.replace(b"200 OK", b"421 Misdirected Request") + signal_headers
+    )
+    from_other = complete(b"", declined + b"X-Godwittack-Instance-Id: i-2\r\n")
+    from_server = complete(
+        b"", HEAD.replace(b"200 OK", b"503 Full") + signal_headers
+    )
+    reported: list[object] = []
+    async with ScriptedServer(Say(from_other), Say(from_server)) as server:
         backend = Backend(server)
-        backend.routed.listener.submit = told.append
+        backend.routed.listener.submit = reported.append
         await backend.send()
-        assert told == []
+        assert reported == []
         await backend.send("r2")
-        kinds = [type(word) for word in told]
+        kinds = [type(signal) for signal in reported]
         assert kinds == [server_inputs.ServerLeaving, server_inputs.RestAsked]
 
 
@@ -186,10 +192,10 @@
         target="t",
         server_id="i-1",
     )
-    async with ScriptedServer(*[Say(whole(b"", declined))] * 3) as server:
+    async with ScriptedServer(*[Say(complete(b"", declined))] * 3) as server:
         backend = Backend(server)
-        told: list[object] = []
-        backend.routed.listener.submit = told.append
+        reported: list[object] = []
+        backend.routed.listener.submit = reported.append
         for call in (
             backend.routed.load(server.address, server_id="i-1"),
             backend.routed.cache_events(
@@ -197,16 +203,16 @@
             ),
             backend.routed.order(server.address, order),
         ):
-            told.clear()
+            reported.clear()
             assert (await call).is_err()
-            leaving, rest = told
+            leaving, rest = reported
             assert leaving.server_id == rest.server_id == "i-1"
             assert rest.rest_ms == 2_000
 
 
 async def the_http_backend_reports_a_requested_rest() -> None:
     """Guards against a rest that only the routed backend reports."""
-    full = whole(b"", b"HTTP/1.1 503 Full\r\nRetry-After: 1.5\r\n")
+    full = complete(b"", b"HTTP/1.1 503 Full\r\nRetry-After: 1.5\r\n")
     sent = effects.Dispatch(
         request_id="r1",
         attempt_id="r1",
@@ -226,13 +232,13 @@
             connect_timeout_ms=500,
             control_timeout_ms=500,
         )
-        told: list[object] = []
-        backend.listener.submit = told.append
+        reported: list[object] = []
+        backend.listener.submit = reported.append
         sink = Sink()
         dispatch = dataclasses.replace(sent, address=server.address)
         await backend.send(dispatch, call, sink)
         assert sink.failure == (SENT, inputs.FailureCause.REFUSED)
-        (rest,) = told
+        (rest,) = reported
         assert (rest.server_id, rest.rest_ms) == ("i-1", 1_500)
 
 
@@ -242,7 +248,9 @@
     Guards against a new connection for each request, which occupies a slot for
     a while.
     """
-    async with ScriptedServer(Say(whole(b"1")), Say(whole(b"2"))) as server:
+    async with ScriptedServer(
+        Say(complete(b"1")), Say(complete(b"2"))
+    ) as server:
         backend = Backend(server)
         assert (await backend.send()).answered.body == b"1"
         assert (await backend.send("r2")).answered.body == b"2"
@@ -259,12 +267,12 @@
     connection was assigned to the next request.
     """
     for say in (
-        Say(whole(b"1") + whole(b"x", OTHER)),
-        Say(whole(b"1"), later=whole(b"x", OTHER)),
-        Say(whole(b"1") + b"junk"),
-        Say(whole(b"1"), later=b"junk"),
+        Say(complete(b"1") + complete(b"x", OTHER)),
+        Say(complete(b"1"), later=complete(b"x", OTHER)),
+        Say(complete(b"1") + b"junk"),
+        Say(complete(b"1"), later=b"junk"),
     ):
-        async with ScriptedServer(say, Say(whole(b"2"))) as server:
+        async with ScriptedServer(say, Say(complete(b"2"))) as server:
             backend = Backend(server)
             assert (await backend.send()).answered.body == b"1"
             await asyncio.sleep(3 * LATER_S)
@@ -280,7 +288,7 @@
     arrives just before the answer to the second.
     """
     async with ScriptedServer(
-        Say(whole(b"1")), Say(whole(b"x", OTHER) + whole(b"2"))
+        Say(complete(b"1")), Say(complete(b"x", OTHER) + complete(b"2"))
     ) as server:
         backend = Backend(server)
         await backend.send()
@@ -294,15 +302,15 @@
     connection ends in the head, in a body with a length or in a chunk, or is
     reset where the end of the connection marks that of the body.
     """
-    cut = (
+    truncated = (
         Say(b"", then="close"),
         Say(b"HTTP/1.1 200 O", then="close"),
-        Say(whole(b"12345")[:-1], then="close"),
+        Say(complete(b"12345")[:-1], then="close"),
         Say(HEAD + CHUNKED + chunk(b"123"), then="close"),
         Say(HEAD + b"\r\n123", then="reset"),
         Say(b"not an answer at all\r\n\r\n", then="close"),
     )
-    for say in cut:
+    for say in truncated:
         async with ScriptedServer(say) as server:
             sink = await Backend(server).send()
             assert sink.answered is None, say
@@ -331,10 +339,10 @@
     misdirected = HEAD.replace(b"200 OK", b"421 No")
     other = misdirected + b"X-Godwittack-Instance-Id: i-2\r\n"
     cases = (
-        (whole(b"", not_run), (DECLINED, inputs.FailureCause.REFUSED)),
-        (whole(b"", other), (DECLINED, inputs.FailureCause.OTHER_SERVER)),
-        (whole(b"", misdirected), (DECLINED, inputs.FailureCause.REFUSED)),
-        (whole(b"", busy), None),
+        (complete(b"", not_run), (DECLINED, inputs.FailureCause.REFUSED)),
+        (complete(b"", other), (DECLINED, inputs.FailureCause.OTHER_SERVER)),
+        (complete(b"", misdirected), (DECLINED, inputs.FailureCause.REFUSED)),
+        (complete(b"", busy), None),
     )
     for data, failure in cases:
         async with ScriptedServer(Say(data)) as server:
@@ -352,7 +360,7 @@
     """
     body = bytes(range(256)) * 8_000
     async with ScriptedServer(
-        Say(whole(b"1"), reads_body=False), Say(whole(b"2"))
+        Say(complete(b"1"), reads_body=False), Say(complete(b"2"))
     ) as server:
         backend = Backend(server)
         assert (await backend.send(body=body)).answered.body == b"1"
@@ -414,7 +422,7 @@
     it at once. A call written right after connecting has been sent by then, and
     it is unknown whether it ran.
     """
-    async with ScriptedServer(Say(whole(b"1")), turns_away=1) as server:
+    async with ScriptedServer(Say(complete(b"1")), turns_away=1) as server:
         backend = Backend(server)
         sink = await backend.send(fresh_connection=True)
         assert sink.failure[0] is inputs.FailurePhase.CONNECT
@@ -431,7 +439,7 @@
     were not checked before use.
     """
     async with ScriptedServer(
-        Say(whole(b"1"), then="close"), Say(whole(b"2"))
+        Say(complete(b"1"), then="close"), Say(complete(b"2"))
     ) as server:
         backend = Backend(server)
         await backend.send()
--- a/tests/cases/crash_rows.py
+++ b/tests/cases/crash_rows.py
@@ -64,15 +64,15 @@
 
     def crash(self, *starts: str, content: str = "desk/f") -> None:
         """Records that servers crashed on a content."""
-        seen = tuple(
+        seen_crashes = tuple(
             quarantine.Crash(
                 content=content, start=start, reporter="d", at_ms=1_000
             )
             for start in starts
         )
-        for crash in seen:
+        for crash in seen_crashes:
             self.known.add(crash)
-        self.rows.record(effects.TellCrashes(target="", crashes=seen))
+        self.rows.record(effects.TellCrashes(target="", crashes=seen_crashes))
 
     @property
     def known(self) -> quarantine.Quarantine:
@@ -170,9 +170,9 @@
     request = types.SimpleNamespace(content="desk/f", request_id="r", work=work)
     other.core.world.pending_effects = []
     crashes.record_completion(other.core.world, request)
-    for told in other.core.world.pending_effects:
-        if isinstance(told, effects.TellCrashes):
-            other.rows.record(told)
+    for effect in other.core.world.pending_effects:
+        if isinstance(effect, effects.TellCrashes):
+            other.rows.record(effect)
     await _settle()
     later = Daemon(store)
     later.crash("s3")
--- a/tests/cases/feed_follower.py
+++ b/tests/cases/feed_follower.py
@@ -20,9 +20,9 @@
     def __init__(self, clock: ManualClock) -> None:
         self.clock = clock
         self.answers: list[tuple[int, object]] = []
-        self.asked: list[str] = []
+        self.calls: list[str] = []
 
-    def then(self, answer, *, takes_ms: int = 4) -> None:
+    def add_answer(self, answer, *, takes_ms: int = 4) -> None:
         """Adds an answer."""
         self.answers.append((takes_ms, answer))
 
@@ -36,26 +36,28 @@
         del wait_ms
         return self._next(f"changes {table} {after}")
 
-    def _next(self, asked):
-        self.asked.append(asked)
+    def _next(self, call):
+        self.calls.append(call)
         takes_ms, answer = self.answers.pop(0)
         self.clock.advance(by_ms=takes_ms)
         return answer
 
 
-def page(newest: int, *rows: tuple[str, str], clock_ms: int = 0, gone=()):
+def page(version: int, *rows: tuple[str, str], clock_ms: int = 0, removed=()):
     """Returns a page with rows, all of that version."""
-    changed = [
-        protocol.ChangedRow(key=key, value=value, version=newest)
+    changed_rows = [
+        protocol.ChangedRow(key=key, value=value, version=version)
         for key, value in rows
     ]
-    changed += [
-        protocol.ChangedRow(key=key, value="", version=newest, deleted=True)
-        for key in gone
+    changed_rows += [
+        protocol.ChangedRow(key=key, value="", version=version, deleted=True)
+        for key in removed
     ]
     return Ok(
         protocol.FeedPage(
-            rows=tuple(changed), newest_version=newest, service_ms=clock_ms
+            rows=tuple(changed_rows),
+            newest_version=version,
+            service_ms=clock_ms,
         )
     )
 
@@ -67,13 +69,13 @@
     )
 
 
-class Followed:
+class FollowerHarness:
     """A feed follower and what it published."""
 
     def __init__(self) -> None:
         self.clock = ManualClock(START_MS)
         self.feed = FakeFeed(self.clock)
-        self.told: list[dict[str, str]] = []
+        self.published: list[dict[str, str]] = []
         self.confirmed: list[int] = []
         self.follower = following.RowsFollower(
             feed=self.feed,
@@ -81,7 +83,7 @@
             clock=self.clock,
             rng=random.Random(1),
             wait_ms=2_000,
-            on_rows=lambda rows: self.told.append(
+            on_rows=lambda rows: self.published.append(
                 {key: row.value for key, row in rows.items()}
             ),
             on_confirmed=self.confirmed.append,
@@ -89,7 +91,7 @@
 
     async def step(self, answer, *, takes_ms: int = 4) -> bool:
         """Makes one call that gets this answer."""
-        self.feed.then(answer, takes_ms=takes_ms)
+        self.feed.add_answer(answer, takes_ms=takes_ms)
         return await self.follower.step()
 
 
@@ -100,11 +102,13 @@
     removed route is still served or one is missing: a snapshot of two rows; one
     changes, one is removed.
     """
-    case = Followed()
-    await case.step(page(5, ("a", "1"), ("b", "1")))
-    await case.step(page(7, ("a", "2"), gone=("b",)))
-    assert case.told == [{"a": "1", "b": "1"}, {"a": "2"}], case.told
-    assert case.feed.asked == ["snapshot op", "changes op 5"]
+    harness = FollowerHarness()
+    await harness.step(page(5, ("a", "1"), ("b", "1")))
+    await harness.step(page(7, ("a", "2"), removed=("b",)))
+    assert harness.published == [{"a": "1", "b": "1"}, {"a": "2"}], (
+        harness.published
+    )
+    assert harness.feed.calls == ["snapshot op", "changes op 5"]
 
 
 async def a_row_added_and_removed_unseen_advances_the_version() -> None:
@@ -116,17 +120,17 @@
     store confirmed it until some other row changed. Keys would be refused once
     the last confirmation is too old.
     """
-    case = Followed()
-    known = freshness.Freshness(topic=freshness.Topic.SERVERS)
-    case.follower._known = known
-    case.follower._on_rows = lambda rows: known.record_version(
-        case.follower.version
+    harness = FollowerHarness()
+    row_freshness = freshness.Freshness(topic=freshness.Topic.SERVERS)
+    harness.follower._known = row_freshness
+    harness.follower._on_rows = lambda rows: row_freshness.record_version(
+        harness.follower.version
     )
-    await case.step(page(5, ("a", "1")))
-    confirmed = len(case.confirmed)
-    await case.step(page(7, gone=("b",)))
-    assert known.version == 7
-    assert len(case.confirmed) == confirmed + 1
+    await harness.step(page(5, ("a", "1")))
+    confirmed = len(harness.confirmed)
+    await harness.step(page(7, removed=("b",)))
+    assert row_freshness.version == 7
+    assert len(harness.confirmed) == confirmed + 1
 
 
 async def lost_history_leads_to_a_new_snapshot() -> None:
@@ -135,12 +139,12 @@
     Guards against changes that are missed for good: the feed reports that the
     requested version is too old, and the same call was repeated.
     """
-    case = Followed()
-    await case.step(page(5, ("a", "1")))
-    await case.step(error(history_lost=True))
-    await case.step(page(9, ("b", "1")))
-    assert case.feed.asked[-1] == "snapshot op"
-    assert case.told[-1] == {"b": "1"}
+    harness = FollowerHarness()
+    await harness.step(page(5, ("a", "1")))
+    await harness.step(error(history_lost=True))
+    await harness.step(page(9, ("b", "1")))
+    assert harness.feed.calls[-1] == "snapshot op"
+    assert harness.published[-1] == {"b": "1"}
 
 
 async def a_stale_read_reverts_nothing() -> None:
@@ -150,12 +154,12 @@
     replica answers with version 5. The last answer was applied and counted as a
     confirmation.
     """
-    case = Followed()
-    await case.step(page(7, ("a", "2")))
-    confirmed = len(case.confirmed)
-    await case.step(page(5, ("a", "1")))
-    assert case.told == [{"a": "2"}]
-    assert len(case.confirmed) == confirmed
+    harness = FollowerHarness()
+    await harness.step(page(7, ("a", "2")))
+    confirmed = len(harness.confirmed)
+    await harness.step(page(5, ("a", "1")))
+    assert harness.published == [{"a": "2"}]
+    assert len(harness.confirmed) == confirmed
 
 
 async def a_long_poll_confirms_from_its_answer_on() -> None:
@@ -165,10 +169,10 @@
     after a quick snapshot, a call waits for 2 s, and the confirmation was dated
     from before the call.
     """
-    case = Followed()
-    await case.step(page(5, ("a", "1"), clock_ms=50_002))
-    await case.step(page(5, clock_ms=52_006), takes_ms=2_004)
-    assert case.confirmed == [START_MS, START_MS + 2_004], case.confirmed
+    harness = FollowerHarness()
+    await harness.step(page(5, ("a", "1"), clock_ms=50_002))
+    await harness.step(page(5, clock_ms=52_006), takes_ms=2_004)
+    assert harness.confirmed == [START_MS, START_MS + 2_004], harness.confirmed
 
 
 async def a_delayed_answer_is_dated_by_the_store_s_clock() -> None:
@@ -177,10 +181,10 @@
     Guards against a revoked key that is served past its time limit: the store
     answers at once, the answer arrives 3 s later, and was dated by its arrival.
     """
-    case = Followed()
-    await case.step(page(5, ("a", "1"), clock_ms=50_002))
-    await case.step(page(5, clock_ms=50_010), takes_ms=3_000)
-    assert case.confirmed[-1] <= START_MS + 10, case.confirmed
+    harness = FollowerHarness()
+    await harness.step(page(5, ("a", "1"), clock_ms=50_002))
+    await harness.step(page(5, clock_ms=50_010), takes_ms=3_000)
+    assert harness.confirmed[-1] <= START_MS + 10, harness.confirmed
 
 
 async def an_outage_keeps_the_last_known_rows() -> None:
@@ -189,10 +193,10 @@
     Guards against an error treated as an empty table, so that everything is
     refused during an outage: calls fail, then the store returns unchanged.
     """
-    case = Followed()
-    await case.step(page(5, ("a", "1")))
+    harness = FollowerHarness()
+    await harness.step(page(5, ("a", "1")))
     for _ in range(5):
-        assert not await case.step(error())
-    await case.step(page(5))
-    assert case.told == [{"a": "1"}]
-    assert case.follower.recovered_at_ms == case.clock.now_ms()
+        assert not await harness.step(error())
+    await harness.step(page(5))
+    assert harness.published == [{"a": "1"}]
+    assert harness.follower.recovered_at_ms == harness.clock.now_ms()
--- a/tests/cases/fleet_bounds.py
+++ b/tests/cases/fleet_bounds.py
@@ -45,14 +45,14 @@
     """
     members = _members(DAEMONS)
     targets = tuple(f"model-{number}" for number in range(MODELS))
-    deaf = []
+    without_reports = []
     for target in targets:
         audience = assignment.AudienceByTarget(MESH_LIMIT)
-        hears = audience.among(target, members, targets)
+        audience_members = audience.among(target, members, targets)
         first = assignment.leaders(target, members, targets, audience)[0]
-        if first not in {member.member_id for member in hears}:
-            deaf.append(target)
-    assert not deaf, (len(deaf), MODELS)
+        if first not in {member.member_id for member in audience_members}:
+            without_reports.append(target)
+    assert not without_reports, (len(without_reports), MODELS)
 
 
 def each_daemon_of_a_large_fleet_may_retry() -> None:
@@ -80,26 +80,26 @@
     """
     rng = random.Random(7)
     window_ms, burst, allowed_ratio = 10_000, 166.0, 0.2
-    part = burst / DAEMONS
+    share = burst / DAEMONS
     budgets = [
         budget.SharedBudget(
             ratio=0.15,
             saved_ratio=0.05,
             window_ms=window_ms,
-            share=part,
-            tokens=part,
+            share=share,
+            tokens=share,
         )
         for _ in range(DAEMONS)
     ]
     requests, retries = collections.Counter(), collections.Counter()
     for now_ms in range(0, 6 * window_ms, 20):
-        eager = rng.random() < (0.9 if now_ms % 30_000 > 18_000 else 0.0)
+        is_retried = rng.random() < (0.9 if now_ms % 30_000 > 18_000 else 0.0)
         for _ in range(rng.randrange(30)):
-            one = rng.choice(budgets)
-            one.earn(now_ms=now_ms)
+            daemon_budget = rng.choice(budgets)
+            daemon_budget.earn(now_ms=now_ms)
             requests[now_ms] += 1
-            if eager:
-                retries[now_ms] += one.spend(now_ms=now_ms)
+            if is_retried:
+                retries[now_ms] += daemon_budget.spend(now_ms=now_ms)
     for start_ms in range(0, 5 * window_ms, 500):
         spent = _between(retries, start_ms, start_ms + window_ms)
         accepted = max(
@@ -128,7 +128,7 @@
         event=server_ejected failures=3 until_ms=4000
         event=refused reason=no_server attempts=0
     """
-    says = Say(connections.whole(b"1"))
+    says = Say(connections.complete(b"1"))
     async with ScriptedServer(says, turns_away=1) as server:
         backend = connections.Backend(server)
         sink = await backend.send(fresh_connection=True)
@@ -186,12 +186,14 @@
     _report(core, "e1")
     core.arrive("short", "lost")
     core.fail(core.dispatch(), inputs.FailurePhase.CONNECT)
-    dark = core.world.servers["e1"]
-    assert not [made for made in core.wait(8_000) if _asks(made, dark)]
+    ejected = core.world.servers["e1"]
+    assert not [
+        effect for effect in core.wait(8_000) if _is_probe_of(effect, ejected)
+    ]
     core.arrive("short", "early")
     assert core.refusal()
     _report(core, "e1")
-    core.wait(servers.ejection_ms(core.world, dark) + 100)
+    core.wait(servers.ejection_ms(core.world, ejected) + 100)
     core.arrive("short", "back")
     assert core.dispatch().server_id == "e1"
 
@@ -202,13 +204,15 @@
     core.tell(inputs.MembersChanged, tuple(f"d{n}" for n in range(60)))
     core.arrive("short", "lost")
     core.fail(core.dispatch(), inputs.FailurePhase.CONNECT)
-    dark = core.world.servers["e1"]
-    assert [made for made in core.wait(1_500) if _asks(made, dark)]
+    ejected = core.world.servers["e1"]
+    assert [
+        effect for effect in core.wait(1_500) if _is_probe_of(effect, ejected)
+    ]
 
 
-def _asks(made, server: entities.ServerRow) -> bool:
-    is_question = isinstance(made, effects.Probe)
-    return is_question and made.server_id == server.server_id
+def _is_probe_of(effect, server: entities.ServerRow) -> bool:
+    is_probe = isinstance(effect, effects.Probe)
+    return is_probe and effect.server_id == server.server_id
 
 
 def a_member_is_gossiped_a_bounded_number_of_times() -> None:
@@ -217,17 +221,20 @@
     Each daemon sent each state 32 times: 195 daemons that had lost a third of
     each other exchanged updates for most of a minute.
     """
-    for daemons, most in ((7, 12), (63, 12), (195, 16), (340, 18)):
+    for daemons, expected_count in ((7, 12), (63, 12), (195, 16), (340, 18)):
         me, *others = _members(daemons)
         members = view.View(
             me=me, policy=view.MemberPolicy(), rng=random.Random(1)
         )
         for other in others:
             members.apply(other, now_ms=0)
-        told = collections.Counter()
+        sent = collections.Counter()
         while chosen := members.updates():
-            told.update(member.member_id for member in chosen)
-        assert set(told.values()) == {most}, (daemons, set(told.values()))
+            sent.update(member.member_id for member in chosen)
+        assert set(sent.values()) == {expected_count}, (
+            daemons,
+            set(sent.values()),
+        )
 
 
 class _Streams:
@@ -235,17 +242,17 @@
 
     def __init__(self, clock) -> None:
         self._clock = clock
-        self.told_ms: list[int] = []
+        self.loads_sent_ms: list[int] = []
 
     def open_news(self, address, *, on_broken):
         """Opens a stream."""
         del address, on_broken
         return self
 
-    async def send(self, told):
+    async def send(self, message):
         """Accepts a message."""
-        if told.loads:
-            self.told_ms.append(self._clock.now_ms())
+        if message.loads:
+            self.loads_sent_ms.append(self._clock.now_ms())
         return Ok(None)
 
     def close(self) -> None:
@@ -271,11 +278,11 @@
         for other in others:
             members.apply(other, now_ms=clock.now_ms())
         streams = _Streams(clock)
-        teller = news.News(runtime=runtime, members=members, client=streams)
-        teller.publish_leaving("gone")
-        task = asyncio.create_task(teller.tell_forever(news_ms=200))
+        updates = news.News(runtime=runtime, members=members, client=streams)
+        updates.publish_leaving("gone")
+        task = asyncio.create_task(updates.tell_forever(news_ms=200))
         await asyncio.sleep(0.01)
-        teller.publish_load(
+        updates.publish_load(
             server_inputs.LoadReported(
                 at_ms=clock.now_ms(),
                 server_id="e1",
@@ -290,11 +297,11 @@
             ),
             one_lead.MODEL,
         )
-        told_at_ms = clock.now_ms()
+        published_at_ms = clock.now_ms()
         await asyncio.sleep(5)
         task.cancel()
-        teller.close()
-        late_ms = max(streams.told_ms) - told_at_ms
+        updates.close()
+        late_ms = max(streams.loads_sent_ms) - published_at_ms
         stale_ms = runtime.core.world.policy.report_stale_ms
         assert late_ms < stale_ms, (late_ms, stale_ms)
 
--- a/tests/cases/freshness.py
+++ b/tests/cases/freshness.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from cases import feed_follower as cases
+from cases import feed_follower
 from godwittack.member.freshness import Belief, Freshness, Topic
 from godwittack.peer import pending
 from godwittack.store import protocol
 
 
-def _fresh(version: int = 5) -> Freshness:
+def _freshness_at(version: int = 5) -> Freshness:
     known = Freshness(topic=Topic.TABLE)
     known.record_version(version)
     return known
@@ -21,7 +21,7 @@
     a request to a peer, is suspended for 8 s, then reads the answer from its
     socket. The age was counted from the arrival of the answer.
     """
-    known = _fresh()
+    known = _freshness_at()
     belief = Belief(Topic.TABLE, 5, age_ms=200)
     known.apply_belief(belief, asked_at_ms=10_000, now_ms=18_000)
     assert known.confirmed_at_ms == 9_800
@@ -33,7 +33,7 @@
     Guards against an older table served as the newest: a peer reports that
     version 6 was confirmed a moment ago, and only the age was checked.
     """
-    known = _fresh()
+    known = _freshness_at()
     known.apply_belief(
         Belief(Topic.TABLE, 6, 0), asked_at_ms=10_000, now_ms=10_004
     )
@@ -50,7 +50,7 @@
     that is cut off reports version 4 as the newest, and any confirmation
     counted for the daemon's own version.
     """
-    known = _fresh()
+    known = _freshness_at()
     known.apply_belief(
         Belief(Topic.TABLE, 4, 0), asked_at_ms=10_000, now_ms=10_004
     )
@@ -64,13 +64,15 @@
     ten of them query each other for 10 s, and each dated what it received by
     its own clock.
     """
-    daemons = [_fresh() for _ in range(10)]
+    daemons = [_freshness_at() for _ in range(10)]
     daemons[0].record_confirmation(1_000)
     for now_ms in range(1_000, 11_000, 100):
         for number, known in enumerate(daemons):
-            told = daemons[(number + 1) % 10].current_belief(now_ms=now_ms)
-            if told is not None:
-                known.apply_belief(told, asked_at_ms=now_ms - 4, now_ms=now_ms)
+            belief = daemons[(number + 1) % 10].current_belief(now_ms=now_ms)
+            if belief is not None:
+                known.apply_belief(
+                    belief, asked_at_ms=now_ms - 4, now_ms=now_ms
+                )
     assert max(known.confirmed_at_ms for known in daemons) == 1_000
 
 
@@ -81,19 +83,19 @@
     the store by itself: a daemon that is no reader gets confirmations from
     peers, then none.
     """
-    case = cases.Followed()
-    known = _fresh(version=5)
-    case.follower._known = known
-    case.follower._is_reader = lambda: False
-    assert not case.follower.may_rest()
-    await case.step(cases.page(5, ("a", "1"), clock_ms=50_000))
-    known.record_confirmation(case.clock.now_ms())
-    assert case.follower.may_rest()
-    case.clock.advance(by_ms=3_000)
-    assert not case.follower.may_rest()
-    known.record_confirmation(case.clock.now_ms())
-    known.behind_since_ms = case.clock.now_ms() - 1_000
-    assert not case.follower.may_rest()
+    harness = feed_follower.FollowerHarness()
+    known = _freshness_at(version=5)
+    harness.follower._known = known
+    harness.follower._is_reader = lambda: False
+    assert not harness.follower.may_rest()
+    await harness.step(feed_follower.page(5, ("a", "1"), clock_ms=50_000))
+    known.record_confirmation(harness.clock.now_ms())
+    assert harness.follower.may_rest()
+    harness.clock.advance(by_ms=3_000)
+    assert not harness.follower.may_rest()
+    known.record_confirmation(harness.clock.now_ms())
+    known.behind_since_ms = harness.clock.now_ms() - 1_000
+    assert not harness.follower.may_rest()
 
 
 async def unreadable_rows_confirm_nothing() -> None:
@@ -103,16 +105,16 @@
     active; a row of version 7 can't be decoded; the store's answer counted as a
     confirmation of the active table.
     """
-    case = cases.Followed()
-    known = _fresh(version=5)
-    case.follower._known = known
-    await case.step(cases.page(5, ("a", "1"), clock_ms=50_000))
-    told = len(case.confirmed)
-    await case.step(cases.page(7, ("a", "broken"), clock_ms=50_010))
-    assert len(case.confirmed) == told
+    harness = feed_follower.FollowerHarness()
+    known = _freshness_at(version=5)
+    harness.follower._known = known
+    await harness.step(feed_follower.page(5, ("a", "1"), clock_ms=50_000))
+    confirmed = len(harness.confirmed)
+    await harness.step(feed_follower.page(7, ("a", "broken"), clock_ms=50_010))
+    assert len(harness.confirmed) == confirmed
 
 
-class _News:
+class _RecordedUpdates:
     """Records what readers publish."""
 
     def __init__(self) -> None:
@@ -134,25 +136,25 @@
     )
 
 
-def _list(*, is_reader: bool):
+def _list_follower(*, is_reader: bool):
     from cases import one_lead
     from godwittack.clock import ManualClock
     from godwittack.daemon import entries, instances
 
-    clock = ManualClock(cases.START_MS)
-    news = _News()
+    clock = ManualClock(feed_follower.START_MS)
+    news = _RecordedUpdates()
     known = Freshness(topic=Topic.SERVERS)
-    follower = cases.Followed().follower
+    follower = feed_follower.FollowerHarness().follower
     follower._clock = clock
-    held = instances.InstanceFollower(
+    instance_follower = instances.InstanceFollower(
         core=one_lead.Runtime(clock),
         decode=lambda rows: entries.Entries(dict(rows), {}),
         news=news,
         known=known,
         is_reader=lambda: is_reader,
     )
-    held.follower = follower
-    return held, follower, known, news
+    instance_follower.follower = follower
+    return instance_follower, follower, known, news
 
 
 def a_gap_in_the_list_s_changes_is_detected() -> None:
@@ -162,13 +164,13 @@
     change is lost, the next one arrives, and changes were merged without
     comparing versions.
     """
-    held, _, known, _ = _list(is_reader=False)
+    instance_follower, _, known, _ = _list_follower(is_reader=False)
     known.record_version(5)
-    held.told({"s8": _instance("s8")}, 5, 6)
+    instance_follower.told({"s8": _instance("s8")}, 5, 6)
     assert known.version == 6 and known.behind_since_ms < 0
-    held.told({"s9": _instance("s9")}, 7, 8)
+    instance_follower.told({"s9": _instance("s9")}, 7, 8)
     assert known.version == 6 and known.behind_since_ms >= 0
-    assert "s9" not in held._seen
+    assert "s9" not in instance_follower._seen
 
 
 def a_gap_is_repaired_while_more_updates_arrive() -> None:
@@ -180,15 +182,17 @@
     only once peers' confirmations were two seconds old, and the server got new
     work until then. The wait counts from the first update after the gap.
     """
-    held, follower, known, _ = _list(is_reader=False)
-    clock = held._core.clock
+    instance_follower, follower, known, _ = _list_follower(is_reader=False)
+    clock = instance_follower._core.clock
     follower._known = known
     follower._is_reader = lambda: False
     follower._needs_snapshot = False
     known.record_version(6)
     known.record_confirmation(clock.now_ms())
     for version in (8, 9):
-        held.told({"s9": _instance(f"s{version}")}, version - 1, version)
+        instance_follower.told(
+            {"s9": _instance(f"s{version}")}, version - 1, version
+        )
         assert follower.may_rest()
         clock.advance(by_ms=300)
     assert not follower.may_rest()
@@ -202,21 +206,21 @@
     back, the other does not. A missing entry must not yet mean that its server
     left.
     """
-    held, follower, _, news = _list(is_reader=True)
-    clock = held._core.clock
-    both = {name: _instance(name) for name in ("a", "b")}
+    instance_follower, follower, _, news = _list_follower(is_reader=True)
+    clock = instance_follower._core.clock
+    instances_by_name = {name: _instance(name) for name in ("a", "b")}
     follower.version = 5
-    held.rows_changed(both)
+    instance_follower.rows_changed(instances_by_name)
     follower.recovered_at_ms = clock.now_ms()
     follower.version = 6
-    held.rows_changed({})
-    assert set(held._seen) == {"a", "b"}
+    instance_follower.rows_changed({})
+    assert set(instance_follower._seen) == {"a", "b"}
     clock.advance(by_ms=1_500)
     follower.version = 7
-    held.rows_changed({"a": both["a"]})
+    instance_follower.rows_changed({"a": instances_by_name["a"]})
     clock.advance(by_ms=900)
-    held.drop_missing()
-    assert set(held._seen) == {"a"}
+    instance_follower.drop_missing()
+    assert set(instance_follower._seen) == {"a"}
     assert news.published[-1][0] == {"b": None}
 
 
@@ -228,12 +232,14 @@
     that a server leaves.
     """
     for is_reader in (True, False):
-        held, follower, _, news = _list(is_reader=is_reader)
+        instance_follower, follower, _, news = _list_follower(
+            is_reader=is_reader
+        )
         follower.version = 5
-        held.rows_changed({"a": _instance("a")})
+        instance_follower.rows_changed({"a": _instance("a")})
         follower.version = 6
-        held.rows_changed({"a": _instance("a", leaving=True)})
-        assert held._core.core.world.servers["a"].leaving
+        instance_follower.rows_changed({"a": _instance("a", leaving=True)})
+        assert instance_follower._core.core.world.servers["a"].leaving
         assert bool(news.published) == is_reader
 
 
@@ -251,16 +257,16 @@
     readers' updates that those servers were gone arrived later, had an older
     version, and were dropped.
     """
-    reader, follower, _, news = _list(is_reader=True)
-    peer, _, known, _ = _list(is_reader=False)
-    both = {name: _instance(name) for name in ("a", "b")}
+    reader, follower, _, news = _list_follower(is_reader=True)
+    peer, _, known, _ = _list_follower(is_reader=False)
+    instances_by_name = {name: _instance(name) for name in ("a", "b")}
     follower.version = 5
-    reader.rows_changed(both)
+    reader.rows_changed(instances_by_name)
     peer.told(*news.published[-1])
     follower.recovered_at_ms = reader._core.clock.now_ms()
     follower.version = 7
-    changed = {"a": _instance("a", leaving=True)}
-    reader.rows_changed(changed)
+    changes = {"a": _instance("a", leaving=True)}
+    reader.rows_changed(changes)
     peer.told(*news.published[-1])
     assert peer._core.core.world.servers["a"].leaving
     peer.told({"b": None}, 5, 6)
@@ -269,7 +275,7 @@
     reader.drop_missing()
     peer.told(*news.published[-1])
     assert known.version == 7, known
-    assert news.published[-1][0] == {**changed, "b": None}
+    assert news.published[-1][0] == {**changes, "b": None}
 
 
 def updates_sent_while_entries_are_retained_are_applied() -> None:
@@ -282,7 +288,7 @@
     published. Its read showed nothing newer than 5, so that a change based on 5
     is newer than the read.
     """
-    peer, follower, known, _ = _list(is_reader=False)
+    peer, follower, known, _ = _list_follower(is_reader=False)
     follower.version, follower._newest = 5, 9
     peer.rows_changed({"a": _instance("a")})
     peer.told({"a": _instance("a", leaving=True)}, 5, 5)
@@ -298,18 +304,18 @@
     server again and published that as a change of version 5, which all others
     applied.
     """
-    reader, follower, _, news = _list(is_reader=True)
-    peer, _, _, _ = _list(is_reader=False)
-    both = {name: _instance(name) for name in ("a", "b")}
+    reader, follower, _, news = _list_follower(is_reader=True)
+    peer, _, _, _ = _list_follower(is_reader=False)
+    instances_by_name = {name: _instance(name) for name in ("a", "b")}
     follower.version = 3
-    reader.rows_changed(both)
+    reader.rows_changed(instances_by_name)
     peer.told(*news.published[-1])
-    for heard in (reader, peer):
-        heard.told({"b": None}, 3, 5)
+    for instance_follower in (reader, peer):
+        instance_follower.told({"b": None}, 3, 5)
     follower.version = 4
-    reader.rows_changed({**both, "c": _instance("c")})
-    for told in news.published[1:]:
-        peer.told(*told)
+    reader.rows_changed({**instances_by_name, "c": _instance("c")})
+    for update in news.published[1:]:
+        peer.told(*update)
     assert set(reader._seen) == {"a"}, reader._seen
     assert set(peer._seen) == {"a"}, peer._seen
     follower.version = 6
@@ -325,11 +331,11 @@
     version 4 replaced the server's entry by an older one, and the reader then
     published its list as version 5 without the leaving state.
     """
-    reader, follower, known, news = _list(is_reader=True)
-    both = {name: _instance(name) for name in ("a", "b")}
+    reader, follower, known, news = _list_follower(is_reader=True)
+    instances_by_name = {name: _instance(name) for name in ("a", "b")}
     leaving = _instance("a", leaving=True)
     follower.version = 3
-    reader.rows_changed(both)
+    reader.rows_changed(instances_by_name)
     follower.recovered_at_ms = reader._core.clock.now_ms()
     follower.version = 5
     reader.rows_changed({"a": leaving})
@@ -349,18 +355,20 @@
     reader published a change of it. The daemon dropped it after 2.3 s, and had
     the newest list without it.
     """
-    held, follower, known, _ = _list(is_reader=False)
-    both = {name: _instance(name) for name in ("a", "b")}
+    instance_follower, follower, known, _ = _list_follower(is_reader=False)
+    instances_by_name = {name: _instance(name) for name in ("a", "b")}
     follower.version = 3
-    held.rows_changed(both)
-    follower.recovered_at_ms = held._core.clock.now_ms()
+    instance_follower.rows_changed(instances_by_name)
+    follower.recovered_at_ms = instance_follower._core.clock.now_ms()
     follower.version = 5
-    held.rows_changed({"a": both["a"]})
-    held.told({"c": _instance("c")}, 3, 6)
-    held._core.clock.advance(by_ms=2_400)
-    held.drop_missing()
+    instance_follower.rows_changed({"a": instances_by_name["a"]})
+    instance_follower.told({"c": _instance("c")}, 3, 6)
+    instance_follower._core.clock.advance(by_ms=2_400)
+    instance_follower.drop_missing()
     assert known.version == 6
-    assert set(held._seen) == {"a", "b", "c"}, held._seen
+    assert set(instance_follower._seen) == {"a", "b", "c"}, (
+        instance_follower._seen
+    )
 
 
 def queued_updates_are_not_merged_over_a_gap() -> None:
@@ -378,7 +386,7 @@
     merged = first.followed_by(later)
     first.add_listed({"y": _instance("y")}, before=5, version=6)
     for news in (merged, first):
-        peer, _, known, _ = _list(is_reader=False)
+        peer, _, known, _ = _list_follower(is_reader=False)
         peer.told({"b": _instance("b")}, 0, 3)
         peer.told(news.listed, news.list_before, news.list_version)
         assert known.version == 3 and known.behind_since_ms >= 0
--- a/tests/cases/fuzz.py
+++ b/tests/cases/fuzz.py
@@ -16,10 +16,10 @@
 EXAMPLES = 150
 MAX_LINE_BYTES = 1 << 16
 # Half of the corrupted requests are incomplete and get no answer.
-SPOILED_WAIT_S = 0.05
+CORRUPTED_WAIT_S = 0.05
 GOOD_WAIT_S = 5.0
-MINE = b"X-Godwittack-Request-Id: mine\r\n"
-OTHER = b"X-Godwittack-Request-Id: other\r\n"
+OWN_ID = b"X-Godwittack-Request-Id: mine\r\n"
+OTHER_ID = b"X-Godwittack-Request-Id: other\r\n"
 BODY = b"abcdefghij" * 20
 VALID = (
     b"POST /a/x HTTP/1.1\r\nHost: h\r\nX-Godwittack-Request-Id: r1\r\n"
@@ -77,22 +77,22 @@
 
 async def _read(pieces: list[bytes], *, reset: bool) -> bytes | None:
     """Returns the body parsed from pieces of an answer, None if rejected."""
-    used = connection.Connection()
+    server_connection = connection.Connection()
     transport = FakeTransport()
-    used.connection_made(transport)
-    used.send(b"GET / HTTP/1.1\r\n\r\n", b"")
+    server_connection.connection_made(transport)
+    server_connection.send(b"GET / HTTP/1.1\r\n\r\n", b"")
     for piece in pieces:
         if not transport.closed:
-            used.data_received(piece)
+            server_connection.data_received(piece)
     if not transport.closed and not reset:
-        used.eof_received()
-    used.connection_lost(ConnectionResetError() if reset else None)
+        server_connection.eof_received()
+    server_connection.connection_lost(ConnectionResetError() if reset else None)
     try:
         async with asyncio.timeout(1):
-            reply = await used.read_head(
-                lambda found: found.header("X-Godwittack-Request-Id") == "mine"
+            reply = await server_connection.read_head(
+                lambda head: head.header("X-Godwittack-Request-Id") == "mine"
             )
-            return await used.read_body(reply)
+            return await server_connection.read_body(reply)
     except connection.ReplyError:
         return None
 
@@ -117,7 +117,7 @@
     )
     def check(cuts, end, late_first, in_chunks, reset) -> None:
         make = _chunked if in_chunks else _with_length
-        data = (_with_length(OTHER) if late_first else b"") + make(MINE)
+        data = (_with_length(OTHER_ID) if late_first else b"") + make(OWN_ID)
         kept = data[: end % (len(data) + 200)]
         got = asyncio.run(_read(_pieces(kept, cuts), reset=reset))
         assert got == (BODY if kept == data else None), (kept[-30:], got)
@@ -143,7 +143,7 @@
         )
     )
     def check(changes) -> None:
-        data = _changed(_chunked(MINE), changes)
+        data = _changed(_chunked(OWN_ID), changes)
         asyncio.run(_read([data], reset=True))
 
     check()
@@ -197,20 +197,20 @@
     site = web.TCPSite(runner, "127.0.0.1", 0)
     await site.start()
     host, port = runner.addresses[0][:2]
-    for data in _spoiled_requests():
+    for data in _corrupted_requests():
         served.clear()
-        status = await _ask(host, port, data, wait_s=SPOILED_WAIT_S)
+        status = await _send(host, port, data, wait_s=CORRUPTED_WAIT_S)
         assert status in (0, 200) or 400 <= status < 500, (status, data)
         assert len(served) <= 1, (served, data)
     served.clear()
-    assert await _ask(host, port, VALID, wait_s=GOOD_WAIT_S) == 200
+    assert await _send(host, port, VALID, wait_s=GOOD_WAIT_S) == 200
     assert served == ["/a/x"]
     await runner.cleanup()
 
 
-def _spoiled_requests() -> list[bytes]:
+def _corrupted_requests() -> list[bytes]:
     """Returns the same requests each time, from a seeded search."""
-    found: list[bytes] = []
+    requests: list[bytes] = []
 
     @seeded
     @hypothesis.given(
@@ -236,21 +236,21 @@
         )
     )
     def gather(changes) -> None:
-        found.append(_changed(VALID, changes))
+        requests.append(_changed(VALID, changes))
 
     gather()
-    return found
+    return requests
 
 
 def _changed(data: bytes, changes: list[tuple[int, bytes]]) -> bytes:
     """Replaces bytes at positions; an empty change deletes one byte."""
-    for place, new in changes:
-        at = place % (len(data) + 1)
-        data = data[:at] + new + data[at + 1 :]
+    for place, replacement in changes:
+        offset = place % (len(data) + 1)
+        data = data[:offset] + replacement + data[offset + 1 :]
     return data
 
 
-async def _ask(host: str, port: int, data: bytes, *, wait_s: float) -> int:
+async def _send(host: str, port: int, data: bytes, *, wait_s: float) -> int:
     """Returns the status of the first answer, 0 where there is none."""
     reader, writer = await asyncio.open_connection(host, port)
     try:
--- a/tests/cases/instance_rows.py
+++ b/tests/cases/instance_rows.py
@@ -13,7 +13,7 @@
 from godwittack.platform import instances, rows, servers, table
 from godwittack.store import protocol
 
-BORN_MS = 1_790_000_000_000
+STARTED_AT_MS = 1_790_000_000_000
 SEED = 14
 MUTATIONS = 3_000
 
@@ -29,7 +29,7 @@
         "state": "ready",
         "cold-remaining-ms": 0,
         "sequence": 3,
-        "born": BORN_MS,
+        "born": STARTED_AT_MS,
         "models": [{"name": "m", "version": 2, "adapters": []}],
         **fields,
     }
@@ -37,9 +37,9 @@
 
 def without(name: str) -> dict:
     """Returns an entry that lacks a field."""
-    told = entry()
-    del told[name]
-    return told
+    fields = entry()
+    del fields[name]
+    return fields
 
 
 def decode(**entries: dict | str) -> reading.Entries:
@@ -48,17 +48,17 @@
         {
             key: protocol.ChangedRow(
                 key=key,
-                value=told if isinstance(told, str) else json.dumps(told),
+                value=value if isinstance(value, str) else json.dumps(value),
                 version=1,
             )
-            for key, told in entries.items()
+            for key, value in entries.items()
         },
         instances.instance_from_row,
         failure_domains=("north", "south"),
     )
 
 
-def good(number: int) -> dict:
+def valid_entry(number: int) -> dict:
     """Returns a valid entry of a server with its own address."""
     return entry(address=f"10.0.0.{number}:80")
 
@@ -71,14 +71,14 @@
     field missing, of another type or out of range, or with text that is no
     entry at all.
     """
-    bad = [without(name) for name in entry() if name != "models"]
-    bad += [
-        entry(**{name: wrong})
+    invalid = [without(name) for name in entry() if name != "models"]
+    invalid += [
+        entry(**{name: value})
         for name in entry()
-        for wrong in (None, [], {}, True, -1, 2.5, "", "x", "1", 1 << 70)
-        if not _is_right(name, wrong)
+        for value in (None, [], {}, True, -1, 2.5, "", "x", "1", 1 << 70)
+        if not _is_valid(name, value)
     ]
-    bad += [
+    invalid += [
         entry(state="resting"),
         entry(zone="nowhere"),
         entry(address="10.0.0.1"),
@@ -91,21 +91,21 @@
         "[]",
         "null",
     ]
-    for told in bad:
-        got = decode(a=good(2), b=told, c=good(3))
-        assert set(got.listed) == {"a", "c"}, told
-        assert set(got.refused) == {"b"}, told
+    for value in invalid:
+        parsed = decode(a=valid_entry(2), b=value, c=valid_entry(3))
+        assert set(parsed.listed) == {"a", "c"}, value
+        assert set(parsed.refused) == {"b"}, value
 
 
-def _is_right(name: str, wrong: object) -> bool:
+def _is_valid(name: str, value: object) -> bool:
     """Returns whether a value is valid for this field."""
     if name == "version":
-        return isinstance(wrong, str)
+        return isinstance(value, str)
     if name == "service":
-        return wrong in ("x", "1")
+        return value in ("x", "1")
     if name == "models":
-        return wrong == []
-    return name == "cold-remaining-ms" and wrong == 2.5
+        return value == []
+    return name == "cold-remaining-ms" and value == 2.5
 
 
 def corrupted_bytes_in_a_row_affect_no_other_row() -> None:
@@ -116,17 +116,21 @@
     base64 nor UTF-8.
     """
     rng = random.Random(SEED)
-    whole = json.dumps(entry()).encode()
+    valid = json.dumps(entry()).encode()
     for _ in range(MUTATIONS):
-        data = bytearray(whole)
+        data = bytearray(valid)
         for _ in range(rng.randint(1, 4)):
-            at = rng.randrange(len(data))
-            data[at : at + rng.randint(0, 3)] = rng.randbytes(rng.randint(0, 3))
+            offset = rng.randrange(len(data))
+            data[offset : offset + rng.randint(0, 3)] = rng.randbytes(
+                rng.randint(0, 3)
+            )
         text = rows._decoded(rows._encoded("x")[: rng.randint(0, 4)])
         assert isinstance(text, str)
-        got = decode(a=good(2), b=data.decode(errors="replace"), c=good(3))
-        assert {"a", "c"} <= set(got.listed)
-        assert set(got.listed) | set(got.refused) == {"a", "b", "c"}
+        parsed = decode(
+            a=valid_entry(2), b=data.decode(errors="replace"), c=valid_entry(3)
+        )
+        assert {"a", "c"} <= set(parsed.listed)
+        assert set(parsed.listed) | set(parsed.refused) == {"a", "b", "c"}
     for value in ("%%%", "gICA", "a", "\u00e9"):
         assert rows._decoded(value) == ""
 
@@ -137,16 +141,16 @@
     Guards against a site none of whose servers is used: all entries lack the
     start time; then all but one have it.
     """
-    old = [{**good(n), "born": 1} for n in (1, 2, 3)]
-    for told in old:
-        del told["born"]
-    got = decode(a=old[0], b=old[1], c=old[2])
-    assert [i.incarnation for i in got.listed.values()] == ["a", "b", "c"]
+    without_start = [{**valid_entry(n), "born": 1} for n in (1, 2, 3)]
+    for fields in without_start:
+        del fields["born"]
+    parsed = decode(a=without_start[0], b=without_start[1], c=without_start[2])
+    assert [i.incarnation for i in parsed.listed.values()] == ["a", "b", "c"]
     # One entry with a start time must not invalidate all others.
-    got = decode(a=old[0], b=old[1], c=good(3))
-    assert set(got.listed) == {"a", "b", "c"}
-    got = decode(a=good(1), b=old[1], c=good(3))
-    assert set(got.listed) == {"a", "c"}
+    parsed = decode(a=without_start[0], b=without_start[1], c=valid_entry(3))
+    assert set(parsed.listed) == {"a", "b", "c"}
+    parsed = decode(a=valid_entry(1), b=without_start[1], c=valid_entry(3))
+    assert set(parsed.listed) == {"a", "c"}
 
 
 def of_two_rows_with_one_address_the_later_start_wins() -> None:
@@ -155,8 +159,10 @@
     Guards against requests to a server that is gone, answered 421 by another:
     its entry still exists, and a server that started later has its address.
     """
-    got = decode(a=entry(born=BORN_MS + 1), b=entry(), c=good(3))
-    assert set(got.listed) == {"a", "c"} and set(got.refused) == {"b"}
+    parsed = decode(
+        a=entry(born=STARTED_AT_MS + 1), b=entry(), c=valid_entry(3)
+    )
+    assert set(parsed.listed) == {"a", "c"} and set(parsed.refused) == {"b"}
 
 
 def an_invalid_weights_row_keeps_the_active_version() -> None:
@@ -171,21 +177,28 @@
         "version": 1,
         "services": [{"name": "llm", "engine": {"models": [{"name": "m"}]}}],
     }
-    named = {"model": "m", "version": 4}
-    held = published_weights.PublishedVersions()
-    for value in (json.dumps(named), "", '{"model":"m","version":"9"}', "[]"):
-        told = {
+    publication = {"model": "m", "version": 4}
+    published = published_weights.PublishedVersions()
+    for value in (
+        json.dumps(publication),
+        "",
+        '{"model":"m","version":"9"}',
+        "[]",
+    ):
+        texts = {
             "config": json.dumps(config),
             "version/m": value,
             "version/other": '{"model":"m","version":7}',
         }
-        found = {
+        rows_read = {
             key: protocol.ChangedRow(key=key, value=text, version=2)
-            for key, text in told.items()
+            for key, text in texts.items()
         }
-        held.apply_rows(found, table.weights_from_row)
-        got = table.table_from_rows(found, version=2, weights=held.by_model)
-        assert got.ok_value.models["llm"].weights_version == "4", value
+        published.apply_rows(rows_read, table.weights_from_row)
+        parsed = table.table_from_rows(
+            rows_read, version=2, weights=published.by_model
+        )
+        assert parsed.ok_value.models["llm"].weights_version == "4", value
 
 
 def an_engine_that_reports_no_weights_gets_no_work() -> None:
@@ -195,10 +208,10 @@
     service has no weights, and weights were compared only where reported.
     """
     core = routed_core.Core(servers=0)
-    _listed(core, 1_000, weights_version="")
+    _list_engine(core, 1_000, weights_version="")
     core.arrive("long", "r1")
     assert core.refusal().status == 503
-    _loaded(core, 1_000)
+    _report_load(core, 1_000)
     core.arrive("long", "r2")
     assert core.dispatch().server_id == "e1"
 
@@ -207,21 +220,21 @@
     return core.world.servers["e1"]
 
 
-def _listed(core: routed_core.Core, born_ms: int, **fields) -> None:
+def _list_engine(core: routed_core.Core, started_at_ms: int, **fields) -> None:
     core.list_server(
         "e1",
         routed_core.ENGINES,
         address="10.0.0.1:1",
-        incarnation=incarnation.make_name("e1", born_ms),
+        incarnation=incarnation.make_name("e1", started_at_ms),
         **fields,
     )
 
 
-def _loaded(core: routed_core.Core, born_ms: int, **fields) -> None:
+def _report_load(core: routed_core.Core, started_at_ms: int, **fields) -> None:
     core.tell_named(
         server_inputs.LoadReported,
         server_id="e1",
-        incarnation=incarnation.make_name("e1", born_ms),
+        incarnation=incarnation.make_name("e1", started_at_ms),
         **{
             "weights_version": "1",
             "running": 0,
@@ -234,11 +247,13 @@
     )
 
 
-def _digest(core: routed_core.Core, born_ms: int, *keys: int) -> None:
+def _report_cache(
+    core: routed_core.Core, started_at_ms: int, *keys: int
+) -> None:
     core.tell_named(
         server_inputs.CacheDigest,
         server_id="e1",
-        incarnation=incarnation.make_name("e1", born_ms),
+        incarnation=incarnation.make_name("e1", started_at_ms),
         weights_version="1",
         cleared=False,
         stored=keys,
@@ -255,13 +270,13 @@
     the restart, or it got no work, since it was leaving.
     """
     core = routed_core.Core(servers=0)
-    _listed(core, 1_000)
-    _digest(core, 1_000, 11, 12)
+    _list_engine(core, 1_000)
+    _report_cache(core, 1_000, 11, 12)
     core.arrive("long", "r1", levels=(work.Level(11, 900), work.Level(20, 500)))
-    _loaded(core, 1_000, running=9, leaving=True)
+    _report_load(core, 1_000, running=9, leaving=True)
     server = _engine(core)
     assert server.leaving and server.in_flight and server.backlog_until_ms
-    _listed(core, 2_000)
+    _list_engine(core, 2_000)
     assert _engine(core) is server
     assert (
         not server.leaving
@@ -280,23 +295,23 @@
     start, then the earlier one, and a server that has just started was
     considered leaving, or to have a cache.
     """
-    for first in (_listed, _loaded):
+    for report in (_list_engine, _report_load):
         core = routed_core.Core(servers=0)
-        _listed(core, 1_000)
-        _digest(core, 1_000, 11)
-        first(core, 2_000)
+        _list_engine(core, 1_000)
+        _report_cache(core, 1_000, 11)
+        report(core, 2_000)
         server = _engine(core)
         assert server.incarnation == "e1@2000"
         core.wait(10)
-        _listed(core, 1_000, leaving=True)
-        _loaded(core, 1_000, running=7, leaving=True)
-        _loaded(core, 0, running=7, leaving=True)
-        _digest(core, 1_000, 12)
+        _list_engine(core, 1_000, leaving=True)
+        _report_load(core, 1_000, running=7, leaving=True)
+        _report_load(core, 0, running=7, leaving=True)
+        _report_cache(core, 1_000, 12)
         assert server.incarnation == "e1@2000"
         assert not server.leaving and server.running == 0
         assert server.cache.cached_at_ms(11) is None
         assert server.cache.cached_at_ms(12) is None
-        _digest(core, 2_000, 13)
+        _report_cache(core, 2_000, 13)
         assert server.cache.cached_at_ms(13) is not None
 
 
@@ -308,10 +323,10 @@
     stream are read after that.
     """
     core = routed_core.Core(servers=0)
-    _listed(core, 1_000)
+    _list_engine(core, 1_000)
     core.arrive("long", "r1")
     sent = core.dispatch()
-    _listed(core, 2_000)
+    _list_engine(core, 2_000)
     core.tell(
         inputs.AttemptOpened,
         sent.attempt_id,
@@ -328,24 +343,24 @@
     out: it is ordered to load, then starts again under its id with the weights
     it had, and the order was attributed to the new process.
     """
-    planned = rollout.Rollout(
+    rollout_state = rollout.Rollout(
         policy=rollout.RolloutPolicy(order_after_ms=100, load_limit_ms=4_000)
     )
 
-    def decide(started: int, now_ms: int) -> rollout.Decision:
+    def decide(started_at_ms: int, now_ms: int) -> rollout.Decision:
         replica = rollout.Replica(
             server_id="e1",
-            incarnation=incarnation.make_name("e1", started),
+            incarnation=incarnation.make_name("e1", started_at_ms),
             weights_version="1",
             busy=3,
         )
-        return planned.decide(
+        return rollout_state.decide(
             desired_version="2", replicas=[replica], now_ms=now_ms
         )
 
     decide(1_000, 0)
     assert decide(1_000, 150).load == ("e1",)
-    planned.record_order("e1", now_ms=150)
+    rollout_state.record_order("e1", now_ms=150)
     assert decide(1_000, 300).load == ()
     decide(2_000, 400)
     assert decide(2_000, 550).load == ("e1",)
@@ -358,19 +373,25 @@
     one: reports and events with a start time, without one, and with an invalid
     one.
     """
-    spoken = servers.ServerFormat(lambda target: "m")
+    server_format = servers.ServerFormat(lambda target: "m")
     report = {"models": [{"name": "m", "version": 2}], "sequence": 0}
     events = {"boot-epoch": 1, "next": 0, "events": []}
-    for told, read in (
-        (report, spoken.read_load),
-        (events, spoken.read_events),
+    for payload, read in (
+        (report, server_format.read_load),
+        (events, server_format.read_events),
     ):
-        for born, name in ((BORN_MS, f"e1@{BORN_MS}"), (None, "e1")):
-            body = {**told, **({"born": born} if born else {})}
+        for started_at_ms, name in (
+            (STARTED_AT_MS, f"e1@{STARTED_AT_MS}"),
+            (None, "e1"),
+        ):
+            body = {
+                **payload,
+                **({"born": started_at_ms} if started_at_ms else {}),
+            }
             assert read(json.dumps(body).encode(), "e1").incarnation == name
-        for wrong in ("1", 1.5, True, None, -1):
+        for invalid in ("1", 1.5, True, None, -1):
             try:
-                read(json.dumps({**told, "born": wrong}).encode(), "e1")
+                read(json.dumps({**payload, "born": invalid}).encode(), "e1")
             except ValueError:
                 continue
-            raise AssertionError(f"taken: {wrong!r}")
+            raise AssertionError(f"accepted: {invalid!r}")
--- a/tests/cases/joining.py
+++ b/tests/cases/joining.py
@@ -29,18 +29,18 @@
     slow = fleet.daemons[2]
     announce = slow.gossiper.announce
     slow.gossiper.announce = lambda: None
-    named = set()
+    advertised = set()
     for _ in range(int(PREPARES_S / fleets.SAMPLE_S)):
         await asyncio.sleep(fleets.SAMPLE_S)
-        named.update(_named(fleet.daemons[:2]))
-    assert named == {"d0@1", "d1@1"}, named
+        advertised.update(_advertised(fleet.daemons[:2]))
+    assert advertised == {"d0@1", "d1@1"}, advertised
     announce()
     await asyncio.sleep(KNOWN_S)
     for daemon in fleet.daemons:
-        assert _named([daemon]) == {"d0@1", "d1@1", "d2@1"}, daemon.name
+        assert _advertised([daemon]) == {"d0@1", "d1@1", "d2@1"}, daemon.name
 
 
-def _named(daemons: list[fleets.FleetDaemon]) -> set[str]:
+def _advertised(daemons: list[fleets.FleetDaemon]) -> set[str]:
     return {
         member.member_id
         for daemon in daemons
--- a/tests/cases/leading.py
+++ b/tests/cases/leading.py
@@ -24,23 +24,23 @@
     """
 
     async def case() -> None:
-        led = one_lead.Led()
+        daemon = one_lead.LeadDaemon()
         other = lease.Lease(
-            service=led.table,
+            service=daemon.table,
             name=one_lead.MODEL,
             holder="gone",
             policy=lease.LeasePolicy(lease_ms=3_000),
-            clock=led.clock,
+            clock=daemon.clock,
         )
         assert await other.record([f"e{n}" for n in range(1, 7)])
-        await led.run(for_s=3.0)
-        assert not led.engines.orders and not led.news.drained
-        await led.run(for_s=5.0)
-        assert len(led.engines.orders) == 6, led.engines.orders
-        led = one_lead.Led()
-        led.table.faults.down = True
-        await led.run(for_s=5.0)
-        assert not led.news.drained
+        await daemon.run(for_s=3.0)
+        assert not daemon.engines.orders and not daemon.news.drained
+        await daemon.run(for_s=5.0)
+        assert len(daemon.engines.orders) == 6, daemon.engines.orders
+        daemon = one_lead.LeadDaemon()
+        daemon.table.faults.down = True
+        await daemon.run(for_s=5.0)
+        assert not daemon.news.drained
 
     one_lead.play(case())
 
@@ -53,10 +53,10 @@
     """
 
     async def case() -> None:
-        led = one_lead.Led()
-        await led.run(for_s=0.5)
-        assert len(led.engines.orders) == 2, led.engines.orders
-        assert {order.fencing for order in led.engines.orders} == {1}
+        daemon = one_lead.LeadDaemon()
+        await daemon.run(for_s=0.5)
+        assert len(daemon.engines.orders) == 2, daemon.engines.orders
+        assert {order.fencing for order in daemon.engines.orders} == {1}
 
     one_lead.play(case())
 
@@ -71,14 +71,14 @@
     """
 
     async def case() -> None:
-        led = one_lead.Led()
-        led.table.faults.latency_ms = (400, 400)
-        task = asyncio.create_task(led.lead.lead_forever(step_ms=100))
+        daemon = one_lead.LeadDaemon()
+        daemon.table.faults.latency_ms = (400, 400)
+        task = asyncio.create_task(daemon.lead.lead_forever(step_ms=100))
         for name in [f"e{n}" for n in range(1, 7)]:
             await asyncio.sleep(0.45)
-            led.runtime.submit(
+            daemon.runtime.submit(
                 server_inputs.ServerListed(
-                    at_ms=led.clock.now_ms(), server_id=name, gone=True
+                    at_ms=daemon.clock.now_ms(), server_id=name, gone=True
                 )
             )
         await asyncio.sleep(1.0)
@@ -98,20 +98,26 @@
     """
 
     async def case() -> None:
-        led = one_lead.Led()
-        await led.run(for_s=0.5)
-        (row_id,) = led.table.rows
+        daemon = one_lead.LeadDaemon()
+        await daemon.run(for_s=0.5)
+        (row_id,) = daemon.table.rows
         for text in ("", "x", "[]", '{"holder":1}', '{"orders":{"e1":"a"}}'):
-            row = led.table.rows[row_id]
-            led.table.version += 1
-            led.table.rows[row_id] = dataclasses.replace(
-                row, value=text, version=led.table.version
+            row = daemon.table.rows[row_id]
+            daemon.table.version += 1
+            daemon.table.rows[row_id] = dataclasses.replace(
+                row, value=text, version=daemon.table.version
+            )
+            model_lease = daemon.lead._led[one_lead.MODEL].lease
+            assert not await model_lease.record(["e1"])
+            assert (
+                not model_lease.may_send("e1")
+                and "e1" in model_lease.held_by_others()
+            )
+            number = model_lease.fencing
+            assert (
+                await model_lease.record(["e2"])
+                and model_lease.fencing > number
             )
-            held = led.lead._led[one_lead.MODEL].lease
-            assert not await held.record(["e1"])
-            assert not held.may_send("e1") and "e1" in held.held_by_others()
-            number = held.fencing
-            assert await held.record(["e2"]) and held.fencing > number
 
     one_lead.play(case())
 
@@ -125,10 +131,10 @@
     """
 
     async def case() -> None:
-        led = one_lead.Led()
-        await led.run(for_s=5.0)
-        assert sorted(led.engines.versions.values()) == ["2"] * 6
-        assert len(led.engines.orders) == 6, led.engines.orders
+        daemon = one_lead.LeadDaemon()
+        await daemon.run(for_s=5.0)
+        assert sorted(daemon.engines.versions.values()) == ["2"] * 6
+        assert len(daemon.engines.orders) == 6, daemon.engines.orders
 
     one_lead.play(case())
 
@@ -142,11 +148,11 @@
     """
 
     async def case() -> None:
-        led = one_lead.Led()
-        led.engines.refuse = 412
-        await led.run(for_s=0.5)
-        held = led.lead._led[one_lead.MODEL].lease
-        assert not held.may_send("e1") and not held.is_own
+        daemon = one_lead.LeadDaemon()
+        daemon.engines.refuse = 412
+        await daemon.run(for_s=0.5)
+        model_lease = daemon.lead._led[one_lead.MODEL].lease
+        assert not model_lease.may_send("e1") and not model_lease.is_own
 
     one_lead.play(case())
 
@@ -161,14 +167,14 @@
     """
 
     async def case() -> None:
-        led = one_lead.Led()
-        led.engines.refuse = 421
-        await led.run(for_s=2.0)
-        servers = led.runtime.core.world.servers
+        daemon = one_lead.LeadDaemon()
+        daemon.engines.refuse = 421
+        await daemon.run(for_s=2.0)
+        servers = daemon.runtime.core.world.servers
         assert all(servers[f"e{n}"].leaving for n in range(1, 7))
-        led.engines.refuse = 0
-        await led.run(for_s=1.0)
-        assert not led.engines.orders, led.engines.orders
+        daemon.engines.refuse = 0
+        await daemon.run(for_s=1.0)
+        assert not daemon.engines.orders, daemon.engines.orders
 
     one_lead.play(case())
 
@@ -192,49 +198,49 @@
     """
 
     async def case() -> None:
-        led = one_lead.Led(servers=1, load_s=0.4)
-        told: set[tuple[str, str]] = set()
+        daemon = one_lead.LeadDaemon(servers=1, load_s=0.4)
+        announced: set[tuple[str, str]] = set()
         undrained: list[str] = []
-        give = led.engines.order
+        send_order = daemon.engines.order
 
         def version(server_id: str) -> str:
-            return led.engines.versions.get(server_id, "1")
+            return daemon.engines.versions.get(server_id, "1")
 
-        def drained(server_id, target) -> None:
+        def record_drain(server_id, target) -> None:
             del target
-            told.add((server_id, version(server_id)))
+            announced.add((server_id, version(server_id)))
 
         async def order(address, order):
             name = order.server_id
-            row = led.runtime.core.world.servers[name]
-            drains = row.draining_until_ms > led.clock.now_ms()
-            if not drains or (name, version(name)) not in told:
+            row = daemon.runtime.core.world.servers[name]
+            is_drained = row.draining_until_ms > daemon.clock.now_ms()
+            if not is_drained or (name, version(name)) not in announced:
                 undrained.append(f"{name}: {order.value}")
-            return await give(address, order)
+            return await send_order(address, order)
 
-        led.news.publish_draining = drained
-        led.engines.order = order
-        await led.run(for_s=0.3)
-        led.runtime.submit(
+        daemon.news.publish_draining = record_drain
+        daemon.engines.order = order
+        await daemon.run(for_s=0.3)
+        daemon.runtime.submit(
             inputs.TableChanged(
-                led.clock.now_ms(), routed_core.table(3, weights="3")
+                daemon.clock.now_ms(), routed_core.table(3, weights="3")
             )
         )
-        await led.run(for_s=5.0)
-        assert led.with_weights("3") == 1, led.engines.versions
+        await daemon.run(for_s=5.0)
+        assert daemon.count_with_weights("3") == 1, daemon.engines.versions
         assert not undrained, undrained
 
     one_lead.play(case())
 
 
-class _DeafTable(fakes.TableFake):
+class _LossyTable(fakes.TableFake):
     """A store whose read replies may be lost."""
 
-    is_deaf = False
+    is_lossy = False
 
     async def read(self, row_id):
         """Reads a row, or does not answer."""
-        if self.is_deaf:
+        if self.is_lossy:
             return await self._silence("read")
         return await super().read(row_id)
 
@@ -256,7 +262,7 @@
 
     async def case() -> None:
         clock = loop.LoopClock(asyncio.get_running_loop())
-        table = _DeafTable(random.Random(1))
+        table = _LossyTable(random.Random(1))
         first, second = (
             lease.Lease(
                 service=table,
@@ -268,9 +274,9 @@
             for holder in ("first", "second")
         )
         assert await first.refresh()
-        table.is_deaf = True
+        table.is_lossy = True
         assert await first.record(["e1"]) and first.is_own
-        table.is_deaf = False
+        table.is_lossy = False
         assert await second.record(["e2"])
         # Decided while it still considered itself the holder.
         assert not await first.record(["e2"])
@@ -289,14 +295,14 @@
     """
 
     async def case() -> None:
-        led = one_lead.Led()
-        now_ms = led.clock.now_ms()
-        led.runtime.submit(
+        daemon = one_lead.LeadDaemon()
+        now_ms = daemon.clock.now_ms()
+        daemon.runtime.submit(
             server_inputs.ServerDraining(now_ms, "e1", now_ms + 3_000)
         )
-        await led.run(for_s=0.5)
-        ordered = {order.server_id for order in led.engines.orders}
+        await daemon.run(for_s=0.5)
+        ordered = {order.server_id for order in daemon.engines.orders}
         assert "e1" in ordered, ordered
-        assert ordered <= led.news.drained, (ordered, led.news.drained)
+        assert ordered <= daemon.news.drained, (ordered, daemon.news.drained)
 
     one_lead.play(case())
--- a/tests/cases/logs.py
+++ b/tests/cases/logs.py
@@ -16,33 +16,33 @@
 from godwittack.daemon import log_sampling, logs, observer
 
 
-class Told:
+class LoggedCore:
     """A core whose events are logged."""
 
     def __init__(self, *, lines_per_s: int = 200) -> None:
         self.lines: list[str] = []
         self.core = routed_core.Core()
-        self.stories = log_sampling.RequestLogSampler(
+        self.sampler = log_sampling.RequestLogSampler(
             write=self.lines.append,
             now_ms=lambda: self.core.now_ms,
             lines_per_s=lines_per_s,
         )
 
-    def take(self) -> None:
+    def log_events(self) -> None:
         """Logs the events of the core's last step."""
         for event in self.core.find(effects.Event):
-            self.stories.record(event, observer.format_line(event))
+            self.sampler.record(event, observer.format_line(event))
 
     def play(self, name: str, *, fails: bool) -> None:
         """Plays one request to its end."""
         self.core.arrive("confirm", name)
         sent = self.core.dispatch()
-        self.take()
+        self.log_events()
         if fails:
             self.core.fail(sent, inputs.FailurePhase.SENT)
         else:
             self.core.answer(sent)
-        self.take()
+        self.log_events()
 
 
 def log_volume_is_bounded_and_requests_are_logged_whole() -> None:
@@ -52,14 +52,14 @@
     whose first lines are missing because lines were written or left out one by
     one: 5,000 requests within a second, of which one in a hundred fails.
     """
-    told = Told()
+    logged = LoggedCore()
     for number in range(5_000):
-        told.play(f"r{number}", fails=number % 100 == 0)
-        told.core.now_ms += number % 5 == 0
-    assert len(told.lines) < 2_000, len(told.lines)
-    assert told.stories.omitted_requests > 3_000
+        logged.play(f"r{number}", fails=number % 100 == 0)
+        logged.core.now_ms += number % 5 == 0
+    assert len(logged.lines) < 2_000, len(logged.lines)
+    assert logged.sampler.omitted_requests > 3_000
     by_request: dict[str, list[str]] = {}
-    for line in told.lines:
+    for line in logged.lines:
         fields = dict(explain.KEY_VALUE.findall(line))
         if "request" in fields:
             by_request.setdefault(fields["request"], []).append(fields["event"])
@@ -111,18 +111,18 @@
     decision, so that on-call staff can't tell why an officer got no answer. A
     call's server breaks off; its id is looked up in two logs.
     """
-    told = Told()
-    told.core.arrive("confirm", "9c41d07b~7")
-    sent = told.core.dispatch()
-    told.take()
-    told.core.fail(sent, inputs.FailurePhase.SENT)
-    told.take()
-    told.play("other~8", fails=False)
+    logged = LoggedCore()
+    logged.core.arrive("confirm", "9c41d07b~7")
+    sent = logged.core.dispatch()
+    logged.log_events()
+    logged.core.fail(sent, inputs.FailurePhase.SENT)
+    logged.log_events()
+    logged.play("other~8", fails=False)
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / "edge-1.log"
         other = pathlib.Path(folder) / "edge-2.log"
         path.write_text(
-            "".join(f"time=1 level=INFO {line}\n" for line in told.lines)
+            "".join(f"time=1 level=INFO {line}\n" for line in logged.lines)
         )
         other.write_text("time=1 level=INFO event=serving\n")
         out = io.StringIO()
@@ -130,10 +130,10 @@
             assert explain.explain("9c41d07b", str(path), str(other)) == 0
         with contextlib.redirect_stderr(io.StringIO()) as errors:
             assert explain.explain("unknown", str(path)) != 0
-    story = out.getvalue()
+    explanation = out.getvalue()
     for part in ("placed", "attempt_failed", "answer_lost", "may_have_run=1"):
-        assert part in story, story
-    assert "other" not in story and "no line" in errors.getvalue()
+        assert part in explanation, explanation
+    assert "other" not in explanation and "no line" in errors.getvalue()
 
 
 def an_external_value_forges_no_log_line() -> None:
--- a/tests/cases/one_lead.py
+++ b/tests/cases/one_lead.py
@@ -67,7 +67,7 @@
         return Ok(None)
 
 
-class News:
+class RecordedUpdates:
     """Records announced drains."""
 
     def __init__(self) -> None:
@@ -87,25 +87,25 @@
 
     def __init__(self, clock, *, servers: int = 6) -> None:
         self.clock = clock
-        self.held = routed_core.Core(servers=servers)
-        self.core = self.held.router
+        self.harness = routed_core.Core(servers=servers)
+        self.core = self.harness.router
 
-    def submit(self, told) -> None:
+    def submit(self, message) -> None:
         """Applies an input to the core."""
-        self.core.step(told)
+        self.core.step(message)
 
 
-class Led:
+class LeadDaemon:
     """One daemon that leads the engines of one model, by default six."""
 
     def __init__(self, *, servers: int = 6, load_s: float = 1.1) -> None:
         self.clock = loop.LoopClock(asyncio.get_running_loop())
         self.engines = Engines(self.clock, load_s=load_s)
-        self.news = News()
+        self.news = RecordedUpdates()
         self.table = fakes.TableFake(random.Random(1))
         self.runtime = Runtime(self.clock, servers=servers)
-        self.runtime.held.now_ms = self.clock.now_ms()
-        self.runtime.held.tell(
+        self.runtime.harness.now_ms = self.clock.now_ms()
+        self.runtime.harness.tell(
             inputs.TableChanged, routed_core.table(2, weights="2")
         )
         me = view.Member(
@@ -134,7 +134,7 @@
         await asyncio.sleep(for_s)
         task.cancel()
 
-    async def press(self) -> None:
+    async def apply_load(self) -> None:
         """Keeps prompts waiting at each engine that takes work."""
         world = self.runtime.core.world
         while True:
@@ -154,7 +154,7 @@
                     )
             await asyncio.sleep(0.05)
 
-    def with_weights(self, version: str) -> int:
+    def count_with_weights(self, version: str) -> int:
         """Returns how many engines have a version."""
         return list(self.engines.versions.values()).count(version)
 
--- a/tests/cases/peers.py
+++ b/tests/cases/peers.py
@@ -24,7 +24,7 @@
 from godwittack.table import model, schema
 
 SECRET = b"s" * 32
-STRANGER = b"x" * 32
+OTHER_SECRET = b"x" * 32
 TIMEOUT_MS = 2_000
 
 
@@ -34,18 +34,20 @@
     def __init__(self) -> None:
         self.news: list[tuple[str, list[str]]] = []
 
-    def exchanged(self, told):
+    def exchanged(self, envelope):
         """Returns the same envelope."""
-        return told
+        return envelope
 
     def told(self, sender_id, news, reader):
         """Records the servers reported as leaving."""
         del reader
-        self.news.append((sender_id, [told.server_id for told in news.leaving]))
+        self.news.append(
+            (sender_id, [entry.server_id for entry in news.leaving])
+        )
 
-    def table(self, asked):
+    def table(self, request):
         """Returns a table."""
-        return peer_pb2.TableReply(version=asked.known_version + 1)
+        return peer_pb2.TableReply(version=request.known_version + 1)
 
     def report(self):
         """Returns nothing."""
@@ -75,27 +77,33 @@
 
 async def updates_arrive_in_order_with_their_sender():
     """One stream carries many messages; the first identifies the sender."""
-    async with pair() as two:
-        stream = two.client.open_news(two.address, on_broken=_never)
+    async with pair() as peers_pair:
+        stream = peers_pair.client.open_news(
+            peers_pair.address, on_broken=_never
+        )
         for number in range(5):
             sent = _leaving(f"s{number}")
             if not number:
                 sent.sender_id = "d1"
             assert (await stream.send(sent)).is_ok()
-        await _until(lambda: len(two.handler.news) == 5)
+        await _until(lambda: len(peers_pair.handler.news) == 5)
         stream.close()
-    assert two.handler.news == [("d1", [f"s{n}"]) for n in range(5)]
+    assert peers_pair.handler.news == [("d1", [f"s{n}"]) for n in range(5)]
 
 
 async def calls_are_answered():
     """Each call reaches its handler."""
-    async with pair() as two:
-        got = await two.client.fetch_table(two.address, known_version=4)
-        assert got.ok_value.version == 5, got
-        assert (await two.client.fetch_report(two.address)).is_ok()
-        told = peer_pb2.Envelope(table_version=7)
-        got = await two.client.exchange(two.address, told)
-        assert got.ok_value.table_version == 7, got
+    async with pair() as peers_pair:
+        result = await peers_pair.client.fetch_table(
+            peers_pair.address, known_version=4
+        )
+        assert result.ok_value.version == 5, result
+        assert (
+            await peers_pair.client.fetch_report(peers_pair.address)
+        ).is_ok()
+        envelope = peer_pb2.Envelope(table_version=7)
+        result = await peers_pair.client.exchange(peers_pair.address, envelope)
+        assert result.ok_value.table_version == 7, result
 
 
 async def a_peer_with_another_secret_gets_neither_answers_nor_streams():
@@ -104,13 +112,17 @@
     Guards against a process of another cluster that changes this one's state:
     it connects to a daemon's address with another secret.
     """
-    async with pair(secret=STRANGER) as two:
-        got = await two.client.fetch_table(two.address, known_version=4)
-        assert "status 401" in got.err_value.detail, got
-        stream = two.client.open_news(two.address, on_broken=_never)
+    async with pair(secret=OTHER_SECRET) as peers_pair:
+        result = await peers_pair.client.fetch_table(
+            peers_pair.address, known_version=4
+        )
+        assert "status 401" in result.err_value.detail, result
+        stream = peers_pair.client.open_news(
+            peers_pair.address, on_broken=_never
+        )
         sent = await stream.send(_leaving("s0"))
         assert sent.is_err()
-    assert two.handler.news == []
+    assert peers_pair.handler.news == []
 
 
 async def unreadable_messages_are_refused():
@@ -122,24 +134,26 @@
     another.
     """
     broken = asyncio.Event()
-    async with pair() as two:
+    async with pair() as peers_pair:
         headers = {exchange.PROOF_HEADER: exchange.proof(SECRET)}
-        url = f"http://{two.address}"
+        url = f"http://{peers_pair.address}"
         async with aiohttp.ClientSession(headers=headers) as session:
             for path, status in (
                 (exchange.EXCHANGE_PATH, 400),
                 ("/peer/none", 404),
             ):
-                got = await session.post(url + path, data=b"\xff\xff")
-                assert got.status == status, (path, got.status)
+                result = await session.post(url + path, data=b"\xff\xff")
+                assert result.status == status, (path, result.status)
             socket = await session.ws_connect(url + exchange.NEWS_PATH)
             await socket.send_bytes(b"\xff\xff")
             ended = await socket.receive(timeout=1)
             assert ended.type is not aiohttp.WSMsgType.BINARY, ended
-        stream = two.client.open_news(two.address, on_broken=broken.set)
+        stream = peers_pair.client.open_news(
+            peers_pair.address, on_broken=broken.set
+        )
         assert (await stream.send(peer_pb2.News(sender_id="d1"))).is_ok()
         stream.close()
-    assert two.handler.news == [("d1", [])]
+    assert peers_pair.handler.news == [("d1", [])]
 
 
 async def a_server_that_stops_ends_its_streams_at_once():
@@ -149,12 +163,14 @@
     sender that doesn't read its stream and so does not see it closed.
     """
     broken = asyncio.Event()
-    async with pair() as two:
-        stream = two.client.open_news(two.address, on_broken=broken.set)
+    async with pair() as peers_pair:
+        stream = peers_pair.client.open_news(
+            peers_pair.address, on_broken=broken.set
+        )
         assert (await stream.send(peer_pb2.News(sender_id="d1"))).is_ok()
-        await _until(lambda: two.handler.news)
+        await _until(lambda: peers_pair.handler.news)
         started = time.monotonic()
-        await two.server.stop()
+        await peers_pair.server.stop()
         took_ms = (time.monotonic() - started) * 1000
         await asyncio.wait_for(broken.wait(), 1)
         assert took_ms < 900, took_ms
@@ -188,24 +204,24 @@
     a peer that listens and to one that is gone; a process with another secret
     sends the same.
     """
-    heard: list[peer_pb2.News] = []
-    told = peer_pb2.News()
-    told.dispatched.add(server_id="e1", tokens=9_000, levels=[1, 2])
-    hearing, sending, stranger = (
+    received: list[peer_pb2.News] = []
+    update = peer_pb2.News()
+    update.dispatched.add(server_id="e1", tokens=9_000, levels=[1, 2])
+    receiver, sender, foreign = (
         datagram.DatagramPeers(secret=secret, timeout_ms=TIMEOUT_MS)
-        for secret in (SECRET, SECRET, STRANGER)
+        for secret in (SECRET, SECRET, OTHER_SECRET)
     )
-    hearing.on_news = heard.append
-    address = await _start_datagrams(hearing)
-    await _start_datagrams(stranger)
-    await _start_datagrams(sending)
-    stranger.spread([address], told)
-    sending.spread(["127.0.0.1:9", address], told)
-    await _until(lambda: heard)
+    receiver.on_news = received.append
+    address = await _start_datagrams(receiver)
+    await _start_datagrams(foreign)
+    await _start_datagrams(sender)
+    foreign.spread([address], update)
+    sender.spread(["127.0.0.1:9", address], update)
+    await _until(lambda: received)
     await asyncio.sleep(0.02)
-    for peers in (hearing, sending, stranger):
+    for peers in (receiver, sender, foreign):
         peers.close()
-    assert heard == [told]
+    assert received == [update]
 
 
 async def test_ports_are_outside_the_ephemeral_range():
@@ -246,11 +262,15 @@
         )
         for _ in range(3)
     ]
-    given = [(await child.stdout.readline()).split() for child in running]
+    ports_by_process = [
+        (await child.stdout.readline()).split() for child in running
+    ]
     for child in running:
         await child.communicate(b"\n")
-    every = [port for ports in given for port in ports]
-    assert len(every) == 1_200 and len(set(every)) == 1_200, len(set(every))
+    all_ports = [port for ports in ports_by_process for port in ports]
+    assert len(all_ports) == 1_200 and len(set(all_ports)) == 1_200, len(
+        set(all_ports)
+    )
 
 
 async def _start_datagrams(peers: datagram.DatagramPeers) -> str:
@@ -268,14 +288,14 @@
     minutes away.
     """
     streams = ScriptedStreams()
-    told = _news(streams)
-    told.flush()
+    updates = _news(streams)
+    updates.flush()
     await _until(lambda: len(streams.sent) == 1 and streams.sent[0])
     assert [d.cell for d in streams.sent[0][0].demands] == ["workspace/desk"]
     streams.breaks[0]()
     await _until(lambda: len(streams.sent) == 2 and streams.sent[1])
     assert [d.cell for d in streams.sent[1][0].demands] == ["workspace/desk"]
-    told.close()
+    updates.close()
 
 
 async def unchanged_demand_is_sent_once():
@@ -286,13 +306,13 @@
     with each request, the number in flight.
     """
     streams = ScriptedStreams()
-    told = _news(streams)
-    told.flush()
+    updates = _news(streams)
+    updates.flush()
     await _until(lambda: len(streams.sent) == 1 and streams.sent[0])
-    told.world.shares.cells["workspace/desk"].in_flight = 5
-    told.flush()
+    updates.world.shares.cells["workspace/desk"].in_flight = 5
+    updates.flush()
     await asyncio.sleep(0.02)
-    told.close()
+    updates.close()
     assert len(streams.sent[0]) == 1, streams.sent
 
 
@@ -305,14 +325,14 @@
     split.
     """
     streams = ScriptedStreams()
-    told = _news(streams)
-    told.world.shares.cells.clear()
-    use = told.world.shares.cells["model/rulebook"]
+    updates = _news(streams)
+    updates.world.shares.cells.clear()
+    usage = updates.world.shares.cells["model/rulebook"]
     for rate in (10.0, 10.9, 9.4, 20.0):
-        use.rate_per_s = rate
-        told.flush()
+        usage.rate_per_s = rate
+        updates.flush()
         await asyncio.sleep(0.02)
-    told.close()
+    updates.close()
     assert len(streams.sent[0]) == 2, streams.sent
 
 
@@ -331,7 +351,7 @@
         table=types.SimpleNamespace(targets=()),
     )
     world.shares.cells["workspace/desk"].demand = 3.0
-    told = newses.News(
+    updates = newses.News(
         members=types.SimpleNamespace(me=me, live=lambda: [me, other]),
         runtime=types.SimpleNamespace(
             core=types.SimpleNamespace(world=world),
@@ -340,53 +360,55 @@
         ),
         client=streams,
     )
-    told.world = world
-    return told
+    updates.world = world
+    return updates
 
 
-def _ignore(told: inputs.Input) -> None:
-    del told
+def _ignore(message: inputs.Input) -> None:
+    del message
 
 
 def _never() -> None:
     raise AssertionError("the stream broke")
 
 
-async def _until(true) -> None:
+async def _until(is_true) -> None:
     async with asyncio.timeout(2):
-        while not true():
+        while not is_true():
             await asyncio.sleep(0.005)
 
 
 def a_forwarded_table_is_unchanged() -> None:
     """Peers decode what was sent, compressed or not, and nothing else."""
-    told = routed_core.table(7, keys=tuple(f"key{n}" for n in range(280)))
+    sent = routed_core.table(7, keys=tuple(f"key{n}" for n in range(280)))
     for number in range(140):
         name = f"workspace-{number}"
-        told.workspaces[name] = model.WorkspaceRow(
+        sent.workspaces[name] = model.WorkspaceRow(
             name=name, max_in_flight=200, max_requests_per_s=100.0
         )
     writer = tables.TableWriter()
     sizes = []
     for accepts in (False, True):
-        asked = peer_pb2.TableRequest(known_version=6, accepts_deflate=accepts)
-        reply = writer.reply(told, asked)
+        request = peer_pb2.TableRequest(
+            known_version=6, accepts_deflate=accepts
+        )
+        reply = writer.reply(sent, request)
         sizes.append(reply.ByteSize())
         read = tables.read(reply)
         assert read is not None
-        assert schema.table_to_json(read.ok_value) == schema.table_to_json(told)
+        assert schema.table_to_json(read.ok_value) == schema.table_to_json(sent)
     assert sizes[1] < sizes[0] / 2, sizes
     newest = peer_pb2.TableRequest(known_version=7, accepts_deflate=True)
-    assert tables.read(writer.reply(told, newest)) is None
+    assert tables.read(writer.reply(sent, newest)) is None
 
 
 def a_damaged_table_is_rejected() -> None:
     """A truncated, corrupted or oversized reply is an error, not a table."""
-    asked = peer_pb2.TableRequest(accepts_deflate=True)
-    whole = tables.TableWriter().reply(routed_core.table(3), asked)
+    request = peer_pb2.TableRequest(accepts_deflate=True)
+    whole = tables.TableWriter().reply(routed_core.table(3), request)
     packed = whole.table_deflated
     bomb = zlib.compress(b" " * (tables.MAX_BYTES + 1))
-    for spoiled in (packed[:-9], b"no table", packed[:20] + packed[30:], bomb):
-        reply = peer_pb2.TableReply(version=3, table_deflated=spoiled)
+    for data in (packed[:-9], b"no table", packed[:20] + packed[30:], bomb):
+        reply = peer_pb2.TableReply(version=3, table_deflated=data)
         read = tables.read(reply)
-        assert read is not None and read.is_err(), spoiled[:20]
+        assert read is not None and read.is_err(), data[:20]
--- a/tests/cases/rollout_bounds.py
+++ b/tests/cases/rollout_bounds.py
@@ -29,7 +29,7 @@
         super().__init__(clock, load_s=load_s)
         self.loading: dict[str, float] = {}
         self.refused = 0
-        self.most_loading = 0
+        self.max_loading = 0
 
     async def order(self, address, order):
         """Accepts an order unless the engine is loading."""
@@ -43,11 +43,11 @@
                 )
             )
         self.loading[order.server_id] = now_ms + self.load_s * 1000
-        self.most_loading = max(self.most_loading, len(self.loading))
+        self.max_loading = max(self.max_loading, len(self.loading))
         return await super().order(address, order)
 
 
-class _Daemon(one_lead.Led):
+class _Daemon(one_lead.LeadDaemon):
     """One of several daemons that may lead the same engines by one table."""
 
     def __init__(
@@ -75,14 +75,14 @@
             ),
         )
 
-    async def hear(self) -> None:
+    async def poll_engines(self) -> None:
         """Polls the engines for their weights."""
         while True:
             for row in list(self.runtime.core.world.servers.values()):
-                got = await self.engines.load(
+                result = await self.engines.load(
                     row.address, server_id=row.server_id
                 )
-                load = got.ok_value
+                load = result.ok_value
                 is_engine = row.target == one_lead.MODEL
                 if is_engine and load.weights_version != row.weights_version:
                     self.runtime.submit(watch.report(row, load, self.runtime))
@@ -128,8 +128,12 @@
             for name in ranked
         )
         tasks = [
-            asyncio.create_task(made)
-            for made in (first.hear(), second.hear(), first.press())
+            asyncio.create_task(coroutine)
+            for coroutine in (
+                first.poll_engines(),
+                second.poll_engines(),
+                first.apply_load(),
+            )
         ]
         await asyncio.gather(first.run(for_s=12.0), second.run(for_s=12.0))
         for task in tasks:
@@ -150,14 +154,17 @@
     """
 
     async def case(servers: int) -> None:
-        led = one_lead.Led(servers=servers)
-        engines = _BusyEngines(led.clock, load_s=5.0)
-        led.engines = led.lead._client = engines
-        load = asyncio.create_task(led.press())
-        await led.run(for_s=12.0)
+        daemon = one_lead.LeadDaemon(servers=servers)
+        engines = _BusyEngines(daemon.clock, load_s=5.0)
+        daemon.engines = daemon.lead._client = engines
+        load = asyncio.create_task(daemon.apply_load())
+        await daemon.run(for_s=12.0)
         load.cancel()
-        most = pacing.max_store_loads(servers)
-        assert engines.most_loading <= most, (engines.most_loading, most)
+        max_loads = pacing.max_store_loads(servers)
+        assert engines.max_loading <= max_loads, (
+            engines.max_loading,
+            max_loads,
+        )
         assert not engines.refused, engines.refused
 
     for servers in (2, 5, 22, ENGINES):
@@ -174,16 +181,16 @@
     """
 
     async def case() -> None:
-        led = one_lead.Led(servers=12, load_s=0.35)
-        world = led.runtime.core.world
+        daemon = one_lead.LeadDaemon(servers=12, load_s=0.35)
+        world = daemon.runtime.core.world
         name = min(world.servers_by_target[one_lead.MODEL])
         late = asyncio.Event()
-        order, ordered = led.engines.order, []
+        order, ordered = daemon.engines.order, []
 
-        async def answer(address, given):
-            ordered.append(given.server_id)
-            if given.server_id != name or ordered.count(name) > 1:
-                return await order(address, given)
+        async def answer(address, sent):
+            ordered.append(sent.server_id)
+            if sent.server_id != name or ordered.count(name) > 1:
+                return await order(address, sent)
             await late.wait()
             return Err(
                 backend.BackendError(
@@ -191,32 +198,32 @@
                 )
             )
 
-        led.engines.order = answer
-        task = asyncio.create_task(led.lead.lead_forever(step_ms=100))
+        daemon.engines.order = answer
+        task = asyncio.create_task(daemon.lead.lead_forever(step_ms=100))
         await asyncio.sleep(0.35)
-        now_ms = led.clock.now_ms()
+        now_ms = daemon.clock.now_ms()
         world.servers[name].ejected_until_ms = now_ms + 250
-        own = led.lead._led[one_lead.MODEL]
-        held, record = own.lease, own.lease.record
+        state = daemon.lead._led[one_lead.MODEL]
+        model_lease, record = state.lease, state.lease.record
 
-        async def ask(server_ids):
-            got = await record(server_ids)
+        async def record_slowly(server_ids):
+            recorded = await record(server_ids)
             # Drained again for long enough that its order is due.
-            again = own.rollout._progress.get(name)
-            if again is not None and again.step is rollout.Step.DRAINING:
-                drained_ms = led.clock.now_ms() - again.since_ms
+            progress = state.rollout._progress.get(name)
+            if progress is not None and progress.step is rollout.Step.DRAINING:
+                drained_ms = daemon.clock.now_ms() - progress.since_ms
                 if name not in server_ids and drained_ms >= 100:
                     late.set()
             await asyncio.sleep(0.05)
-            return got
+            return recorded
 
-        held.record = ask
+        model_lease.record = record_slowly
         for _ in range(40):
             await asyncio.sleep(0.1)
-            led.runtime.submit(inputs.Tick(led.clock.now_ms()))
+            daemon.runtime.submit(inputs.Tick(daemon.clock.now_ms()))
         assert not task.done(), task.exception()
         task.cancel()
-        assert led.with_weights("2") == 12, led.engines.versions
+        assert daemon.count_with_weights("2") == 12, daemon.engines.versions
 
     one_lead.play(case())
 
@@ -229,13 +236,13 @@
     work no wait is seen, so that the load counts as low.
     """
     for fleet in (5, 22, 56, 112, 600):
-        away = fleet * 2 // 3 + 1
+        unreachable = fleet * 2 // 3 + 1
         replicas = [
             rollout.Replica(
                 server_id=f"r{n:03}",
                 weights_version="1",
                 busy=0,
-                is_reachable=n >= away,
+                is_reachable=n >= unreachable,
             )
             for n in range(fleet)
         ]
@@ -244,9 +251,13 @@
             .decide(desired_version="2", replicas=replicas, now_ms=0)
             .draining
         )
-        left = fleet - away
+        reachable = fleet - unreachable
         # A single reachable server has to load at some time.
-        assert len(drained) <= max(1, left // 2), (fleet, left, len(drained))
+        assert len(drained) <= max(1, reachable // 2), (
+            fleet,
+            reachable,
+            len(drained),
+        )
 
 
 def servers_that_get_no_work_do_not_lower_the_wait() -> None:
@@ -261,17 +272,17 @@
     """
 
     async def case() -> None:
-        led = one_lead.Led(servers=6)
-        world = led.runtime.core.world
+        daemon = one_lead.LeadDaemon(servers=6)
+        world = daemon.runtime.core.world
         limit_ms = world.policy.old_weights_limit_ms
         await asyncio.sleep(limit_ms / 1000 + 1)
-        now_ms = led.clock.now_ms()
-        led.runtime.submit(inputs.Tick(now_ms))
+        now_ms = daemon.clock.now_ms()
+        daemon.runtime.submit(inputs.Tick(now_ms))
         names = sorted(world.servers_by_target[one_lead.MODEL])
         for name in names[:2]:
             row = world.servers[name]
             row.weights_version = "2"
-            led.runtime.submit(
+            daemon.runtime.submit(
                 server_inputs.PeerDispatched(
                     at_ms=now_ms,
                     server_id=name,
@@ -299,14 +310,16 @@
     """
 
     async def case() -> None:
-        led = one_lead.Led(servers=ENGINES, load_s=2.1)
-        limit_ms = led.runtime.core.world.policy.old_weights_limit_ms
-        led.lead._rollout_policy = rollout.RolloutPolicy(
+        daemon = one_lead.LeadDaemon(servers=ENGINES, load_s=2.1)
+        limit_ms = daemon.runtime.core.world.policy.old_weights_limit_ms
+        daemon.lead._rollout_policy = rollout.RolloutPolicy(
             order_after_ms=100, load_limit_ms=4_000, use_limit_ms=limit_ms
         )
-        load = asyncio.create_task(led.press())
-        await led.run(for_s=limit_ms / 1000)
+        load = asyncio.create_task(daemon.apply_load())
+        await daemon.run(for_s=limit_ms / 1000)
         load.cancel()
-        assert led.with_weights("2") == ENGINES, led.with_weights("2")
+        assert daemon.count_with_weights("2") == ENGINES, (
+            daemon.count_with_weights("2")
+        )
 
     one_lead.play(case())
--- a/tests/cases/rollouts.py
+++ b/tests/cases/rollouts.py
@@ -13,7 +13,7 @@
 from godwittack.lead import pacing, rollout
 
 
-class _Lines(logging.Handler):
+class _LineCollector(logging.Handler):
     """Collects the messages of log records."""
 
     def __init__(self) -> None:
@@ -28,18 +28,18 @@
 @contextlib.contextmanager
 def _logged(event: str):
     """Collects the lines of one event."""
-    handler = _Lines()
+    handler = _LineCollector()
     logger = absl_logging.get_absl_logger()
     level = logger.level
     logger.addHandler(handler)
     logger.setLevel(logging.INFO)
-    found: list[str] = []
+    lines: list[str] = []
     try:
-        yield found
+        yield lines
     finally:
         logger.removeHandler(handler)
         logger.setLevel(level)
-        found.extend(
+        lines.extend(
             line for line in handler.lines if line.startswith(f"event={event} ")
         )
 
@@ -52,10 +52,10 @@
     """
 
     async def case() -> None:
-        led = one_lead.Led(servers=56, load_s=0.45)
-        load = asyncio.create_task(led.press())
+        daemon = one_lead.LeadDaemon(servers=56, load_s=0.45)
+        load = asyncio.create_task(daemon.apply_load())
         with _logged("rollout") as lines:
-            await led.run(for_s=2.0)
+            await daemon.run(for_s=2.0)
         assert load.cancel(), load
         assert 4 <= len(lines) <= 12, lines
         for field in ("behind", "loading", "held", "room", "oldest_ms"):
@@ -73,14 +73,14 @@
     """
 
     async def case() -> None:
-        led = one_lead.Led()
-        led.table.faults.down = True
+        daemon = one_lead.LeadDaemon()
+        daemon.table.faults.down = True
         with _logged("rollout_waits") as lines:
-            await led.run(for_s=3.0)
-            led.table.faults.down = False
-            await led.run(for_s=1.0)
-        whys = [line.split("why=")[1].split()[0] for line in lines]
-        assert whys == ["store_lost", "none"], lines
+            await daemon.run(for_s=3.0)
+            daemon.table.faults.down = False
+            await daemon.run(for_s=1.0)
+        reasons = [line.split("why=")[1].split()[0] for line in lines]
+        assert reasons == ["store_lost", "none"], lines
 
     one_lead.play(case())
 
@@ -100,12 +100,14 @@
     """
 
     async def case() -> None:
-        led = one_lead.Led(servers=56, load_s=0.45)
-        limit_ms = led.runtime.core.world.policy.old_weights_limit_ms
-        load = asyncio.create_task(led.press())
-        await led.run(for_s=limit_ms / 1000)
+        daemon = one_lead.LeadDaemon(servers=56, load_s=0.45)
+        limit_ms = daemon.runtime.core.world.policy.old_weights_limit_ms
+        load = asyncio.create_task(daemon.apply_load())
+        await daemon.run(for_s=limit_ms / 1000)
         assert load.cancel(), load
-        assert led.with_weights("2") == 56, led.with_weights("2")
+        assert daemon.count_with_weights("2") == 56, daemon.count_with_weights(
+            "2"
+        )
 
     one_lead.play(case())
 
@@ -150,13 +152,13 @@
     third of the servers get no work because of it, requests wait at the others,
     and the load on those kept the servers without work from loading.
     """
-    rolling = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
-    behind = [
+    rollout_state = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
+    replicas = [
         _replica(f"r{n}", outdated_for_ms=8_000, accepts_work=n >= 4)
         for n in range(12)
     ]
-    drained = rolling.decide(
-        desired_version="2", replicas=behind, now_ms=0, is_under_load=True
+    drained = rollout_state.decide(
+        desired_version="2", replicas=replicas, now_ms=0, is_under_load=True
     ).draining
     assert drained == ("r0", "r1", "r2", "r3"), drained
 
@@ -169,12 +171,12 @@
     servers, so that none of these was ordered until the hold ended, though the
     time for their weights ran out as well.
     """
-    rolling = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
+    rollout_state = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
     replicas = [
         _replica(f"r{n:02}", outdated_for_ms=8_000, accepts_work=n >= 10)
         for n in range(56)
     ]
-    drained = rolling.decide(
+    drained = rollout_state.decide(
         desired_version="2",
         replicas=replicas,
         now_ms=0,
@@ -191,14 +193,14 @@
     version 3 is published while half of the servers have version 2, and the
     least busy server goes first whatever weights it has.
     """
-    rolling = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
+    rollout_state = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
     replicas = [
         _replica("a", weights_version="2", busy=0, outdated_for_ms=200),
         _replica("b", weights_version="2", busy=0, outdated_for_ms=200),
         _replica("c", outdated_for_ms=3_000),
         _replica("d", outdated_for_ms=3_000),
     ]
-    drained = rolling.decide(
+    drained = rollout_state.decide(
         desired_version="3", replicas=replicas, now_ms=0
     ).draining
     assert drained == ("c", "d"), drained
@@ -211,36 +213,42 @@
     it accepts an order for version 2; another daemon takes over and has it load
     version 3; only the version that the first lead had ordered ended its drain.
     """
-    rolling = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
-    rolling.decide(desired_version="2", replicas=[_replica("a")], now_ms=0)
-    rolling.record_order("a", now_ms=100)
-    rolling.record_acceptance("a")
+    rollout_state = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
+    rollout_state.decide(
+        desired_version="2", replicas=[_replica("a")], now_ms=0
+    )
+    rollout_state.record_order("a", now_ms=100)
+    rollout_state.record_acceptance("a")
     loaded = _replica("a", weights_version="3")
-    after = rolling.decide(desired_version="3", replicas=[loaded], now_ms=900)
+    after = rollout_state.decide(
+        desired_version="3", replicas=[loaded], now_ms=900
+    )
     assert not after.draining, after
 
 
 def a_late_report_of_older_weights_does_not_end_a_load() -> None:
     """Guards against more concurrent loads than the weight store supports."""
-    rolling = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
+    rollout_state = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
     names = [f"s{number}" for number in range(40)]
     # Too old for use, by the reports that this lead has.
     stale = [_replica(name, accepts_work=False) for name in names]
-    rolling.decide(desired_version="5", replicas=stale, now_ms=0)
-    first = rolling.decide(desired_version="5", replicas=stale, now_ms=100).load
+    rollout_state.decide(desired_version="5", replicas=stale, now_ms=0)
+    first = rollout_state.decide(
+        desired_version="5", replicas=stale, now_ms=100
+    ).load
     for name in first:
-        rolling.record_order(name, now_ms=100)
-        rolling.record_acceptance(name)
+        rollout_state.record_order(name, now_ms=100)
+        rollout_state.record_acceptance(name)
     late = [_replica(name, weights_version="4") for name in names]
-    after = rolling.decide(desired_version="5", replicas=late, now_ms=200)
+    after = rollout_state.decide(desired_version="5", replicas=late, now_ms=200)
     assert after.overview.loading == len(first) > 0, after.overview
-    most = pacing.max_store_loads(len(names))
-    assert len(after.draining) <= most, (len(after.draining), most)
+    max_loads = pacing.max_store_loads(len(names))
+    assert len(after.draining) <= max_loads, (len(after.draining), max_loads)
     loaded = [
         _replica(name, weights_version="5" if name in first else "4")
         for name in names
     ]
-    assert not rolling.decide(
+    assert not rollout_state.decide(
         desired_version="5", replicas=loaded, now_ms=900
     ).overview.loading
 
@@ -252,11 +260,11 @@
     loads took 0.6 s with little load; now long requests end before each load,
     which takes seconds. A roll-out planned for 5 s took 12.
     """
-    rolling = rollout.Rollout(
+    rollout_state = rollout.Rollout(
         rollout.RolloutPolicy(order_after_ms=100, use_limit_ms=12_000)
     )
     for _ in range(20):
-        rolling.record_load(took_ms=600)
+        rollout_state.record_load(took_ms=600)
     replicas = [_replica(f"r{n:02}") for n in range(56)]
 
     def room(now_ms: int) -> int:
@@ -264,14 +272,14 @@
             dataclasses.replace(replica, outdated_for_ms=now_ms)
             for replica in replicas
         ]
-        decided = rolling.decide(
+        decided = rollout_state.decide(
             desired_version="2",
             replicas=aged,
             now_ms=now_ms,
             is_under_load=True,
         )
         for name in decided.load:
-            rolling.record_order(name, now_ms=now_ms)
+            rollout_state.record_order(name, now_ms=now_ms)
         return decided.overview.room
 
     assert room(0) == room(100) == 56 // 6
@@ -285,12 +293,12 @@
     take 2.4 s under load, one idle server takes 0.4 s, and each roll-out after
     a quiet moment is too slow.
     """
-    seen = pacing.LoadTime()
+    load_time = pacing.LoadTime()
     for took_ms in (2_400, 400):
-        seen.record(took_ms)
-    assert seen.estimate_ms >= 2_000, seen
-    seen.record(3_000)
-    assert seen.estimate_ms == 3_000, seen
+        load_time.record(took_ms)
+    assert load_time.estimate_ms >= 2_000, load_time
+    load_time.record(3_000)
+    assert load_time.estimate_ms == 3_000, load_time
 
 
 def a_suspended_lead_does_not_count_as_a_slow_load() -> None:
@@ -301,13 +309,13 @@
     later it still had half of the fleet out of service under load, with time
     for a sixth.
     """
-    rolling = rollout.Rollout(
+    rollout_state = rollout.Rollout(
         rollout.RolloutPolicy(load_limit_ms=4_000, use_limit_ms=12_000)
     )
-    rolling.record_load(took_ms=12_000)
+    rollout_state.record_load(took_ms=12_000)
     for _ in range(6):
-        rolling.record_load(took_ms=1_000)
-    decided = rolling.decide(
+        rollout_state.record_load(took_ms=1_000)
+    decided = rollout_state.decide(
         desired_version="2",
         replicas=[_replica(f"r{n:02}") for n in range(56)],
         now_ms=0,
@@ -324,18 +332,18 @@
     was drained again with the next step: out of service in each of 200 steps of
     a tenth of a second, with 100 orders and a store write for each.
     """
-    rolling = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
+    rollout_state = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
     replicas = [_replica("a")]
     orders = drained = 0
     for now_ms in range(0, 20_000, 100):
-        decided = rolling.decide(
+        decided = rollout_state.decide(
             desired_version="2", replicas=replicas, now_ms=now_ms
         )
         drained += len(decided.draining)
         for name in decided.load:
             orders += 1
-            rolling.record_order(name, now_ms=now_ms)
-            rolling.record_refusal(name, now_ms=now_ms)
+            rollout_state.record_order(name, now_ms=now_ms)
+            rollout_state.record_refusal(name, now_ms=now_ms)
     assert 5 <= orders <= 20, orders
     assert drained <= 40, drained
 
@@ -348,15 +356,17 @@
     4 are published; the others load before it each time, and it becomes too old
     for use.
     """
-    rolling = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
+    rollout_state = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
     replicas = [_replica(name) for name in ("a", "b", "c", "d")]
-    rolling.decide(desired_version="2", replicas=replicas, now_ms=0)
-    for name in rolling.decide(
+    rollout_state.decide(desired_version="2", replicas=replicas, now_ms=0)
+    for name in rollout_state.decide(
         desired_version="2", replicas=replicas, now_ms=100
     ).load:
-        rolling.record_order(name, now_ms=100)
-        rolling.record_refusal(name, now_ms=100)
-    after = rolling.decide(desired_version="2", replicas=replicas, now_ms=200)
+        rollout_state.record_order(name, now_ms=100)
+        rollout_state.record_refusal(name, now_ms=100)
+    after = rollout_state.decide(
+        desired_version="2", replicas=replicas, now_ms=200
+    )
     assert after.draining == ("c", "d"), after.draining
     newer = [
         dataclasses.replace(replica, weights_version="2")
@@ -366,7 +376,7 @@
         dataclasses.replace(replica, outdated_for_ms=3_000)
         for replica in replicas[:2]
     ]
-    after = rolling.decide(
+    after = rollout_state.decide(
         desired_version="3", replicas=aged + newer, now_ms=300
     )
     assert after.draining == ("a", "b"), after.draining
--- a/tests/cases/serving.py
+++ b/tests/cases/serving.py
@@ -43,17 +43,22 @@
     chosen = serving.choose(_fleet(), POLICY)
     assert len(chosen.serving) == POLICY.serving
     for domain in DOMAINS:
-        part = [m for m in chosen.serving if m.failure_domain == domain]
+        chosen_in_domain = [
+            m for m in chosen.serving if m.failure_domain == domain
+        ]
         others = [
             m
             for m in _fleet()
             if m.failure_domain == domain and m not in chosen.serving
         ]
-        assert len(part) == POLICY.serving // len(DOMAINS), (domain, len(part))
-        least = min(m.capacity_millicores for m in part)
-        assert least >= max(m.capacity_millicores for m in others)
-        near = directory.choose(chosen.serving, failure_domain=domain)
-        assert set(near) == {m.http_address for m in part}
+        assert len(chosen_in_domain) == POLICY.serving // len(DOMAINS), (
+            domain,
+            len(chosen_in_domain),
+        )
+        min_capacity = min(m.capacity_millicores for m in chosen_in_domain)
+        assert min_capacity >= max(m.capacity_millicores for m in others)
+        addresses = directory.choose(chosen.serving, failure_domain=domain)
+        assert set(addresses) == {m.http_address for m in chosen_in_domain}
     assert not _ids(chosen.serving) & _ids(chosen.standby)
 
 
@@ -82,10 +87,10 @@
                 ],
                 POLICY,
             )
-            gone = _ids(before.serving) - _ids(after.serving)
-            come = _ids(after.serving) - _ids(before.serving)
-            assert gone == {lost.member_id}, gone
-            assert len(come) == 1 and come <= _ids(before.standby), come
+            removed = _ids(before.serving) - _ids(after.serving)
+            added = _ids(after.serving) - _ids(before.serving)
+            assert removed == {lost.member_id}, removed
+            assert len(added) == 1 and added <= _ids(before.standby), added
 
 
 def a_restarted_fleet_has_the_same_serving_set() -> None:
@@ -109,8 +114,8 @@
     fleet = [m for m in _fleet(300) if m.failure_domain != "a"]
     chosen = serving.choose(fleet, POLICY)
     assert len(chosen.serving) >= POLICY.serving
-    named = directory.choose(chosen.serving, failure_domain="a")
-    assert set(named) == {m.http_address for m in chosen.serving}
+    addresses = directory.choose(chosen.serving, failure_domain="a")
+    assert set(addresses) == {m.http_address for m in chosen.serving}
 
 
 def an_overloaded_daemon_adds_a_standby_to_the_serving_set() -> None:
@@ -125,9 +130,9 @@
         ],
         POLICY,
     )
-    come = _ids(after.serving) - _ids(before.serving)
+    added = _ids(after.serving) - _ids(before.serving)
     assert _ids(before.serving) < _ids(after.serving)
-    assert len(come) == 1 and come <= _ids(before.standby), come
+    assert len(added) == 1 and added <= _ids(before.standby), added
 
 
 def views_that_differ_choose_mostly_the_same_daemons() -> None:
@@ -199,5 +204,5 @@
     for is_overloaded in (True, False):
         own.set_overloaded(is_overloaded)
         assert other.apply(own.me, now_ms=1)
-        told = other.rows["edge-001"].member
-        assert told.is_overloaded is is_overloaded
+        member = other.rows["edge-001"].member
+        assert member.is_overloaded is is_overloaded
--- a/tests/cases/starts.py
+++ b/tests/cases/starts.py
@@ -34,14 +34,14 @@
 """
 
 
-class Stranger(http.server.BaseHTTPRequestHandler):
+class ForeignDaemon(http.server.BaseHTTPRequestHandler):
     """Answers like a daemon of the same name in another cluster."""
 
     def do_GET(self):
         """Reports itself as the only member, alive and serving."""
-        stranger_id = "entry-1@stranger"
-        told = {"daemon": stranger_id, "members": {stranger_id: "alive"}}
-        body = json.dumps(told).encode()
+        foreign_id = "entry-1@stranger"
+        state = {"daemon": foreign_id, "members": {foreign_id: "alive"}}
+        body = json.dumps(state).encode()
         self.send_response(200)
         self.send_header("content-length", str(len(body)))
         self.end_headers()
@@ -102,23 +102,23 @@
     late, stopped or killed, datagrams lost) gave no such message.
     """
     cluster = processes.Cluster()
-    stranger = None
+    foreign = None
     try:
         cluster.start_platform()
         cluster.reserve_daemons("entry-1", "entry-2")
         address = ("127.0.0.1", cluster.ports["entry-1"])
-        stranger = http.server.ThreadingHTTPServer(address, Stranger)
-        threading.Thread(target=stranger.serve_forever, daemon=True).start()
+        foreign = http.server.ThreadingHTTPServer(address, ForeignDaemon)
+        threading.Thread(target=foreign.serve_forever, daemon=True).start()
         for name in ("entry-1", "entry-2"):
             cluster.launch_daemon(name)
-        problem = _problem(lambda: cluster.wait_up("entry-1"))
+        error_text = _wait_error(lambda: cluster.wait_up("entry-1"))
     finally:
-        if stranger is not None:
-            stranger.shutdown()
-            stranger.server_close()
+        if foreign is not None:
+            foreign.shutdown()
+            foreign.server_close()
         cluster.close()
-    assert "entry-1 ended" in problem, problem
-    assert "in use" in problem, problem
+    assert "entry-1 ended" in error_text, error_text
+    assert "in use" in error_text, error_text
 
 
 def a_failed_wait_for_members_shows_whom_each_daemon_sees():
@@ -131,13 +131,15 @@
     with _daemons("entry-1", "entry-2") as cluster:
         cluster.reserve_daemons("entry-3")
         names = ("entry-1", "entry-2", "entry-3")
-        problem = _problem(lambda: cluster.wait_members(*names, seconds=2))
-    assert "until entry-1 knows the others" in problem, problem
-    for seen in ("entry-1 sees {", "entry-2 sees {"):
-        told = problem.partition(seen)[2].partition("}")[0]
-        assert "entry-1@" in told and "entry-2@" in told, problem
-        assert told.count("alive") == 2, problem
-    assert "entry-3 sees nobody" in problem, problem
+        error_text = _wait_error(
+            lambda: cluster.wait_members(*names, seconds=2)
+        )
+    assert "until entry-1 knows the others" in error_text, error_text
+    for prefix in ("entry-1 sees {", "entry-2 sees {"):
+        members = error_text.partition(prefix)[2].partition("}")[0]
+        assert "entry-1@" in members and "entry-2@" in members, error_text
+        assert members.count("alive") == 2, error_text
+    assert "entry-3 sees nobody" in error_text, error_text
 
 
 def a_daemon_that_has_exited_is_not_waited_for():
@@ -150,10 +152,10 @@
         cluster.kill("entry-2")
         started = time.monotonic()
         names = ("entry-1", "entry-2", "entry-3")
-        problem = _problem(lambda: cluster.wait_members(*names))
+        error_text = _wait_error(lambda: cluster.wait_members(*names))
         took_s = time.monotonic() - started
-    assert "entry-2 ended" in problem, problem
-    assert "event=serving daemon=entry-2@" in problem, problem
+    assert "entry-2 ended" in error_text, error_text
+    assert "event=serving daemon=entry-2@" in error_text, error_text
     assert took_s < processes.WAIT_S / 3, took_s
 
 
@@ -173,7 +175,7 @@
         cluster.close()
 
 
-def _problem(wait) -> str:
+def _wait_error(wait) -> str:
     """Returns the error of a failed wait; empty if it succeeds."""
     try:
         wait()
