--- a/tests/cases/adapter.py
+++ b/tests/cases/adapter.py
@@ -108,19 +108,19 @@
     small = "mesh_limit: 2\nserving_daemons: 2\n"
     async with Platform(daemons=5, settings=small) as platform_run:
 
-        async def named(number: int) -> frozenset[str]:
+        async def advertised(number: int) -> frozenset[str]:
             path = "/resolve?name=h.example&region=all&zone=north"
             _, body = await platform_run.get(number, "directory", path)
             return frozenset(json.loads(body)["addresses"])
 
         async def agree(*numbers: int) -> bool:
-            answers = {await named(number) for number in numbers}
+            answers = {await advertised(number) for number in numbers}
             return len(answers) == 1 and len(next(iter(answers))) == 2
 
         fronts = [fields["listen"]["front"] for fields in platform_run.fields]
         everyone = range(len(fronts))
         await until("all name one set", lambda: agree(*everyone))
-        before = await named(0)
+        before = await advertised(0)
         for number in everyone:
             # Callers keep addresses, so daemons that don't serve answer too.
             assert (
@@ -148,11 +148,11 @@
         others = [number for number in everyone if number != lost]
 
         async def replaced() -> bool:
-            named_now = await named(others[0])
-            return await agree(*others) and fronts[lost] not in named_now
+            advertised_now = await advertised(others[0])
+            return await agree(*others) and fronts[lost] not in advertised_now
 
         await until("a standby is named", replaced)
-        after = await named(others[0])
+        after = await advertised(others[0])
         assert len(after & before) == 1, (before, after)
         for number in (fronts.index(front) for front in after):
             result = await platform_run.call(
@@ -357,14 +357,14 @@
         await asyncio.sleep(0.5)
         platform_run.signal(0, signal.SIGTERM)
 
-        async def unnamed() -> bool:
+        async def not_advertised() -> bool:
             _, data = await platform_run.get(
                 1, "directory", "/resolve?zone=north"
             )
             front = platform_run.fields[0]["listen"]["front"]
             return front not in json.loads(data)["addresses"]
 
-        await until("the other no longer names it", unnamed, seconds=2)
+        await until("the other no longer names it", not_advertised, seconds=2)
         assert (await platform_run.get(0, "ready", "/ready"))[0] == 503
         await asyncio.sleep(0.5)
         stopping.set()
--- a/tests/cases/fleet_bounds.py
+++ b/tests/cases/fleet_bounds.py
@@ -128,8 +128,8 @@
         event=server_ejected failures=3 until_ms=4000
         event=refused reason=no_server attempts=0
     """
-    says = Say(connections.complete(b"1"))
-    async with ScriptedServer(says, turns_away=1) as server:
+    script = Say(connections.complete(b"1"))
+    async with ScriptedServer(script, turns_away=1) as server:
         backend = connections.Backend(server)
         sink = await backend.send(fresh_connection=True)
     assert sink.failure == (
--- a/tests/cases/freshness.py
+++ b/tests/cases/freshness.py
@@ -142,19 +142,19 @@
     from godwittack.daemon import entries, instances
 
     clock = ManualClock(feed_follower.START_MS)
-    news = _RecordedUpdates()
+    updates = _RecordedUpdates()
     known = Freshness(topic=Topic.SERVERS)
     follower = feed_follower.FollowerHarness().follower
     follower._clock = clock
     instance_follower = instances.InstanceFollower(
         core=one_lead.Runtime(clock),
         decode=lambda rows: entries.Entries(dict(rows), {}),
-        news=news,
+        news=updates,
         known=known,
         is_reader=lambda: is_reader,
     )
     instance_follower.follower = follower
-    return instance_follower, follower, known, news
+    return instance_follower, follower, known, updates
 
 
 def a_gap_in_the_list_s_changes_is_detected() -> None:
@@ -206,7 +206,7 @@
     back, the other does not. A missing entry must not yet mean that its server
     left.
     """
-    instance_follower, follower, _, news = _list_follower(is_reader=True)
+    instance_follower, follower, _, updates = _list_follower(is_reader=True)
     clock = instance_follower._core.clock
     instances_by_name = {name: _instance(name) for name in ("a", "b")}
     follower.version = 5
@@ -221,7 +221,7 @@
     clock.advance(by_ms=900)
     instance_follower.drop_missing()
     assert set(instance_follower._seen) == {"a"}
-    assert news.published[-1][0] == {"b": None}
+    assert updates.published[-1][0] == {"b": None}
 
 
 def a_leaving_server_is_announced_by_readers_at_once() -> None:
@@ -232,7 +232,7 @@
     that a server leaves.
     """
     for is_reader in (True, False):
-        instance_follower, follower, _, news = _list_follower(
+        instance_follower, follower, _, updates = _list_follower(
             is_reader=is_reader
         )
         follower.version = 5
@@ -240,7 +240,7 @@
         follower.version = 6
         instance_follower.rows_changed({"a": _instance("a", leaving=True)})
         assert instance_follower._core.core.world.servers["a"].leaving
-        assert bool(news.published) == is_reader
+        assert bool(updates.published) == is_reader
 
 
 def a_reader_that_retains_expired_entries_claims_no_newer_list() -> None:
@@ -257,25 +257,25 @@
     readers' updates that those servers were gone arrived later, had an older
     version, and were dropped.
     """
-    reader, follower, _, news = _list_follower(is_reader=True)
+    reader, follower, _, updates = _list_follower(is_reader=True)
     peer, _, known, _ = _list_follower(is_reader=False)
     instances_by_name = {name: _instance(name) for name in ("a", "b")}
     follower.version = 5
     reader.rows_changed(instances_by_name)
-    peer.told(*news.published[-1])
+    peer.told(*updates.published[-1])
     follower.recovered_at_ms = reader._core.clock.now_ms()
     follower.version = 7
     changes = {"a": _instance("a", leaving=True)}
     reader.rows_changed(changes)
-    peer.told(*news.published[-1])
+    peer.told(*updates.published[-1])
     assert peer._core.core.world.servers["a"].leaving
     peer.told({"b": None}, 5, 6)
     assert set(peer._seen) == {"a"}, peer._seen
     reader._core.clock.advance(by_ms=2_400)
     reader.drop_missing()
-    peer.told(*news.published[-1])
+    peer.told(*updates.published[-1])
     assert known.version == 7, known
-    assert news.published[-1][0] == {**changes, "b": None}
+    assert updates.published[-1][0] == {**changes, "b": None}
 
 
 def updates_sent_while_entries_are_retained_are_applied() -> None:
@@ -304,17 +304,17 @@
     server again and published that as a change of version 5, which all others
     applied.
     """
-    reader, follower, _, news = _list_follower(is_reader=True)
+    reader, follower, _, updates = _list_follower(is_reader=True)
     peer, _, _, _ = _list_follower(is_reader=False)
     instances_by_name = {name: _instance(name) for name in ("a", "b")}
     follower.version = 3
     reader.rows_changed(instances_by_name)
-    peer.told(*news.published[-1])
+    peer.told(*updates.published[-1])
     for instance_follower in (reader, peer):
         instance_follower.told({"b": None}, 3, 5)
     follower.version = 4
     reader.rows_changed({**instances_by_name, "c": _instance("c")})
-    for update in news.published[1:]:
+    for update in updates.published[1:]:
         peer.told(*update)
     assert set(reader._seen) == {"a"}, reader._seen
     assert set(peer._seen) == {"a"}, peer._seen
@@ -331,7 +331,7 @@
     version 4 replaced the server's entry by an older one, and the reader then
     published its list as version 5 without the leaving state.
     """
-    reader, follower, known, news = _list_follower(is_reader=True)
+    reader, follower, known, updates = _list_follower(is_reader=True)
     instances_by_name = {name: _instance(name) for name in ("a", "b")}
     leaving = _instance("a", leaving=True)
     follower.version = 3
@@ -344,7 +344,7 @@
     reader._core.clock.advance(by_ms=2_400)
     reader.drop_missing()
     assert known.version == 5
-    assert news.published[-1] == ({"a": leaving, "b": None}, 4, 5)
+    assert updates.published[-1] == ({"a": leaving, "b": None}, 4, 5)
 
 
 def an_entry_restored_by_a_peer_s_update_stays() -> None:
@@ -385,13 +385,13 @@
     later.add_listed({"y": _instance("y")}, before=5, version=6)
     merged = first.followed_by(later)
     first.add_listed({"y": _instance("y")}, before=5, version=6)
-    for news in (merged, first):
+    for updates in (merged, first):
         peer, _, known, _ = _list_follower(is_reader=False)
         peer.told({"b": _instance("b")}, 0, 3)
-        peer.told(news.listed, news.list_before, news.list_version)
+        peer.told(updates.listed, updates.list_before, updates.list_version)
         assert known.version == 3 and known.behind_since_ms >= 0
-    whole = pending.PendingNews()
-    whole.add_listed({"x": _instance("x")}, before=3, version=4)
-    whole.add_listed({"y": None}, before=4, version=5)
-    assert (whole.list_before, whole.list_version) == (3, 5)
-    assert set(whole.listed) == {"x", "y"}
+    combined = pending.PendingNews()
+    combined.add_listed({"x": _instance("x")}, before=3, version=4)
+    combined.add_listed({"y": None}, before=4, version=5)
+    assert (combined.list_before, combined.list_version) == (3, 5)
+    assert set(combined.listed) == {"x", "y"}
--- a/tests/cases/fuzz.py
+++ b/tests/cases/fuzz.py
@@ -119,8 +119,8 @@
         make = _chunked if in_chunks else _with_length
         data = (_with_length(OTHER_ID) if late_first else b"") + make(OWN_ID)
         kept = data[: end % (len(data) + 200)]
-        got = asyncio.run(_read(_pieces(kept, cuts), reset=reset))
-        assert got == (BODY if kept == data else None), (kept[-30:], got)
+        body = asyncio.run(_read(_pieces(kept, cuts), reset=reset))
+        assert body == (BODY if kept == data else None), (kept[-30:], body)
 
     check()
 
--- a/tests/cases/joining.py
+++ b/tests/cases/joining.py
@@ -16,7 +16,7 @@
     """`where` must not name a daemon that does not accept callers yet.
 
     A daemon's own probes carry no sender until it listens to callers. The
-    others ask seeds that they don't know who they are, and were answered at
+    others query seeds that they don't know for their identity, and got it at
     once: with a start that took 4 s longer, `where` of the other daemon named
     it from 1.5 s on, and callers' connections were refused until it listened at
     5.3 s. Probes of it failed meanwhile, so that it was suspected as well.
--- a/tests/cases/leading.py
+++ b/tests/cases/leading.py
@@ -34,13 +34,13 @@
         )
         assert await other.record([f"e{n}" for n in range(1, 7)])
         await daemon.run(for_s=3.0)
-        assert not daemon.engines.orders and not daemon.news.drained
+        assert not daemon.engines.orders and not daemon.updates.drained
         await daemon.run(for_s=5.0)
         assert len(daemon.engines.orders) == 6, daemon.engines.orders
         daemon = one_lead.LeadDaemon()
         daemon.table.faults.down = True
         await daemon.run(for_s=5.0)
-        assert not daemon.news.drained
+        assert not daemon.updates.drained
 
     one_lead.play(case())
 
@@ -218,7 +218,7 @@
                 undrained.append(f"{name}: {order.value}")
             return await send_order(address, order)
 
-        daemon.news.publish_draining = record_drain
+        daemon.updates.publish_draining = record_drain
         daemon.engines.order = order
         await daemon.run(for_s=0.3)
         daemon.runtime.submit(
@@ -303,6 +303,9 @@
         await daemon.run(for_s=0.5)
         ordered = {order.server_id for order in daemon.engines.orders}
         assert "e1" in ordered, ordered
-        assert ordered <= daemon.news.drained, (ordered, daemon.news.drained)
+        assert ordered <= daemon.updates.drained, (
+            ordered,
+            daemon.updates.drained,
+        )
 
     one_lead.play(case())
--- a/tests/cases/one_lead.py
+++ b/tests/cases/one_lead.py
@@ -101,7 +101,7 @@
     def __init__(self, *, servers: int = 6, load_s: float = 1.1) -> None:
         self.clock = loop.LoopClock(asyncio.get_running_loop())
         self.engines = Engines(self.clock, load_s=load_s)
-        self.news = RecordedUpdates()
+        self.updates = RecordedUpdates()
         self.table = fakes.TableFake(random.Random(1))
         self.runtime = Runtime(self.clock, servers=servers)
         self.runtime.harness.now_ms = self.clock.now_ms()
@@ -121,7 +121,7 @@
             members=view.View(
                 me=me, policy=view.MemberPolicy(), rng=random.Random(1)
             ),
-            news=self.news,
+            news=self.updates,
             policy=lease.LeasePolicy(lease_ms=3_000),
             rollout_policy=rollout.RolloutPolicy(
                 order_after_ms=100, load_limit_ms=4_000
--- a/tests/cases/peers.py
+++ b/tests/cases/peers.py
@@ -32,7 +32,7 @@
     """Records what it receives."""
 
     def __init__(self) -> None:
-        self.news: list[tuple[str, list[str]]] = []
+        self.leaving_reports: list[tuple[str, list[str]]] = []
 
     def exchanged(self, envelope):
         """Returns the same envelope."""
@@ -41,7 +41,7 @@
     def told(self, sender_id, news, reader):
         """Records the servers reported as leaving."""
         del reader
-        self.news.append(
+        self.leaving_reports.append(
             (sender_id, [entry.server_id for entry in news.leaving])
         )
 
@@ -77,32 +77,30 @@
 
 async def updates_arrive_in_order_with_their_sender():
     """One stream carries many messages; the first identifies the sender."""
-    async with pair() as peers_pair:
-        stream = peers_pair.client.open_news(
-            peers_pair.address, on_broken=_never
-        )
+    async with pair() as peer_pair:
+        stream = peer_pair.client.open_news(peer_pair.address, on_broken=_never)
         for number in range(5):
             sent = _leaving(f"s{number}")
             if not number:
                 sent.sender_id = "d1"
             assert (await stream.send(sent)).is_ok()
-        await _until(lambda: len(peers_pair.handler.news) == 5)
+        await _until(lambda: len(peer_pair.handler.leaving_reports) == 5)
         stream.close()
-    assert peers_pair.handler.news == [("d1", [f"s{n}"]) for n in range(5)]
+    assert peer_pair.handler.leaving_reports == [
+        ("d1", [f"s{n}"]) for n in range(5)
+    ]
 
 
 async def calls_are_answered():
     """Each call reaches its handler."""
-    async with pair() as peers_pair:
-        result = await peers_pair.client.fetch_table(
-            peers_pair.address, known_version=4
+    async with pair() as peer_pair:
+        result = await peer_pair.client.fetch_table(
+            peer_pair.address, known_version=4
         )
         assert result.ok_value.version == 5, result
-        assert (
-            await peers_pair.client.fetch_report(peers_pair.address)
-        ).is_ok()
+        assert (await peer_pair.client.fetch_report(peer_pair.address)).is_ok()
         envelope = peer_pb2.Envelope(table_version=7)
-        result = await peers_pair.client.exchange(peers_pair.address, envelope)
+        result = await peer_pair.client.exchange(peer_pair.address, envelope)
         assert result.ok_value.table_version == 7, result
 
 
@@ -112,17 +110,15 @@
     Guards against a process of another cluster that changes this one's state:
     it connects to a daemon's address with another secret.
     """
-    async with pair(secret=OTHER_SECRET) as peers_pair:
-        result = await peers_pair.client.fetch_table(
-            peers_pair.address, known_version=4
+    async with pair(secret=OTHER_SECRET) as peer_pair:
+        result = await peer_pair.client.fetch_table(
+            peer_pair.address, known_version=4
         )
         assert "status 401" in result.err_value.detail, result
-        stream = peers_pair.client.open_news(
-            peers_pair.address, on_broken=_never
-        )
+        stream = peer_pair.client.open_news(peer_pair.address, on_broken=_never)
         sent = await stream.send(_leaving("s0"))
         assert sent.is_err()
-    assert peers_pair.handler.news == []
+    assert peer_pair.handler.leaving_reports == []
 
 
 async def unreadable_messages_are_refused():
@@ -134,9 +130,9 @@
     another.
     """
     broken = asyncio.Event()
-    async with pair() as peers_pair:
+    async with pair() as peer_pair:
         headers = {exchange.PROOF_HEADER: exchange.proof(SECRET)}
-        url = f"http://{peers_pair.address}"
+        url = f"http://{peer_pair.address}"
         async with aiohttp.ClientSession(headers=headers) as session:
             for path, status in (
                 (exchange.EXCHANGE_PATH, 400),
@@ -148,12 +144,12 @@
             await socket.send_bytes(b"\xff\xff")
             ended = await socket.receive(timeout=1)
             assert ended.type is not aiohttp.WSMsgType.BINARY, ended
-        stream = peers_pair.client.open_news(
-            peers_pair.address, on_broken=broken.set
+        stream = peer_pair.client.open_news(
+            peer_pair.address, on_broken=broken.set
         )
         assert (await stream.send(peer_pb2.News(sender_id="d1"))).is_ok()
         stream.close()
-    assert peers_pair.handler.news == [("d1", [])]
+    assert peer_pair.handler.leaving_reports == [("d1", [])]
 
 
 async def a_server_that_stops_ends_its_streams_at_once():
@@ -163,14 +159,14 @@
     sender that doesn't read its stream and so does not see it closed.
     """
     broken = asyncio.Event()
-    async with pair() as peers_pair:
-        stream = peers_pair.client.open_news(
-            peers_pair.address, on_broken=broken.set
+    async with pair() as peer_pair:
+        stream = peer_pair.client.open_news(
+            peer_pair.address, on_broken=broken.set
         )
         assert (await stream.send(peer_pb2.News(sender_id="d1"))).is_ok()
-        await _until(lambda: peers_pair.handler.news)
+        await _until(lambda: peer_pair.handler.leaving_reports)
         started = time.monotonic()
-        await peers_pair.server.stop()
+        await peer_pair.server.stop()
         took_ms = (time.monotonic() - started) * 1000
         await asyncio.wait_for(broken.wait(), 1)
         assert took_ms < 900, took_ms
@@ -288,7 +284,7 @@
     minutes away.
     """
     streams = ScriptedStreams()
-    updates = _news(streams)
+    updates = _start_updates(streams)
     updates.flush()
     await _until(lambda: len(streams.sent) == 1 and streams.sent[0])
     assert [d.cell for d in streams.sent[0][0].demands] == ["workspace/desk"]
@@ -306,7 +302,7 @@
     with each request, the number in flight.
     """
     streams = ScriptedStreams()
-    updates = _news(streams)
+    updates = _start_updates(streams)
     updates.flush()
     await _until(lambda: len(streams.sent) == 1 and streams.sent[0])
     updates.world.shares.cells["workspace/desk"].in_flight = 5
@@ -325,7 +321,7 @@
     split.
     """
     streams = ScriptedStreams()
-    updates = _news(streams)
+    updates = _start_updates(streams)
     updates.world.shares.cells.clear()
     usage = updates.world.shares.cells["model/rulebook"]
     for rate in (10.0, 10.9, 9.4, 20.0):
@@ -336,7 +332,7 @@
     assert len(streams.sent[0]) == 2, streams.sent
 
 
-def _news(streams: ScriptedStreams) -> newses.News:
+def _start_updates(streams: ScriptedStreams) -> newses.News:
     me, other = (
         view.Member(
             member_id=name,
@@ -405,8 +401,8 @@
 def a_damaged_table_is_rejected() -> None:
     """A truncated, corrupted or oversized reply is an error, not a table."""
     request = peer_pb2.TableRequest(accepts_deflate=True)
-    whole = tables.TableWriter().reply(routed_core.table(3), request)
-    packed = whole.table_deflated
+    valid_reply = tables.TableWriter().reply(routed_core.table(3), request)
+    packed = valid_reply.table_deflated
     bomb = zlib.compress(b" " * (tables.MAX_BYTES + 1))
     for data in (packed[:-9], b"no table", packed[:20] + packed[30:], bomb):
         reply = peer_pb2.TableReply(version=3, table_deflated=data)
--- a/tests/cases/rollout_bounds.py
+++ b/tests/cases/rollout_bounds.py
@@ -66,7 +66,7 @@
             client=engines,
             service=table,
             members=members,
-            news=self.news,
+            news=self.updates,
             policy=lease.LeasePolicy(lease_ms=3_000),
             rollout_policy=rollout.RolloutPolicy(
                 order_after_ms=100,
--- a/tests/features/fleet.feature
+++ b/tests/features/fleet.feature
@@ -15,7 +15,7 @@
       | 120     | is paused        |
       | 40      | receives nothing |
 
-  Scenario: Parts of the fleet lose each other and meet again
+  Scenario: A partitioned fleet reunites
     # Guards against sites that stay separate for another minute after an hour
     #   without the link between them.
     # Sequence: a fifth of the fleet is cut off for 30 s.
--- a/tests/features/leads.feature
+++ b/tests/features/leads.feature
@@ -20,8 +20,8 @@
     #   the old ones after 31 s. The sessions above, with five engines and no
     #   load, pass with one at a time. These have 20 to 60 engines, requests
     #   that wait at them most of the time, loads of 0.5 to 3 s, and new weights
-    #   every few seconds. With one load at a time each of 12 seeds fails:
-    #   engines are on replaced weights for 14 to 27 s without faults.
+    #   every few seconds. With one load at a time each of 12 seeds failed:
+    #   engines were on replaced weights for 14 to 27 s without faults.
     When 10 seeded sessions of large fleets and session 16 are played
     Then no engine keeps replaced weights for 10 s without faults
     And nine in ten engines have the last weights after 14 s without faults
@@ -30,7 +30,7 @@
     And never more engines loaded than the store supports
     And after 30 quiet seconds every engine has the last weights
 
-  Scenario: An engine starts again between its drain and its order
+  Scenario: An engine restarts between its drain and its order
     # Guards against a request sent to an engine that has begun to load, which
     #   declines it. e22 is drained at 1003.13 s, restarts under its id at
     #   1003.18 and is ordered at 1003.23, before the lead knows of the restart.
--- a/tests/features/platform_path.feature
+++ b/tests/features/platform_path.feature
@@ -1,8 +1,8 @@
 Feature: The whole path on the platform, with real processes
 
   Scenario Outline: <case>
-    # Each case opens with its symptom, sequence and cause; see
-    # tests/cases/adapter.py.
+    # Each case's docstring in tests/cases/adapter.py states the failure that it
+    # guards against.
     When the case "<case>" of "<group>" is played
 
     Examples: the path
