--- a/tests/cases/adapter.py
+++ b/tests/cases/adapter.py
@@ -1,4 +1,4 @@
-"""The whole path on the platform: real processes, stand-ins around them."""
+"""End-to-end tests of the platform adapter with real processes."""
 
 from __future__ import annotations
 
@@ -29,12 +29,11 @@
 
 
 async def every_kind_of_request_is_served_whole() -> None:
-    """Requests go on unchanged, and answers come back unchanged.
+    """Requests and answers are forwarded unchanged.
 
-    Symptom: a server runs another request than the caller sent.
-    Sequence: one request of each kind, by length and in chunks, with headers
-        that only this system may set.
-    Cause: a request rebuilt from its parts.
+    Guards against a request rebuilt from its parts, which differs from what the
+    caller sent: one request of each kind, by length and in chunks, with headers
+    that only this system may set.
     """
     forged = {
         "X-Godwittack-Tenant": "other",
@@ -51,10 +50,10 @@
         yield b"bo"
         yield b"dy"
 
-    async with Platform() as made:
+    async with Platform() as platform_run:
         for number, name in enumerate(("confirm", "release", "open")):
             body = chunks() if number else b"body"
-            status, headers, data = await made.call(
+            status, headers, data = await platform_run.call(
                 name,
                 f"r{number}",
                 key="" if name == "open" else KEY,
@@ -63,7 +62,7 @@
                 path="a%2Fb?c=%20",
             )
             assert (status, data) == (200, b"ydob"), (name, status, data)
-            (ran,) = made.ran(f"r{number}")
+            (ran,) = platform_run.ran(f"r{number}")
             assert headers["x-godwittack-response-signature"].endswith(
                 ran.request_id
             )
@@ -77,67 +76,66 @@
             hidden -= {"x-godwittack-tenant", "x-godwittack-cache-salt"}
             assert not hidden & ran.headers.keys(), ran.headers
         for name in ("long", "short"):
-            status, _, data = await made.call(name, name)
+            status, _, data = await platform_run.call(name, name)
             assert status == 200 and data.count(b"data: e") == 5, data
-            assert made.ran(name)[0].scope == "v1/"
+            assert platform_run.ran(name)[0].scope == "v1/"
 
 
-async def what_is_not_allowed_is_said_so() -> None:
-    """Unknown keys, routes and malformed requests get their own answers.
+async def invalid_requests_get_a_status_of_their_own() -> None:
+    """Unknown keys, unknown routes and malformed requests are told apart.
 
-    Symptom: callers repeat what will never be let in.
-    Sequence: an unknown key, no key, no route, no id, headers and bodies that
-        are too long, two ids.
-    Cause: one answer for all.
+    Guards against callers that repeat requests which will never be accepted,
+    because all get one answer: an unknown key, no key, no route, no id, headers
+    and bodies that are too long.
     """
-    async with Platform() as made:
+    async with Platform() as platform_run:
         expected = {
             401: {"key": "unknown"},
             413: {"body": b"x" * 100_001},
             431: {"headers": {"X-Long": "x" * 20_000}},
         }
         for status, fields in expected.items():
-            got = await made.call("release", f"r{status}", **fields)
-            assert got[0] == status, got
-        assert (await made.call("release", "r0", key=""))[0] == 401
-        assert (await made.call("nowhere", "r1"))[0] == 404
-        assert (await made.call("release", ""))[0] == 400
-        assert not any(made.ran(f"r{n}") for n in (0, 1, 401, 413, 431))
+            result = await platform_run.call("release", f"r{status}", **fields)
+            assert result[0] == status, result
+        assert (await platform_run.call("release", "r0", key=""))[0] == 401
+        assert (await platform_run.call("nowhere", "r1"))[0] == 404
+        assert (await platform_run.call("release", ""))[0] == 400
+        assert not any(platform_run.ran(f"r{n}") for n in (0, 1, 401, 413, 431))
 
 
-async def a_large_fleet_serves_by_some_of_its_daemons() -> None:
-    """Callers are sent to the serving set, and to a standby for one it lost."""
+async def a_large_fleet_serves_from_some_of_its_daemons() -> None:
+    """Callers are sent to the serving set; a standby replaces a lost daemon."""
     small = "mesh_limit: 2\nserving_daemons: 2\n"
-    async with Platform(daemons=5, settings=small) as made:
+    async with Platform(daemons=5, settings=small) as platform_run:
 
-        async def named(number: int) -> frozenset[str]:
+        async def advertised(number: int) -> frozenset[str]:
             path = "/resolve?name=h.example&region=all&zone=north"
-            _, body = await made.get(number, "directory", path)
+            _, body = await platform_run.get(number, "directory", path)
             return frozenset(json.loads(body)["addresses"])
 
         async def agree(*numbers: int) -> bool:
-            answers = {await named(number) for number in numbers}
+            answers = {await advertised(number) for number in numbers}
             return len(answers) == 1 and len(next(iter(answers))) == 2
 
-        fronts = [fields["listen"]["front"] for fields in made.fields]
+        fronts = [fields["listen"]["front"] for fields in platform_run.fields]
         everyone = range(len(fronts))
         await until("all name one set", lambda: agree(*everyone))
-        before = await named(0)
+        before = await advertised(0)
         for number in everyone:
-            # Callers keep addresses: who does not serve answers all the same.
-            assert (await made.call("long", f"l{number}", daemon=number))[
-                0
-            ] == (200)
-            assert (await made.call("release", f"r{number}", daemon=number))[
-                0
-            ] == 200
-        roles = [made.log(n).count("role=idle") for n in everyone]
+            # Callers keep addresses, so daemons that don't serve answer too.
+            assert (
+                await platform_run.call("long", f"l{number}", daemon=number)
+            )[0] == (200)
+            assert (
+                await platform_run.call("release", f"r{number}", daemon=number)
+            )[0] == 200
+        roles = [platform_run.log(n).count("role=idle") for n in everyone]
         assert sum(roles) >= 1, roles
         serving = 0
-        for fields in made.fields:
+        for fields in platform_run.fields:
             port = fields["internal-port-range"][1]
             url = f"http://{fields['ip']}:{port}/"
-            async with made.session.get(url) as response:
+            async with platform_run.session.get(url) as response:
                 lines = (await response.text()).splitlines()
             serving += any(
                 line.startswith("godwittack_is_serving")
@@ -146,142 +144,148 @@
             )
         assert serving == 2, serving
         lost = fronts.index(sorted(before)[0])
-        made.signal(lost, signal.SIGKILL)
+        platform_run.signal(lost, signal.SIGKILL)
         others = [number for number in everyone if number != lost]
 
         async def replaced() -> bool:
-            named_now = await named(others[0])
-            return await agree(*others) and fronts[lost] not in named_now
+            advertised_now = await advertised(others[0])
+            return await agree(*others) and fronts[lost] not in advertised_now
 
         await until("a standby is named", replaced)
-        after = await named(others[0])
+        after = await advertised(others[0])
         assert len(after & before) == 1, (before, after)
         for number in (fronts.index(front) for front in after):
-            got = await made.call("long", f"again{number}", daemon=number)
-            assert got[0] == 200, got
+            result = await platform_run.call(
+                "long", f"again{number}", daemon=number
+            )
+            assert result[0] == 200, result
 
 
 async def nothing_is_ready_before_the_first_table() -> None:
-    """A daemon without a table refuses, and says so to the platform.
+    """A daemon without a table refuses requests and reports not ready.
 
-    Symptom: requests answered 404 or 401 by a daemon that knows nothing.
-    Sequence: a daemon starts before the first configuration.
-    Cause: an empty table taken for the table.
+    Guards against an empty table treated as the table: a daemon starts before
+    the first configuration, and answers requests with 404 or 401.
     """
-    async with Platform(configured=False) as made:
-        await until("it listens", lambda: _answers(made))
-        assert (await made.get(0, "ready", "/ready"))[0] == 503
-        status, headers, _ = await made.call("release", "r1")
+    async with Platform(configured=False) as platform_run:
+        await until("it listens", lambda: _answers(platform_run))
+        assert (await platform_run.get(0, "ready", "/ready"))[0] == 503
+        status, headers, _ = await platform_run.call("release", "r1")
         assert status == 503 and float(headers["retry-after"]) > 0
-        made.store.put("op", "config", platform.config(1))
-        await made.until_ready()
-        assert (await made.call("release", "r2"))[0] == 200
+        platform_run.store.put("op", "config", platform.config(1))
+        await platform_run.until_ready()
+        assert (await platform_run.call("release", "r2"))[0] == 200
 
 
-async def _answers(made: Platform) -> bool:
-    await made.get(0, "ready", "/ready")
+async def _answers(platform_run: Platform) -> bool:
+    await platform_run.get(0, "ready", "/ready")
     return True
 
 
-async def a_key_taken_away_is_refused_within_its_bound() -> None:
-    """A change of keys is in force within seconds, and never goes back.
+async def a_revoked_key_is_refused_within_its_time_limit() -> None:
+    """A change of keys takes effect within seconds and is never reverted.
 
-    Symptom: a key taken away is served.
-    Sequence: the operator writes a version without the key.
-    Cause: the table read once.
+    Guards against serving a revoked key because the table is read only once:
+    the operator writes a version without the key.
     """
-    async with Platform(daemons=2) as made:
-        made.store.put("op", "config", platform.config(2, keys=("new",)))
+    async with Platform(daemons=2) as platform_run:
+        platform_run.store.put(
+            "op", "config", platform.config(2, keys=("new",))
+        )
         for number in (0, 1):
 
             async def refused(number: int = number) -> bool:
-                got = await made.call("release", "r1", daemon=number)
-                return got[0] == 401
+                result = await platform_run.call("release", "r1", daemon=number)
+                return result[0] == 401
 
             await until(f"daemon {number} refuses", refused, seconds=3)
-            got = await made.call("release", "r2", daemon=number, key="new")
-            assert got[0] == 200
+            result = await platform_run.call(
+                "release", "r2", daemon=number, key="new"
+            )
+            assert result[0] == 200
 
 
-async def an_outage_of_the_store_ends_keys_alone() -> None:
-    """Without the store, keys are refused after their bound, others served.
+async def a_store_outage_ends_only_the_use_of_keys() -> None:
+    """Without the store, keys expire; requests without keys are served.
 
-    Symptom: a daemon that is cut off serves keys for ever, or nothing at all.
-    Sequence: the store falls silent for six seconds and comes back.
-    Cause: the age of the last confirmation not looked at, or an outage taken
-        for an empty table.
+    Guards against a daemon without the store that serves keys forever, or
+    nothing at all: the store does not answer for six seconds and comes back.
+    The age of the last confirmation was not checked, or an outage was treated
+    as an empty table.
     """
-    async with Platform() as made:
-        made.store.faults.silent = True
+    async with Platform() as platform_run:
+        platform_run.store.faults.silent = True
 
         async def refused() -> bool:
-            status, headers, _ = await made.call("release", "r1")
+            status, headers, _ = await platform_run.call("release", "r1")
             return status == 503 and "retry-after" in headers
 
         await until("keys are refused", refused, seconds=6)
-        assert (await made.call("open", "r2", key=""))[0] == 200
-        made.store.faults.silent = False
+        assert (await platform_run.call("open", "r2", key=""))[0] == 200
+        platform_run.store.faults.silent = False
 
         async def served() -> bool:
-            return (await made.call("release", "r3"))[0] == 200
+            return (await platform_run.call("release", "r3"))[0] == 200
 
         await until("keys are served again", served, seconds=4)
 
 
-async def lost_history_is_survived() -> None:
-    """Where the store forgets its history, the table is read anew.
+async def a_daemon_recovers_from_lost_store_history() -> None:
+    """When the store drops its history, the table is read again.
 
-    Symptom: changes are not seen any more.
-    Sequence: the history is dropped; then a key is taken away.
-    Cause: the feed asked for the same version again and again.
+    Guards against changes that are no longer seen: the history is dropped, then
+    a key is revoked, and the feed was called with the same version again and
+    again.
     """
-    async with Platform() as made:
-        made.store.put("op", "config", platform.config(2, keys=("new",)))
-        made.store.faults.forgotten_up_to = made.store.version
+    async with Platform() as platform_run:
+        platform_run.store.put(
+            "op", "config", platform.config(2, keys=("new",))
+        )
+        platform_run.store.faults.forgotten_up_to = platform_run.store.version
 
         async def refused() -> bool:
-            return (await made.call("release", "r1"))[0] == 401
+            return (await platform_run.call("release", "r1"))[0] == 401
 
         await until("the key is refused", refused, seconds=4)
 
 
 async def weights_are_rolled_out_once() -> None:
-    """A version that is named reaches every engine, by one order each.
+    """A published version reaches every engine, by one order each.
 
-    Symptom: engines stay on old weights, or load twice.
-    Sequence: version 2 is named while requests run; two daemons might lead.
-    Cause: orders without a lease, or progress known to one daemon only.
+    Guards against engines that stay on old weights, or load twice: version 2 is
+    published while requests run and two daemons may lead. Causes are orders
+    without a lease, or progress known to only one daemon.
     """
-    async with Platform(daemons=2) as made:
-        made.store.put("op", "version/m", {"model": "m", "version": 2})
-        engines = [r for r in made.replicas.values() if r.model]
+    async with Platform(daemons=2) as platform_run:
+        platform_run.store.put("op", "version/m", {"model": "m", "version": 2})
+        engines = [r for r in platform_run.replicas.values() if r.model]
 
         async def loaded() -> bool:
-            got = await made.call("long", "r", daemon=1)
-            assert got[0] in (200, 503), got
+            result = await platform_run.call("long", "r", daemon=1)
+            assert result[0] in (200, 503), result
             return all(engine.version == 2 for engine in engines)
 
         await until("all engines have version 2", loaded)
         await asyncio.sleep(0.5)
         assert [len(engine.orders) for engine in engines] == [1, 1]
         assert len({e.orders[0]["holder"] for e in engines}) == 1
-        await made.call("long", "last")
-        assert made.ran("last")[0].scope == "v2/"
+        await platform_run.call("long", "last")
+        assert platform_run.ran("last")[0].scope == "v2/"
 
 
-async def a_stream_that_breaks_goes_on_elsewhere() -> None:
+async def a_broken_stream_resumes_at_another_engine() -> None:
     """A caller gets each event once, from two engines.
 
-    Symptom: half an event, a missing or a doubled one in a stream.
-    Sequence: an engine breaks off in the middle of the third event.
-    Cause: bytes relayed as they come, or the stream started anew.
+    Guards against half an event, a missing or a duplicate one in a stream: an
+    engine breaks off in the middle of the third event. Causes are bytes relayed
+    as they arrive, or a stream started from its beginning.
     """
-    async with Platform() as made:
+    async with Platform() as platform_run:
         for name in ("i-e1", "i-e2"):
-            await made.earn_retry("long")
-            made.replicas[name].faults.cut_after = 2
-            status, headers, data = await made.call("long", f"r-{name}")
-            made.replicas[name].faults.cut_after = -1
+            await platform_run.earn_retry("long")
+            platform_run.replicas[name].faults.cut_after = 2
+            status, headers, data = await platform_run.call("long", f"r-{name}")
+            platform_run.replicas[name].faults.cut_after = -1
             expected = b"".join(
                 b"id: %d\ndata: e%d\n\n" % (n, n) for n in range(1, 6)
             )
@@ -292,32 +296,31 @@
 async def a_broken_stream_never_looks_whole() -> None:
     """A stream that can't be resumed ends with a broken connection.
 
-    Symptom: half an answer looks complete.
-    Sequence: an engine breaks off a stream that may not be resumed.
-    Cause: the answer ended in order.
+    Guards against half an answer that looks complete: an engine breaks off a
+    stream that may not be resumed, and the answer was ended in order.
     """
-    async with Platform() as made:
+    async with Platform() as platform_run:
         for engine in ("i-e1", "i-e2"):
-            made.replicas[engine].faults.cut_after = 2
+            platform_run.replicas[engine].faults.cut_after = 2
         try:
-            await made.call("short", "r1")
+            await platform_run.call("short", "r1")
         except aiohttp.ClientError:
             return
         raise AssertionError("the stream looked whole")
 
 
 async def a_caller_that_leaves_ends_the_work() -> None:
-    """An engine sees within half a second that nobody waits.
+    """An engine sees within half a second that its caller has left.
 
-    Symptom: engines work for callers that have left.
-    Sequence: a caller closes its connection in the middle of a stream.
-    Cause: the attempt not tied to its caller.
+    Guards against engines that work for callers that have left: a caller closes
+    its connection in the middle of a stream, and the attempt was not cancelled
+    with it.
     """
-    async with Platform() as made:
-        engines = [r for r in made.replicas.values() if r.model]
+    async with Platform() as platform_run:
+        engines = [r for r in platform_run.replicas.values() if r.model]
         for engine in engines:
             engine.event_gap_s = 0.5
-        call = asyncio.create_task(made.call("long", "r1"))
+        call = asyncio.create_task(platform_run.call("long", "r1"))
         await asyncio.sleep(0.3)
         call.cancel()
         await asyncio.gather(call, return_exceptions=True)
@@ -329,13 +332,13 @@
 
 
 async def a_planned_stop_cuts_nothing() -> None:
-    """SIGTERM under load: every request is answered, the address goes.
+    """SIGTERM under load: each request is answered, the address is removed.
 
-    Symptom: requests cut while a daemon is replaced.
-    Sequence: callers use two daemons; one is told to stop.
-    Cause: the process ended, or closed its door, while addresses were kept.
+    Guards against requests cut while a daemon is replaced: callers use two
+    daemons, one gets SIGTERM, and its process ended or stopped listening while
+    callers still had its address.
     """
-    async with Platform(daemons=2) as made:
+    async with Platform(daemons=2) as platform_run:
         failed: list[object] = []
         stopping = asyncio.Event()
 
@@ -344,70 +347,72 @@
             while not stopping.is_set():
                 count += 1
                 name = ("long", "release", "confirm")[count % 3]
-                got = await made.call(name, f"{number}-{count}", daemon=0)
-                if got[0] != 200:
-                    failed.append(got)
+                result = await platform_run.call(
+                    name, f"{number}-{count}", daemon=0
+                )
+                if result[0] != 200:
+                    failed.append(result)
 
         tasks = [asyncio.create_task(load(n)) for n in range(4)]
         await asyncio.sleep(0.5)
-        made.signal(0, signal.SIGTERM)
+        platform_run.signal(0, signal.SIGTERM)
 
-        async def unnamed() -> bool:
-            _, data = await made.get(1, "directory", "/resolve?zone=north")
-            front = made.fields[0]["listen"]["front"]
+        async def not_advertised() -> bool:
+            _, data = await platform_run.get(
+                1, "directory", "/resolve?zone=north"
+            )
+            front = platform_run.fields[0]["listen"]["front"]
             return front not in json.loads(data)["addresses"]
 
-        await until("the other no longer names it", unnamed, seconds=2)
-        assert (await made.get(0, "ready", "/ready"))[0] == 503
+        await until("the other no longer names it", not_advertised, seconds=2)
+        assert (await platform_run.get(0, "ready", "/ready"))[0] == 503
         await asyncio.sleep(0.5)
         stopping.set()
         await asyncio.gather(*tasks)
         assert not failed, failed[:3]
         async with asyncio.timeout(8):
-            assert await made.processes[0].wait() == 0
+            assert await platform_run.processes[0].wait() == 0
 
 
-async def a_server_that_drains_gets_nothing_new() -> None:
-    """A server's word that it leaves counts within a moment.
+async def a_draining_server_gets_no_new_requests() -> None:
+    """A server's report that it leaves takes effect within a moment.
 
-    Symptom: work is sent to a server that is about to end.
-    Sequence: a server's row says that it drains.
-    Cause: the list read now and then.
+    Guards against work sent to a server that is about to end: its row says that
+    it drains, and the list was read only now and then.
     """
-    async with Platform() as made:
-        row = made.store.rows[("servers", "i-s1")]
+    async with Platform() as platform_run:
+        row = platform_run.store.rows[("servers", "i-s1")]
         address = json.loads(platform.decoded(row["value"]))["address"]
-        made.list_server("i-s1", address, state="draining")
+        platform_run.list_server("i-s1", address, state="draining")
 
         async def known() -> bool:
-            return "server_leaving" in made.log()
+            return "server_leaving" in platform_run.log()
 
         await until("the daemon knows", known, seconds=2)
         for number in range(10):
-            await made.call("release", f"r{number}")
+            await platform_run.call("release", f"r{number}")
         assert not any(
-            ran.request_id.startswith("r") for ran in made.replicas["i-s1"].ran
+            ran.request_id.startswith("r")
+            for ran in platform_run.replicas["i-s1"].ran
         )
 
 
 async def a_short_soak_keeps_every_promise() -> None:
-    """One seed of the soak, as played by hand with fifty.
+    """Plays one seed of the soak test, of which fifty are run by hand.
 
-    Symptom: any of the promises that `tests/soak/session.py` checks.
-    Sequence: traffic under a dozen faults in series that overlap.
-    Cause: the seed and the faults are told where it fails.
+    Checks the promises of `tests/soak/session.py`, with traffic under a dozen
+    faults in overlapping series. A failure shows the seed and the faults.
     """
     played = await session.play(1)
     assert not played.wrong, (played.wrong, played.faults)
     assert any(asked.status == 200 for asked in played.asked)
 
 
-def settings_that_lack_a_value_are_named() -> None:
-    """A missing value is one clear line and exit code 2.
+def a_missing_setting_is_named() -> None:
+    """A missing value gives one clear line and exit code 2.
 
-    Symptom: a daemon that does not start, for a reason nobody can read.
-    Sequence: the platform's settings lack the address of the store's peers.
-    Cause: a stack trace in place of a sentence.
+    Guards against a stack trace in place of a message: the platform's settings
+    lack the address for the store's peers.
     """
     fields = platform.settings_fields("edge-1", 1, [])
     del fields["listen"]["control"]
@@ -430,12 +435,11 @@
     assert len(lines) == 1 and "peer_address" in lines[0], done.stderr
 
 
-def names_of_the_wire_stand_in_one_folder() -> None:
-    """Nothing outside the adapter knows the platform's names.
+def wire_names_appear_only_in_the_adapter() -> None:
+    """Nothing outside the adapter uses the platform's names.
 
-    Symptom: a change of the platform's names reaches into decisions.
-    Sequence: a header's name is written where it is needed.
-    Cause: no line between what is decided and how it is said.
+    Guards against a change of the platform's names that affects decision code:
+    a header's name written wherever it is needed.
     """
     found = []
     for path in sorted(SOURCES.rglob("*.py")):
@@ -447,12 +451,11 @@
     assert not found, found
 
 
-def the_adapter_decides_nothing() -> None:
-    """The adapter has no clock, no chance, no pause and no second try.
+def the_adapter_makes_no_decisions() -> None:
+    """The adapter uses no clock, randomness, delay or retry.
 
-    Symptom: a decision that no test of the core sees.
-    Sequence: a retry or a timer is added where a call is made.
-    Cause: the adapter grew beyond names, formats and calls.
+    Guards against decisions that no test of the core covers: a retry or a timer
+    added where a call is made, beyond names, formats and calls.
     """
     found = {}
     lines = 0
@@ -463,7 +466,7 @@
         if hits:
             found[path.name] = hits
     assert not found, found
-    # The aim is 900; what is here are names, formats and calls alone.
+    # The target is 900; the adapter holds only names, formats and calls.
     assert lines < 950, lines
 
 
--- a/tests/cases/logs.py
+++ b/tests/cases/logs.py
@@ -1,4 +1,4 @@
-"""Log lines: bounded, never waited for, whole stories or none."""
+"""Log lines: bounded, non-blocking, all or none of a request."""
 
 from __future__ import annotations
 
@@ -16,51 +16,50 @@
 from godwittack.daemon import log_sampling, logs, observer
 
 
-class Told:
-    """A core whose events become lines."""
+class LoggedCore:
+    """A core whose events are logged."""
 
     def __init__(self, *, lines_per_s: int = 200) -> None:
         self.lines: list[str] = []
         self.core = routed_core.Core()
-        self.stories = log_sampling.RequestLogSampler(
+        self.sampler = log_sampling.RequestLogSampler(
             write=self.lines.append,
             now_ms=lambda: self.core.now_ms,
             lines_per_s=lines_per_s,
         )
 
-    def take(self) -> None:
-        """Tells the events that the core made last."""
+    def log_events(self) -> None:
+        """Logs the events of the core's last step."""
         for event in self.core.find(effects.Event):
-            self.stories.record(event, observer.format_line(event))
+            self.sampler.record(event, observer.format_line(event))
 
     def play(self, name: str, *, fails: bool) -> None:
         """Plays one request to its end."""
         self.core.arrive("confirm", name)
         sent = self.core.dispatch()
-        self.take()
+        self.log_events()
         if fails:
             self.core.fail(sent, inputs.FailurePhase.SENT)
         else:
             self.core.answer(sent)
-        self.take()
+        self.log_events()
 
 
-def a_flood_is_bounded_and_tells_whole_stories() -> None:
-    """Under load, requests that end well are left out whole.
+def log_volume_is_bounded_and_requests_are_logged_whole() -> None:
+    """Under load, the lines of successful requests are all left out.
 
-    Symptom: logging takes the processor from requests; or a story whose
-        first half is missing.
-    Sequence: 5,000 requests within a second; one in a hundred fails.
-    Cause: lines written or left out one by one.
+    Guards against logging that takes processor time from requests, or a request
+    whose first lines are missing because lines were written or left out one by
+    one: 5,000 requests within a second, of which one in a hundred fails.
     """
-    told = Told()
+    logged = LoggedCore()
     for number in range(5_000):
-        told.play(f"r{number}", fails=number % 100 == 0)
-        told.core.now_ms += number % 5 == 0
-    assert len(told.lines) < 2_000, len(told.lines)
-    assert told.stories.omitted_requests > 3_000
+        logged.play(f"r{number}", fails=number % 100 == 0)
+        logged.core.now_ms += number % 5 == 0
+    assert len(logged.lines) < 2_000, len(logged.lines)
+    assert logged.sampler.omitted_requests > 3_000
     by_request: dict[str, list[str]] = {}
-    for line in told.lines:
+    for line in logged.lines:
         fields = dict(explain.KEY_VALUE.findall(line))
         if "request" in fields:
             by_request.setdefault(fields["request"], []).append(fields["event"])
@@ -71,12 +70,12 @@
     assert len(failed) == 50, len(failed)
 
 
-def a_reader_that_stops_holds_nothing_up() -> None:
+def a_stalled_log_reader_blocks_nothing() -> None:
     """A pipe that nobody reads costs lines, not time.
 
-    Symptom: the daemon stands still when its log is not read.
-    Sequence: a pipe is full; 10,000 more lines are written; it is read again.
-    Cause: lines written by whoever decides.
+    Guards against a daemon that blocks when its log is not read, because lines
+    are written by the deciding thread: a pipe is full; 10,000 more lines are
+    written; it is read again.
     """
     reader, writer = os.pipe()
     with os.fdopen(writer, "w") as out:
@@ -106,24 +105,24 @@
 
 
 def a_failed_request_is_explained_by_its_id() -> None:
-    """The lines of one id tell why a request failed.
+    """The lines with a request's id explain why it failed.
 
-    Symptom: on-call staff can't say why an officer got no answer.
-    Sequence: a call's server breaks off; its id is looked up in two logs.
-    Cause: lines without the caller's id, or without what decided.
+    Guards against lines without the caller's id, or without the reason for a
+    decision, so that on-call staff can't tell why an officer got no answer. A
+    call's server breaks off; its id is looked up in two logs.
     """
-    told = Told()
-    told.core.arrive("confirm", "9c41d07b~7")
-    sent = told.core.dispatch()
-    told.take()
-    told.core.fail(sent, inputs.FailurePhase.SENT)
-    told.take()
-    told.play("other~8", fails=False)
+    logged = LoggedCore()
+    logged.core.arrive("confirm", "9c41d07b~7")
+    sent = logged.core.dispatch()
+    logged.log_events()
+    logged.core.fail(sent, inputs.FailurePhase.SENT)
+    logged.log_events()
+    logged.play("other~8", fails=False)
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / "edge-1.log"
         other = pathlib.Path(folder) / "edge-2.log"
         path.write_text(
-            "".join(f"time=1 level=INFO {line}\n" for line in told.lines)
+            "".join(f"time=1 level=INFO {line}\n" for line in logged.lines)
         )
         other.write_text("time=1 level=INFO event=serving\n")
         out = io.StringIO()
@@ -131,18 +130,17 @@
             assert explain.explain("9c41d07b", str(path), str(other)) == 0
         with contextlib.redirect_stderr(io.StringIO()) as errors:
             assert explain.explain("unknown", str(path)) != 0
-    story = out.getvalue()
+    explanation = out.getvalue()
     for part in ("placed", "attempt_failed", "answer_lost", "may_have_run=1"):
-        assert part in story, story
-    assert "other" not in story and "no line" in errors.getvalue()
+        assert part in explanation, explanation
+    assert "other" not in explanation and "no line" in errors.getvalue()
 
 
-def a_value_from_outside_forges_no_line() -> None:
-    """A line break in a caller's id does not begin a line of its own.
+def an_external_value_forges_no_log_line() -> None:
+    """A line break in a caller's id does not start a new line.
 
-    Symptom: a log that says what never happened.
-    Sequence: an id holds a line break and a pair.
-    Cause: values written as they came.
+    Guards against a log with events that never happened: an id contains a line
+    break and a key-value pair, and values were written unescaped.
     """
     event = effects.Event("refused", "a\nevent=forged", ())
     assert "\n" not in observer.format_line(event)
--- a/tests/cases/one_lead.py
+++ b/tests/cases/one_lead.py
@@ -16,14 +16,14 @@
 from sim import fakes, loop
 
 MODEL = routed_core.ENGINES
-# Prompts that wait at each engine under load: twice the wait from which a
-# roll-out spares the engines.
+# Queued prompts at each engine under load: twice the wait from which a
+# roll-out limits how many engines load.
 WAITING_MS = 160
 WAITING_TOKENS = 1_600
 
 
 class Engines:
-    """Engines that load weights; answers may be refused or lost."""
+    """Engines that load weights; may refuse orders."""
 
     def __init__(self, clock, *, load_s: float) -> None:
         self.clock = clock
@@ -49,7 +49,7 @@
         )
 
     async def order(self, address, order):
-        """Takes an order and carries it out."""
+        """Accepts an order and carries it out."""
         del address
         if self.refuse:
             return Err(
@@ -67,45 +67,45 @@
         return Ok(None)
 
 
-class News:
-    """Keeps the drains told."""
+class RecordedUpdates:
+    """Records announced drains."""
 
     def __init__(self) -> None:
         self.drained: set[str] = set()
 
     def publish_draining(self, server_id, target) -> None:
-        """A drain was told."""
+        """Records a drain."""
         del target
         self.drained.add(server_id)
 
     def publish_load(self, load, target, *, immediately=False) -> None:
-        """A load report was told."""
+        """Ignores a load report."""
 
 
 class Runtime:
-    """A core with the clock of the loop."""
+    """A core on the event loop's clock."""
 
     def __init__(self, clock, *, servers: int = 6) -> None:
         self.clock = clock
-        self.held = routed_core.Core(servers=servers)
-        self.core = self.held.router
+        self.harness = routed_core.Core(servers=servers)
+        self.core = self.harness.router
 
-    def submit(self, told) -> None:
-        """Hands an input to the core."""
-        self.core.step(told)
+    def submit(self, message) -> None:
+        """Applies an input to the core."""
+        self.core.step(message)
 
 
-class Led:
-    """One daemon that leads the engines of one model, six unless told else."""
+class LeadDaemon:
+    """One daemon that leads the engines of one model, by default six."""
 
     def __init__(self, *, servers: int = 6, load_s: float = 1.1) -> None:
         self.clock = loop.LoopClock(asyncio.get_running_loop())
         self.engines = Engines(self.clock, load_s=load_s)
-        self.news = News()
+        self.updates = RecordedUpdates()
         self.table = fakes.TableFake(random.Random(1))
         self.runtime = Runtime(self.clock, servers=servers)
-        self.runtime.held.now_ms = self.clock.now_ms()
-        self.runtime.held.tell(
+        self.runtime.harness.now_ms = self.clock.now_ms()
+        self.runtime.harness.tell(
             inputs.TableChanged, routed_core.table(2, weights="2")
         )
         me = view.Member(
@@ -121,7 +121,7 @@
             members=view.View(
                 me=me, policy=view.MemberPolicy(), rng=random.Random(1)
             ),
-            updates=self.news,
+            updates=self.updates,
             policy=lease.LeasePolicy(lease_ms=3_000),
             rollout_policy=rollout.RolloutPolicy(
                 order_after_ms=100, load_limit_ms=4_000
@@ -129,12 +129,12 @@
         )
 
     async def run(self, *, for_s: float) -> None:
-        """Lets it lead for a time."""
+        """Runs the leading loop for some time."""
         task = asyncio.create_task(self.lead.lead_forever(step_ms=100))
         await asyncio.sleep(for_s)
         task.cancel()
 
-    async def press(self) -> None:
+    async def apply_load(self) -> None:
         """Keeps prompts waiting at each engine that takes work."""
         world = self.runtime.core.world
         while True:
@@ -154,7 +154,7 @@
                     )
             await asyncio.sleep(0.05)
 
-    def with_weights(self, version: str) -> int:
+    def count_with_weights(self, version: str) -> int:
         """Returns how many engines have a version."""
         return list(self.engines.versions.values()).count(version)
 
--- a/tests/cases/peers.py
+++ b/tests/cases/peers.py
@@ -1,4 +1,4 @@
-"""Calls and news between daemons, over real sockets on loopback."""
+"""Calls and updates between daemons, over real loopback sockets."""
 
 from __future__ import annotations
 
@@ -24,28 +24,30 @@
 from godwittack.table import model, schema
 
 SECRET = b"s" * 32
-STRANGER = b"x" * 32
+OTHER_SECRET = b"x" * 32
 TIMEOUT_MS = 2_000
 
 
 class FakeHandler:
-    """Keeps what it is told."""
+    """Records what it receives."""
 
     def __init__(self) -> None:
-        self.news: list[tuple[str, list[str]]] = []
+        self.leaving_reports: list[tuple[str, list[str]]] = []
 
-    def handle_exchange(self, told):
-        """Returns the same."""
-        return told
+    def handle_exchange(self, envelope):
+        """Returns the same envelope."""
+        return envelope
 
     def handle_news(self, sender_id, news, reader):
-        """Keeps the servers named as leaving."""
+        """Records the servers reported as leaving."""
         del reader
-        self.news.append((sender_id, [told.server_id for told in news.leaving]))
+        self.leaving_reports.append(
+            (sender_id, [entry.server_id for entry in news.leaving])
+        )
 
-    def handle_table_request(self, asked):
+    def handle_table_request(self, request):
         """Returns a table."""
-        return peer_pb2.TableReply(version=asked.known_version + 1)
+        return peer_pb2.TableReply(version=request.known_version + 1)
 
     def handle_report_request(self):
         """Returns nothing."""
@@ -73,86 +75,98 @@
         await listening.stop()
 
 
-async def news_arrive_in_order_with_their_sender():
-    """One stream carries many messages; the first one names the sender."""
-    async with pair() as two:
-        stream = two.client.open_news(two.address, on_broken=_never)
+async def updates_arrive_in_order_with_their_sender():
+    """One stream carries many messages; the first identifies the sender."""
+    async with pair() as peer_pair:
+        stream = peer_pair.client.open_news(peer_pair.address, on_broken=_never)
         for number in range(5):
             sent = _leaving(f"s{number}")
             if not number:
                 sent.sender_id = "d1"
             assert (await stream.send(sent)).is_ok()
-        await _until(lambda: len(two.handler.news) == 5)
+        await _until(lambda: len(peer_pair.handler.leaving_reports) == 5)
         stream.close()
-    assert two.handler.news == [("d1", [f"s{n}"]) for n in range(5)]
+    assert peer_pair.handler.leaving_reports == [
+        ("d1", [f"s{n}"]) for n in range(5)
+    ]
 
 
 async def calls_are_answered():
-    """Each call finds its handler."""
-    async with pair() as two:
-        got = await two.client.fetch_table(two.address, known_version=4)
-        assert got.ok_value.version == 5, got
-        assert (await two.client.fetch_report(two.address)).is_ok()
-        told = peer_pb2.Envelope(table_version=7)
-        got = await two.client.exchange(two.address, told)
-        assert got.ok_value.table_version == 7, got
+    """Each call reaches its handler."""
+    async with pair() as peer_pair:
+        result = await peer_pair.client.fetch_table(
+            peer_pair.address, known_version=4
+        )
+        assert result.ok_value.version == 5, result
+        assert (await peer_pair.client.fetch_report(peer_pair.address)).is_ok()
+        envelope = peer_pb2.Envelope(table_version=7)
+        result = await peer_pair.client.exchange(peer_pair.address, envelope)
+        assert result.ok_value.table_version == 7, result
 
 
-async def a_stranger_gets_neither_answers_nor_streams():
-    """Symptom: a process of another cluster changes what this one believes.
+async def a_peer_with_another_secret_gets_neither_answers_nor_streams():
+    """Each entry point checks the proof of the cluster secret.
 
-    Sequence: it connects to a daemon's address with another secret. Cause if
-    it happens: a way in that does not check the proof.
+    Guards against a process of another cluster that changes this one's state:
+    it connects to a daemon's address with another secret.
     """
-    async with pair(secret=STRANGER) as two:
-        got = await two.client.fetch_table(two.address, known_version=4)
-        assert "status 401" in got.err_value.detail, got
-        stream = two.client.open_news(two.address, on_broken=_never)
+    async with pair(secret=OTHER_SECRET) as peer_pair:
+        result = await peer_pair.client.fetch_table(
+            peer_pair.address, known_version=4
+        )
+        assert "status 401" in result.err_value.detail, result
+        stream = peer_pair.client.open_news(peer_pair.address, on_broken=_never)
         sent = await stream.send(_leaving("s0"))
         assert sent.is_err()
-    assert two.handler.news == []
+    assert peer_pair.handler.leaving_reports == []
 
 
-async def what_cannot_be_read_is_refused():
-    """Symptom: a daemon logs a traceback, or ends, for another's bytes.
+async def unreadable_messages_are_refused():
+    """Malformed bytes are refused without an exception.
 
-    Sequence: a call, and a message on a stream, that are no messages. The
-    call is answered so; the stream ends, and its sender opens another.
+    Guards against a daemon that logs a traceback, or ends, for a peer's bytes:
+    a call, and a message on a stream, that can't be decoded. The call is
+    answered with an error status; the stream ends, and its sender opens
+    another.
     """
     broken = asyncio.Event()
-    async with pair() as two:
+    async with pair() as peer_pair:
         headers = {exchange.PROOF_HEADER: exchange.proof(SECRET)}
-        url = f"http://{two.address}"
+        url = f"http://{peer_pair.address}"
         async with aiohttp.ClientSession(headers=headers) as session:
             for path, status in (
                 (exchange.EXCHANGE_PATH, 400),
                 ("/peer/none", 404),
             ):
-                got = await session.post(url + path, data=b"\xff\xff")
-                assert got.status == status, (path, got.status)
+                result = await session.post(url + path, data=b"\xff\xff")
+                assert result.status == status, (path, result.status)
             socket = await session.ws_connect(url + exchange.NEWS_PATH)
             await socket.send_bytes(b"\xff\xff")
             ended = await socket.receive(timeout=1)
             assert ended.type is not aiohttp.WSMsgType.BINARY, ended
-        stream = two.client.open_news(two.address, on_broken=broken.set)
+        stream = peer_pair.client.open_news(
+            peer_pair.address, on_broken=broken.set
+        )
         assert (await stream.send(peer_pb2.News(sender_id="d1"))).is_ok()
         stream.close()
-    assert two.handler.news == [("d1", [])]
+    assert peer_pair.handler.leaving_reports == [("d1", [])]
 
 
 async def a_server_that_stops_ends_its_streams_at_once():
-    """Symptom: news is written for seconds to a daemon that is gone.
+    """A daemon that stops closes the streams that others hold to it.
 
-    Sequence: a daemon stops while others hold streams to it. Cause if it
-    happens: a sender that doesn't read its stream does not see it closed.
+    Guards against updates written for seconds to a daemon that is gone, by a
+    sender that doesn't read its stream and so does not see it closed.
     """
     broken = asyncio.Event()
-    async with pair() as two:
-        stream = two.client.open_news(two.address, on_broken=broken.set)
+    async with pair() as peer_pair:
+        stream = peer_pair.client.open_news(
+            peer_pair.address, on_broken=broken.set
+        )
         assert (await stream.send(peer_pb2.News(sender_id="d1"))).is_ok()
-        await _until(lambda: two.handler.news)
+        await _until(lambda: peer_pair.handler.leaving_reports)
         started = time.monotonic()
-        await two.server.stop()
+        await peer_pair.server.stop()
         took_ms = (time.monotonic() - started) * 1000
         await asyncio.wait_for(broken.wait(), 1)
         assert took_ms < 900, took_ms
@@ -160,14 +174,14 @@
 
 
 class ScriptedStreams:
-    """A client whose streams break when told to."""
+    """A client whose streams break on demand."""
 
     def __init__(self) -> None:
         self.sent: list[list[peer_pb2.News]] = []
         self.breaks = []
 
     def open_news(self, address, *, on_broken):
-        """Returns a stream that keeps what is sent."""
+        """Returns a stream that records what is sent."""
         del address
         self.sent.append([])
         self.breaks.append(on_broken)
@@ -178,40 +192,40 @@
         return Ok(None)
 
 
-async def what_matters_at_once_is_told_without_a_stream():
-    """Long prompts are announced to peers by datagrams with a proof.
+async def urgent_updates_are_sent_as_datagrams():
+    """Long prompts are announced to peers by authenticated datagrams.
 
-    Symptom if it fails: two daemons send their prompts to one idle engine, or
-    a stranger makes an engine look busy.
-    Sequence: a daemon spreads news to a peer that listens and to one that is
-    gone; a stranger spreads the same.
+    Guards against two daemons that send their prompts to one idle engine, and a
+    foreign process that makes an engine look busy. A daemon sends an update to
+    a peer that listens and to one that is gone; a process with another secret
+    sends the same.
     """
-    heard: list[peer_pb2.News] = []
-    told = peer_pb2.News()
-    told.dispatched.add(server_id="e1", tokens=9_000, levels=[1, 2])
-    hearing, sending, stranger = (
+    received: list[peer_pb2.News] = []
+    update = peer_pb2.News()
+    update.dispatched.add(server_id="e1", tokens=9_000, levels=[1, 2])
+    receiver, sender, foreign = (
         datagram.DatagramPeers(secret=secret, timeout_ms=TIMEOUT_MS)
-        for secret in (SECRET, SECRET, STRANGER)
+        for secret in (SECRET, SECRET, OTHER_SECRET)
     )
-    hearing.on_news = heard.append
-    address = await _start_datagrams(hearing)
-    await _start_datagrams(stranger)
-    await _start_datagrams(sending)
-    stranger.broadcast([address], told)
-    sending.broadcast(["127.0.0.1:9", address], told)
-    await _until(lambda: heard)
+    receiver.on_news = received.append
+    address = await _start_datagrams(receiver)
+    await _start_datagrams(foreign)
+    await _start_datagrams(sender)
+    foreign.broadcast([address], update)
+    sender.broadcast(["127.0.0.1:9", address], update)
+    await _until(lambda: received)
     await asyncio.sleep(0.02)
-    for peers in (hearing, sending, stranger):
+    for peers in (receiver, sender, foreign):
         peers.close()
-    assert heard == [told]
+    assert received == [update]
 
 
-async def ports_to_listen_on_are_no_outgoing_ones():
-    """Symptom: a test's daemon ends at once, "address already in use".
+async def test_ports_are_outside_the_ephemeral_range():
+    """Ports for test daemons are not those of outgoing connections.
 
-    Sequence: a port is chosen while it is free; the daemon's process starts,
-    which takes a second; an outgoing connection of any process has got the
-    port meanwhile. Cause: chosen among those that outgoing connections get.
+    Guards against a daemon that ends at once, "address already in use": a port
+    is chosen while it is free; the process takes a second to start, and an
+    outgoing connection of any process has got the port meanwhile.
     """
     listed = pathlib.Path("/proc/sys/net/ipv4/ip_local_port_range").read_text()
     first, last = map(int, listed.split())
@@ -220,12 +234,13 @@
     assert not [port for port in ports if first <= port <= last], ports
 
 
-async def ports_of_processes_beside_each_other_differ():
-    """Symptom: a stand-in ends at once, "address already in use".
+async def concurrent_processes_choose_different_ports():
+    """Test processes never choose the same port.
 
-    Sequence: features run in three processes; one chooses a port, and what it
-    starts there listens a second later; another one has chosen it meanwhile.
-    Cause: each looked only at what listens, and at what it had given itself.
+    Guards against a test server that ends at once, "address already in use":
+    features run in three processes; one chooses a port, whose server listens a
+    second later, and another one has chosen it meanwhile, since each checked
+    only what listens and what it had chosen itself.
     """
     script = (
         "from cluster import processes;"
@@ -243,11 +258,15 @@
         )
         for _ in range(3)
     ]
-    given = [(await child.stdout.readline()).split() for child in running]
+    ports_by_process = [
+        (await child.stdout.readline()).split() for child in running
+    ]
     for child in running:
         await child.communicate(b"\n")
-    every = [port for ports in given for port in ports]
-    assert len(every) == 1_200 and len(set(every)) == 1_200, len(set(every))
+    all_ports = [port for ports in ports_by_process for port in ports]
+    assert len(all_ports) == 1_200 and len(set(all_ports)) == 1_200, len(
+        set(all_ports)
+    )
 
 
 async def _start_datagrams(peers: datagram.DatagramPeers) -> str:
@@ -256,61 +275,64 @@
     return address
 
 
-async def demand_is_told_again_when_a_stream_breaks():
-    """Symptom: two daemons split a limit by figures of long ago.
+async def demand_is_sent_again_when_a_stream_breaks():
+    """The last demand is sent again on a new stream.
 
-    Sequence: a daemon tells its demand; the stream breaks before the peer
-    reads it; the demand stays as it is. Cause: demand is told on changes
-    only, and the next change may be minutes away.
+    Guards against two daemons that split a limit by outdated figures: a daemon
+    sends its demand; the stream breaks before the peer reads it; the demand
+    does not change. Demand is sent only on changes, and the next one may be
+    minutes away.
     """
     streams = ScriptedStreams()
-    told = _news(streams)
-    told.flush()
+    updates = _start_updates(streams)
+    updates.flush()
     await _until(lambda: len(streams.sent) == 1 and streams.sent[0])
     assert [d.cell for d in streams.sent[0][0].demands] == ["workspace/desk"]
     streams.breaks[0]()
     await _until(lambda: len(streams.sent) == 2 and streams.sent[1])
     assert [d.cell for d in streams.sent[1][0].demands] == ["workspace/desk"]
-    told.close()
+    updates.close()
 
 
-async def demand_that_stays_is_told_once():
-    """Symptom: sixty daemons tell each other their demand five times a second.
+async def unchanged_demand_is_sent_once():
+    """Demand is not sent again while its relevant figures stay the same.
 
-    Cause: what was told held a figure that nobody reads, and that changed with
-    each request: the number in flight.
+    Guards against sixty daemons that send each other their demand five times a
+    second: the message contained a figure that nobody reads and that changed
+    with each request, the number in flight.
     """
     streams = ScriptedStreams()
-    told = _news(streams)
-    told.flush()
+    updates = _start_updates(streams)
+    updates.flush()
     await _until(lambda: len(streams.sent) == 1 and streams.sent[0])
-    told.world.shares.cells["workspace/desk"].in_flight = 5
-    told.flush()
+    updates.world.shares.cells["workspace/desk"].in_flight = 5
+    updates.flush()
     await asyncio.sleep(0.02)
-    told.close()
+    updates.close()
     assert len(streams.sent[0]) == 1, streams.sent
 
 
-async def a_model_s_rate_is_told_when_it_moves():
-    """Symptom: sixty daemons tell each other of every request that comes.
+async def a_model_s_rate_is_sent_when_it_changes():
+    """Small variations of a model's request rate are not sent.
 
-    Sequence: the rate of a model's requests wavers by a tenth, then doubles.
-    Cause: a figure that only weighs others' load was told as exactly as one by
-    which limits are split.
+    Guards against sixty daemons that notify each other of every request: the
+    rate of a model's requests varies by a tenth, then doubles. A figure that
+    only weights others' load was sent as precisely as one by which limits are
+    split.
     """
     streams = ScriptedStreams()
-    told = _news(streams)
-    told.world.shares.cells.clear()
-    use = told.world.shares.cells["model/rulebook"]
+    updates = _start_updates(streams)
+    updates.world.shares.cells.clear()
+    usage = updates.world.shares.cells["model/rulebook"]
     for rate in (10.0, 10.9, 9.4, 20.0):
-        use.rate_per_s = rate
-        told.flush()
+        usage.rate_per_s = rate
+        updates.flush()
         await asyncio.sleep(0.02)
-    told.close()
+    updates.close()
     assert len(streams.sent[0]) == 2, streams.sent
 
 
-def _news(streams: ScriptedStreams) -> peer_updates.PeerUpdates:
+def _start_updates(streams: ScriptedStreams) -> peer_updates.PeerUpdates:
     me, other = (
         view.Member(
             member_id=name,
@@ -325,7 +347,7 @@
         table=types.SimpleNamespace(targets=()),
     )
     world.shares.cells["workspace/desk"].demand = 3.0
-    told = peer_updates.PeerUpdates(
+    updates = peer_updates.PeerUpdates(
         members=types.SimpleNamespace(me=me, live=lambda: [me, other]),
         runtime=types.SimpleNamespace(
             core=types.SimpleNamespace(world=world),
@@ -334,53 +356,55 @@
         ),
         client=streams,
     )
-    told.world = world
-    return told
+    updates.world = world
+    return updates
 
 
-def _ignore(told: inputs.Input) -> None:
-    del told
+def _ignore(message: inputs.Input) -> None:
+    del message
 
 
 def _never() -> None:
     raise AssertionError("the stream broke")
 
 
-async def _until(true) -> None:
+async def _until(is_true) -> None:
     async with asyncio.timeout(2):
-        while not true():
+        while not is_true():
             await asyncio.sleep(0.005)
 
 
-def a_table_passed_on_is_the_same_table() -> None:
-    """Peers read what they were sent, compressed or not, and nothing else."""
-    told = routed_core.table(7, keys=tuple(f"key{n}" for n in range(280)))
+def a_forwarded_table_is_unchanged() -> None:
+    """Peers decode what was sent, compressed or not, and nothing else."""
+    sent = routed_core.table(7, keys=tuple(f"key{n}" for n in range(280)))
     for number in range(140):
         name = f"workspace-{number}"
-        told.workspaces[name] = model.WorkspaceRow(
+        sent.workspaces[name] = model.WorkspaceRow(
             name=name, max_in_flight=200, max_requests_per_s=100.0
         )
     writer = tables.TableWriter()
     sizes = []
     for accepts in (False, True):
-        asked = peer_pb2.TableRequest(known_version=6, accepts_deflate=accepts)
-        reply = writer.reply(told, asked)
+        request = peer_pb2.TableRequest(
+            known_version=6, accepts_deflate=accepts
+        )
+        reply = writer.reply(sent, request)
         sizes.append(reply.ByteSize())
         read = tables.read(reply)
         assert read is not None
-        assert schema.table_to_json(read.ok_value) == schema.table_to_json(told)
+        assert schema.table_to_json(read.ok_value) == schema.table_to_json(sent)
     assert sizes[1] < sizes[0] / 2, sizes
     newest = peer_pb2.TableRequest(known_version=7, accepts_deflate=True)
-    assert tables.read(writer.reply(told, newest)) is None
+    assert tables.read(writer.reply(sent, newest)) is None
 
 
-def a_damaged_table_is_not_taken_in() -> None:
-    """A reply that is cut, spoiled or too long is an error, not a table."""
-    asked = peer_pb2.TableRequest(accepts_deflate=True)
-    whole = tables.TableWriter().reply(routed_core.table(3), asked)
-    packed = whole.table_deflated
+def a_damaged_table_is_rejected() -> None:
+    """A truncated, corrupted or oversized reply is an error, not a table."""
+    request = peer_pb2.TableRequest(accepts_deflate=True)
+    valid_reply = tables.TableWriter().reply(routed_core.table(3), request)
+    packed = valid_reply.table_deflated
     bomb = zlib.compress(b" " * (tables.MAX_TABLE_BYTES + 1))
-    for spoiled in (packed[:-9], b"no table", packed[:20] + packed[30:], bomb):
-        reply = peer_pb2.TableReply(version=3, table_deflated=spoiled)
+    for data in (packed[:-9], b"no table", packed[:20] + packed[30:], bomb):
+        reply = peer_pb2.TableReply(version=3, table_deflated=data)
         read = tables.read(reply)
-        assert read is not None and read.is_err(), spoiled[:20]
+        assert read is not None and read.is_err(), data[:20]
--- a/tests/cases/registry.py
+++ b/tests/cases/registry.py
@@ -1,4 +1,4 @@
-"""Finds cases by the sentence that names them."""
+"""Finds test cases by the sentences that name them."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
     "connections",
     "crash_rows",
     "crashing",
-    "following",
+    "feed_follower",
     "freshness",
     "adapter",
-    "entries",
+    "instance_rows",
     "paces",
     "logs",
     "peers",
@@ -30,7 +30,7 @@
     "joining",
     "limited",
     "rate_limits",
-    "patience",
+    "connection_timeouts",
     "quarantines",
     "repeating",
     "repeats",
