--- a/scripts/generate.sh
+++ b/scripts/generate.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Generates the committed protobuf code anew; needs the `generate` extra.
+# Regenerates the committed protobuf code; needs the `generate` extra.
 set -eu
 cd "$(dirname "$0")/.."
 python="${PYTHON:-.venv/bin/python}"
--- a/scripts/golden.sh
+++ b/scripts/golden.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Makes the golden sessions anew and shows the difference; a change of one
-# needs its reason in the commit.
+# Regenerates the golden sessions and shows the differences; the commit message
+# must give the reason for each change.
 set -eu
 cd "$(dirname "$0")/../tests"
 exec "${VENV:-../.venv}/bin/python" -m sim.recordings "$@"
--- a/scripts/pin.py
+++ b/scripts/pin.py
@@ -1,7 +1,7 @@
 """Writes requirements.txt: pyproject.toml's dependencies, each pinned.
 
-The versions are those installed in the environment that runs this, with all
-that they need in turn.
+The versions are those installed in the environment that runs this script,
+transitive dependencies included.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def main() -> None:
-    """Writes the file."""
+    """Writes requirements.txt."""
     project = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
     pinned: dict[str, str] = {}
     for requirement in project["dependencies"]:
@@ -32,7 +32,7 @@
     try:
         installed = importlib.metadata.distribution(found.group())
     except importlib.metadata.PackageNotFoundError:
-        # Needed on other systems or older versions of Python only.
+        # Required only on other systems or older versions of Python.
         return
     name = installed.metadata["Name"].lower()
     if name not in pinned:
--- a/scripts/quickstart.sh
+++ b/scripts/quickstart.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Installs the package into a venv and shows a small cluster at work.
+# Installs the package into a virtual environment and runs a small demo cluster.
 set -eu
 cd "$(dirname "$0")/.."
 venv="${VENV:-$PWD/.venv}"
