--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,11 +1,11 @@
-"""Runs a measurement by its name."""
+"""Runs the measurement named on the command line."""
 
 from __future__ import annotations
 
 import importlib
 import sys
 
-NAMES = (
+MEASUREMENTS = (
     "capacity",
     "faults",
     "fleet",
@@ -18,9 +18,9 @@
 
 
 def main() -> int:
-    """Runs the measurement named first on the command line."""
-    if len(sys.argv) < 2 or sys.argv[1] not in NAMES:
-        print(f"usage: scripts/bench.sh {'|'.join(NAMES)} [options]")
+    """Runs the measurement; passes it the remaining arguments."""
+    if len(sys.argv) < 2 or sys.argv[1] not in MEASUREMENTS:
+        print(f"usage: scripts/bench.sh {'|'.join(MEASUREMENTS)} [options]")
         return 2
     module = importlib.import_module(f"bench.{sys.argv[1]}")
     return module.main(sys.argv[2:])
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,9 +1,9 @@
-"""`scripts/bench.sh capacity`: slopes of a daemon's control work.
+"""`scripts/bench.sh capacity`: cost of a daemon's control work per item.
 
-Each slope feeds the real core, gossip view or codec with the inputs that one
-daemon would get, at several sizes, and fits a line through processor time and
-memory. Nothing here uses sockets but the messages between daemons, which go
-over loopback within this process.
+Each measurement feeds the core, membership view or codec with the inputs that
+one daemon would receive, at several sizes, and fits a line through processor
+time and memory; its slope is the cost of one more item. Only the messages
+between daemons use sockets: they go over loopback within this process.
 """
 
 from __future__ import annotations
@@ -37,20 +37,20 @@
 
 FOREVER_MS = 1 << 50
 REPEATS = 3
-MESSAGES = 1_000
+MESSAGE_COUNT = 1_000
 SECRET = b"0" * 32
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Slope:
-    """What one more of something costs a daemon.
+    """Cost of one more item for a daemon.
 
     Attributes:
-        unit: The something.
+        unit: The item, such as an event, message or server.
         cpu_us: Microseconds of processor time.
-        memory_bytes: Bytes kept.
+        memory_bytes: Bytes of memory retained.
         wire_bytes: Bytes on the network.
-        sizes: Sizes measured.
+        sizes: Numbers of items measured.
     """
 
     unit: str
@@ -60,26 +60,26 @@
     sizes: tuple[int, ...] = ()
 
 
-def main(words: list[str]) -> int:
-    """Measures all slopes and prints them."""
+def main(arguments: list[str]) -> int:
+    """Measures all costs and prints them."""
     parser = argparse.ArgumentParser(prog="bench capacity")
     parser.add_argument("--json")
-    asked = parser.parse_args(words)
-    slopes = [measure() for measure in MEASURES]
+    options = parser.parse_args(arguments)
+    slopes = [measure() for measure in MEASUREMENTS]
     print(f"{'one more':34s}{'cpu us':>10s}{'bytes kept':>12s}{'on wire':>9s}")
     for slope in slopes:
         print(
             f"{slope.unit:34s}{slope.cpu_us:10.1f}"
             f"{slope.memory_bytes:12.0f}{slope.wire_bytes:9.0f}"
         )
-    if asked.json:
-        told = {"slopes": [dataclasses.asdict(slope) for slope in slopes]}
-        pathlib.Path(asked.json).write_text(json.dumps(told, indent=1))
+    if options.json:
+        report = {"slopes": [dataclasses.asdict(slope) for slope in slopes]}
+        pathlib.Path(options.json).write_text(json.dumps(report, indent=1))
     return 0
 
 
 def cache_event() -> Slope:
-    """One level stored and told in a digest, taken in by the core."""
+    """Cost of one stored level in a digest, applied by the core."""
     sizes = (5_000, 10_000, 20_000)
     rng = random.Random(1)
 
@@ -100,7 +100,7 @@
 
 
 def load_report() -> Slope:
-    """One load report taken in by the core."""
+    """Cost of one load report, applied by the core."""
     sizes = (1_000, 2_000, 4_000)
 
     def run(count: int) -> Callable[[], object]:
@@ -122,7 +122,7 @@
 
 
 def backend_server() -> Slope:
-    """One backend server listed and reported."""
+    """Cost of one backend server that is listed and reports its load."""
 
     def run(count: int) -> Callable[[], object]:
         core = _core(servers=0)
@@ -139,7 +139,7 @@
 
 
 def member() -> Slope:
-    """One member heard of, probed in turn and kept."""
+    """Cost of one member added to the membership view."""
 
     def run(count: int) -> Callable[[], object]:
         members = _view()
@@ -156,7 +156,7 @@
 
 
 def gossip_round() -> Slope:
-    """One round of gossip without its calls, by members known."""
+    """Cost of one gossip round in a view of 340 members, without its calls."""
 
     def run(count: int) -> Callable[[], object]:
         members = _view()
@@ -164,8 +164,8 @@
             members.apply(_member(number), now_ms=0)
 
         def feed() -> object:
-            for turn in range(count):
-                now_ms = turn * 500
+            for round_number in range(count):
+                now_ms = round_number * 500
                 members.expire(now_ms=now_ms, may_forget=True)
                 for target in members.probe_targets():
                     members.record_ack(
@@ -183,8 +183,8 @@
     )
 
 
-def duty_assignment() -> Slope:
-    """Finding the watcher of one server among 340 members."""
+def watcher_assignment() -> Slope:
+    """Cost of finding the watcher of one server among 340 members."""
     members = [_member(number) for number in range(340)]
 
     def run(count: int) -> Callable[[], object]:
@@ -200,7 +200,7 @@
 
 
 def prefix_level() -> Slope:
-    """One prefix level in the demand counts."""
+    """Cost of one prefix level in the demand counts."""
 
     def run(count: int) -> Callable[[], object]:
         core = _core(servers=0)
@@ -216,7 +216,7 @@
 
 
 def cell_demand() -> Slope:
-    """One cell's demand told by a peer."""
+    """Cost of one cell's demand sent by a peer."""
 
     def run(count: int) -> Callable[[], object]:
         core = _core(servers=0)
@@ -243,7 +243,7 @@
         inputs.CellDemand("workspace/desk-100", 7.0, 2.0)
     )
     return _fit(
-        "cell's demand told by a peer",
+        "cell's demand sent by a peer",
         (500, 1_000, 2_000),
         run,
         wire_bytes=message.ByteSize(),
@@ -251,7 +251,7 @@
 
 
 def table_change() -> Slope:
-    """One change of a table of 430 workspaces and 15 models."""
+    """Cost of one change of a table of 430 workspaces and 15 models."""
     table = _table(430, 15)
     text = schema.table_to_json(table)
 
@@ -273,12 +273,12 @@
         run,
         wire_bytes=len(text),
     )
-    kept = _kept(lambda: schema.table_from_json(text))
-    return dataclasses.replace(fitted, memory_bytes=kept)
+    retained_bytes = _retained_bytes(lambda: schema.table_from_json(text))
+    return dataclasses.replace(fitted, memory_bytes=retained_bytes)
 
 
 def open_stream() -> Slope:
-    """One open stream in the core, and one frame relayed on it."""
+    """Cost of one stream opened in the core."""
 
     def run(count: int) -> Callable[[], object]:
         core = _core(servers=40)
@@ -294,7 +294,7 @@
 
 
 def frame() -> Slope:
-    """One frame relayed by the core."""
+    """Cost of one frame relayed by the core."""
 
     def run(count: int) -> Callable[[], object]:
         core = _core(servers=40)
@@ -317,8 +317,8 @@
     )
 
 
-def tick_of_server() -> Slope:
-    """What one more known server adds to each tick."""
+def tick_per_server() -> Slope:
+    """Cost of one more listed server per tick."""
 
     def run(count: int) -> Callable[[], object]:
         core = _core(servers=count)
@@ -337,53 +337,53 @@
 
 
 def probe_by_call() -> Slope:
-    """One probe as a call, as to a daemon not known yet."""
-    took_us, size = asyncio.run(_exchanges(by_datagram=False))
+    """Cost of one probe by HTTP call, as to a daemon not yet known."""
+    cpu_us, size = asyncio.run(_measure_probes(by_datagram=False))
     return Slope(
-        unit="probe by call (both ends)", cpu_us=took_us, wire_bytes=size
+        unit="probe by call (both ends)", cpu_us=cpu_us, wire_bytes=size
     )
 
 
 def probe_by_datagram() -> Slope:
-    """One probe by UDP."""
-    took_us, size = asyncio.run(_exchanges(by_datagram=True))
+    """Cost of one probe by UDP datagram."""
+    cpu_us, size = asyncio.run(_measure_probes(by_datagram=True))
     return Slope(
-        unit="probe by datagram (both ends)", cpu_us=took_us, wire_bytes=size
+        unit="probe by datagram (both ends)", cpu_us=cpu_us, wire_bytes=size
     )
 
 
-def news_message() -> Slope:
-    """One piece of news on an open stream."""
-    took_us, size = asyncio.run(_news_messages())
+def update_message() -> Slope:
+    """Cost of one message with updates on an open stream."""
+    cpu_us, size = asyncio.run(_measure_update_messages())
     return Slope(
-        unit="news on a stream (both ends)", cpu_us=took_us, wire_bytes=size
+        unit="updates on a stream (both ends)", cpu_us=cpu_us, wire_bytes=size
     )
 
 
-MEASURES = (
+MEASUREMENTS = (
     cache_event,
     load_report,
     backend_server,
     member,
     gossip_round,
-    duty_assignment,
+    watcher_assignment,
     prefix_level,
     cell_demand,
     table_change,
     open_stream,
     frame,
-    tick_of_server,
+    tick_per_server,
     probe_by_call,
     probe_by_datagram,
-    news_message,
+    update_message,
 )
 
 
-def _wire_bytes(news: pending.PendingNews) -> int:
-    """Returns the size of news of servers that the stream has named."""
+def _wire_bytes(updates: pending.PendingNews) -> int:
+    """Returns the size of updates whose server names were sent before."""
     writer = wire.NewsWriter()
-    writer.write(news, now_ms=5)
-    return writer.write(news, now_ms=5).ByteSize()
+    writer.write(updates, now_ms=5)
+    return writer.write(updates, now_ms=5).ByteSize()
 
 
 def _fit(
@@ -393,16 +393,16 @@
     *,
     wire_bytes: float = 0.0,
 ) -> Slope:
-    """Fits processor time and kept memory over the sizes."""
+    """Fits lines through processor time and retained memory by size."""
     times = [
         statistics.median(_cpu_us(run(size)) for _ in range(REPEATS))
         for size in sizes
     ]
-    kept = [_kept(run(size)) for size in sizes]
+    retained_bytes = [_retained_bytes(run(size)) for size in sizes]
     return Slope(
         unit=unit,
         cpu_us=_slope(sizes, times),
-        memory_bytes=_slope(sizes, kept),
+        memory_bytes=_slope(sizes, retained_bytes),
         wire_bytes=wire_bytes,
         sizes=sizes,
     )
@@ -423,15 +423,15 @@
         gc.enable()
 
 
-def _kept(feed: Callable[[], object]) -> float:
+def _retained_bytes(feed: Callable[[], object]) -> float:
     gc.collect()
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
-    kept = feed()
+    result = feed()
     gc.collect()
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del kept
+    del result
     return float(after - before)
 
 
@@ -509,7 +509,7 @@
 
 def _open_stream(core: router.Router, request_id: str) -> str:
     levels = tuple(work.Level(n, 500) for n in range(3))
-    made = core.step(
+    produced = core.step(
         inputs.RequestArrived(
             0,
             request_id,
@@ -523,82 +523,84 @@
             ),
         )
     )
-    sent = next(e for e in made if type(e).__name__ == "Dispatch")
+    dispatch = next(e for e in produced if type(e).__name__ == "Dispatch")
     core.step(
-        inputs.AttemptOpened(0, sent.attempt_id, sent.attempt_id, sent.stamp)
+        inputs.AttemptOpened(
+            0, dispatch.attempt_id, dispatch.attempt_id, dispatch.stamp
+        )
     )
-    return sent.attempt_id
+    return dispatch.attempt_id
 
 
-class _Echo:
-    """Answers an envelope with the like."""
+class _EchoHandler:
+    """Answers an envelope with the same envelope."""
 
-    def handle_exchange(self, told: peer_pb2.Envelope) -> peer_pb2.Envelope:
-        return told
+    def handle_exchange(self, message: peer_pb2.Envelope) -> peer_pb2.Envelope:
+        return message
 
     def handle_news(
         self, sender_id: str, news: peer_pb2.News, reader: wire.NewsReader
     ) -> None:
-        """Takes news."""
+        """Ignores updates."""
 
     def handle_table_request(
-        self, asked: peer_pb2.TableRequest
+        self, request: peer_pb2.TableRequest
     ) -> peer_pb2.TableReply:
-        return peer_pb2.TableReply(version=asked.known_version)
+        return peer_pb2.TableReply(version=request.known_version)
 
     def handle_report_request(self) -> peer_pb2.ReportReply:
         return peer_pb2.ReportReply()
 
 
-async def _exchanges(*, by_datagram: bool) -> tuple[float, int]:
-    """Returns the time and size of one probe with its answer."""
-    server = peer_server.PeerServer(handler=_Echo(), secret=SECRET)
+async def _measure_probes(*, by_datagram: bool) -> tuple[float, int]:
+    """Returns the processor time and size of one probe and its answer."""
+    server = peer_server.PeerServer(handler=_EchoHandler(), secret=SECRET)
     address = await _start(server)
-    answering = datagram.DatagramPeers(secret=SECRET, timeout_ms=2_000)
-    await answering.start(address, handler=_Echo())
-    asking = datagram.DatagramPeers(secret=SECRET, timeout_ms=2_000)
-    await asking.start("127.0.0.1:0", handler=_Echo())
+    server_socket = datagram.DatagramPeers(secret=SECRET, timeout_ms=2_000)
+    await server_socket.start(address, handler=_EchoHandler())
+    client_socket = datagram.DatagramPeers(secret=SECRET, timeout_ms=2_000)
+    await client_socket.start("127.0.0.1:0", handler=_EchoHandler())
     client = exchange.PeerClient(secret=SECRET, timeout_ms=2_000)
     message = peer_pb2.Envelope(
         sender=codec.member_to_proto(_member(1)),
         updates=[codec.member_to_proto(_member(n)) for n in range(3)],
         table_version=1,
     )
-    prober = asking if by_datagram else client
+    prober = client_socket if by_datagram else client
 
     async def probe() -> None:
         (await prober.exchange(address, message)).unwrap()
 
-    took_us = await _each_us(probe)
-    asking.close()
-    answering.close()
+    cpu_us = await _cpu_us_per_call(probe)
+    client_socket.close()
+    server_socket.close()
     await client.close()
     await server.stop()
-    return took_us, 2 * message.ByteSize()
+    return cpu_us, 2 * message.ByteSize()
 
 
-async def _news_messages() -> tuple[float, int]:
-    """Returns the time and size of one message on an open stream."""
-    server = peer_server.PeerServer(handler=_Echo(), secret=SECRET)
+async def _measure_update_messages() -> tuple[float, int]:
+    """Returns the processor time and size of one message on a stream."""
+    server = peer_server.PeerServer(handler=_EchoHandler(), secret=SECRET)
     address = await _start(server)
     client = exchange.PeerClient(secret=SECRET, timeout_ms=2_000)
     stream = client.open_news(address, on_broken=lambda: None)
     writer = wire.NewsWriter()
     load = _load("s0", 5)
-    news = pending.PendingNews(
+    updates = pending.PendingNews(
         loads={load.server_id: load}, digests=[_digest((1, 2, 3))]
     )
-    writer.write(news, now_ms=5)
+    writer.write(updates, now_ms=5)
 
-    async def tell() -> None:
-        (await stream.send(writer.write(news, now_ms=5))).unwrap()
+    async def send_updates() -> None:
+        (await stream.send(writer.write(updates, now_ms=5))).unwrap()
 
-    took_us = await _each_us(tell)
-    size = writer.write(news, now_ms=5).ByteSize()
+    cpu_us = await _cpu_us_per_call(send_updates)
+    size = writer.write(updates, now_ms=5).ByteSize()
     stream.close()
     await client.close()
     await server.stop()
-    return took_us, size
+    return cpu_us, size
 
 
 async def _start(server: peer_server.PeerServer) -> str:
@@ -607,14 +609,14 @@
     return address
 
 
-async def _each_us(send: Callable[[], Awaitable[None]]) -> float:
-    """Returns the processor time of one call, both ends in this process."""
+async def _cpu_us_per_call(send: Callable[[], Awaitable[None]]) -> float:
+    """Returns the mean processor time of a call, both ends included."""
     for _ in range(100):
         await send()
     started = time.process_time_ns()
-    for _ in range(MESSAGES):
+    for _ in range(MESSAGE_COUNT):
         await send()
-    return (time.process_time_ns() - started) / 1000 / MESSAGES
+    return (time.process_time_ns() - started) / 1000 / MESSAGE_COUNT
 
 
-__all__ = ["MEASURES", "Slope", "main"]
+__all__ = ["MEASUREMENTS", "Slope", "main"]
--- a/bench/engines.py
+++ b/bench/engines.py
@@ -1,4 +1,4 @@
-"""Fake engines on event time: serial prefill, batched decode, LRU cache."""
+"""Simulated engines: serial prefill, batched decode, LRU prefix cache."""
 
 from __future__ import annotations
 
@@ -14,63 +14,68 @@
 
 
 class Timeline:
-    """A heap of callbacks; time is in milliseconds and may be fractional."""
+    """Simulated clock with scheduled callbacks, in fractional milliseconds."""
 
     def __init__(self) -> None:
-        """Starts at 0."""
+        """Starts at time 0."""
         self.now_ms = 0.0
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._counter = 0
 
-    def after(self, delay_ms: float, run: Callable[[], None]) -> None:
-        """Calls `run` after a delay."""
+    def call_later(self, delay_ms: float, run: Callable[[], None]) -> None:
+        """Schedules a call of `run`."""
         self._counter += 1
         heapq.heappush(self._heap, (self.now_ms + delay_ms, self._counter, run))
 
     def run_until(self, end_ms: float) -> None:
-        """Runs callbacks in order of time."""
+        """Runs all callbacks due by `end_ms` in order of time."""
         while self._heap and self._heap[0][0] <= end_ms:
             self.now_ms, _, run = heapq.heappop(self._heap)
             run()
         self.now_ms = end_ms
 
 
-# Events that an engine still has for a reader that begins anew.
-BACKLOG = 2_000
+# Cache events that an engine keeps for a reader that starts again.
+MAX_STORED_EVENTS = 2_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class EngineSize:
-    """What one fake engine can do.
+class EngineSpec:
+    """Capacity and speed of a simulated engine.
 
     Attributes:
-        cache_tokens: Prompt tokens that its cache holds.
-        prefill_us: Microseconds a computed prompt token.
-        decode_ms: Milliseconds between tokens.
-        slots: Requests decoded at one time.
+        cache_tokens: Prompt tokens that fit into its cache.
+        prefill_us_per_token: Microseconds per computed prompt token.
+        decode_ms_per_token: Milliseconds between generated tokens.
+        slots: Requests decoded concurrently.
     """
 
     cache_tokens: int
-    prefill_us: int = 50
-    decode_ms: float = 25.0
+    prefill_us_per_token: int = 50
+    decode_ms_per_token: float = 25.0
     slots: int = 32
 
 
 @dataclasses.dataclass(slots=True)
 class Job:
-    """One request at an engine."""
+    """A request at an engine.
+
+    Attributes:
+        on_first_token: Called when its first token is generated.
+        on_finished: Called when its last token is generated.
+    """
 
     levels: tuple[work.Level, ...]
     output_tokens: int
-    first_token: Callable[[], None]
-    finished: Callable[[], None]
+    on_first_token: Callable[[], None]
+    on_finished: Callable[[], None]
     cached_tokens: int = 0
     prompt_tokens: int = 0
 
 
 @dataclasses.dataclass(slots=True)
-class Event:
-    """One cache event."""
+class CacheEvent:
+    """A level that an engine stored in its cache or evicted from it."""
 
     sequence: int
     stored: bool
@@ -79,55 +84,55 @@
 
 
 class Engine:
-    """One fake engine."""
+    """A simulated engine."""
 
-    def __init__(self, name: str, size: EngineSize, timeline: Timeline) -> None:
-        """Starts empty."""
+    def __init__(self, name: str, spec: EngineSpec, timeline: Timeline) -> None:
+        """Starts with an empty cache and no requests."""
         self.name = name
-        self.size = size
+        self.spec = spec
         self.timeline = timeline
         self.incarnation = 1
-        self.up = True
+        self.is_up = True
         self.prefilling: Job | None = None
-        self.prefill_until_ms = 0.0
+        self.prefill_end_ms = 0.0
         self.waiting: collections.deque[Job] = collections.deque()
         self.decoding = 0
-        self.ready: collections.deque[Job] = collections.deque()
+        self.prefilled: collections.deque[Job] = collections.deque()
         self.cache: collections.OrderedDict[int, int] = (
             collections.OrderedDict()
         )
         self.cached_tokens = 0
-        self.events: list[Event] = []
-        self.backlog: collections.deque[Event] = collections.deque(
-            maxlen=BACKLOG
+        self.pending_events: list[CacheEvent] = []
+        self.stored_events: collections.deque[CacheEvent] = collections.deque(
+            maxlen=MAX_STORED_EVENTS
         )
         self.sequence = 0
         self.computed_tokens = 0
 
     def submit(self, job: Job) -> None:
-        """Takes a request; it waits until its prompt's turn comes."""
+        """Queues a request until its prompt can be computed."""
         job.prompt_tokens = sum(level.tokens for level in job.levels)
         self.waiting.append(job)
-        self._next_prefill()
+        self._start_next_prefill()
 
     def crash(self) -> list[Job]:
-        """Comes back empty; returns the requests that were lost."""
-        lost = [*self.waiting, *self.ready]
+        """Restarts the engine empty; returns the requests that were lost."""
+        lost = [*self.waiting, *self.prefilled]
         if self.prefilling:
             lost.append(self.prefilling)
         self.incarnation += 1
         self.waiting.clear()
-        self.ready.clear()
+        self.prefilled.clear()
         self.cache.clear()
-        self.events.clear()
-        self.backlog.clear()
+        self.pending_events.clear()
+        self.stored_events.clear()
         self.cached_tokens = 0
         self.prefilling = None
         self.decoding = 0
         return lost
 
-    def uncached(self, levels: tuple[work.Level, ...]) -> int:
-        """Returns the tokens that a prompt would have to compute now."""
+    def uncached_tokens(self, levels: tuple[work.Level, ...]) -> int:
+        """Returns how many tokens of a prompt are not cached."""
         total = sum(level.tokens for level in levels)
         for level in levels:
             if level.key not in self.cache:
@@ -135,84 +140,95 @@
             total -= level.tokens
         return total
 
-    def backlog_ms(self) -> float:
-        """Returns the true time until a new prompt would be begun."""
-        left = max(0.0, self.prefill_until_ms - self.timeline.now_ms)
+    def queue_delay_ms(self) -> float:
+        """Returns the actual time until a new prompt would be started."""
+        remaining_ms = max(0.0, self.prefill_end_ms - self.timeline.now_ms)
         if self.prefilling is None:
-            left = 0.0
-        waiting = sum(self.uncached(job.levels) for job in self.waiting)
-        busy = self.decoding + len(self.ready) + len(self.waiting)
-        excess = max(0, busy - self.size.slots + 1)
-        slot_ms = excess * 60 * self.size.decode_ms / self.size.slots
-        return left + waiting * self.size.prefill_us / 1000 + slot_ms
+            remaining_ms = 0.0
+        waiting_tokens = sum(
+            self.uncached_tokens(job.levels) for job in self.waiting
+        )
+        busy = self.decoding + len(self.prefilled) + len(self.waiting)
+        excess = max(0, busy - self.spec.slots + 1)
+        slot_ms = excess * 60 * self.spec.decode_ms_per_token / self.spec.slots
+        return (
+            remaining_ms
+            + waiting_tokens * self.spec.prefill_us_per_token / 1000
+            + slot_ms
+        )
 
     def waiting_tokens(self) -> int:
-        """Returns the uncached tokens of all prompts not yet computed."""
-        tokens = sum(self.uncached(job.levels) for job in self.waiting)
-        left_ms = max(0.0, self.prefill_until_ms - self.timeline.now_ms)
+        """Returns the uncached tokens of all prompts not computed yet."""
+        tokens = sum(self.uncached_tokens(job.levels) for job in self.waiting)
+        remaining_ms = max(0.0, self.prefill_end_ms - self.timeline.now_ms)
         if self.prefilling is not None:
-            tokens += int(left_ms * 1000 / self.size.prefill_us)
+            tokens += int(remaining_ms * 1000 / self.spec.prefill_us_per_token)
         return tokens
 
-    def _next_prefill(self) -> None:
+    def _start_next_prefill(self) -> None:
         if self.prefilling is not None or not self.waiting:
             return
         job = self.prefilling = self.waiting.popleft()
-        computed = self.uncached(job.levels)
+        computed = self.uncached_tokens(job.levels)
         job.cached_tokens = job.prompt_tokens - computed
         self.computed_tokens += computed
         for level in job.levels:
             if level.key in self.cache:
                 self.cache.move_to_end(level.key)
-        took_ms = 1.0 + computed * self.size.prefill_us / 1000
-        self.prefill_until_ms = self.timeline.now_ms + took_ms
-        born = self.incarnation
-        self.timeline.after(took_ms, lambda: self._prefilled(job, born))
+        duration_ms = 1.0 + computed * self.spec.prefill_us_per_token / 1000
+        self.prefill_end_ms = self.timeline.now_ms + duration_ms
+        incarnation = self.incarnation
+        self.timeline.call_later(
+            duration_ms, lambda: self._finish_prefill(job, incarnation)
+        )
 
-    def _prefilled(self, job: Job, born: int) -> None:
-        if born != self.incarnation:
+    def _finish_prefill(self, job: Job, incarnation: int) -> None:
+        if incarnation != self.incarnation:
             return
         for level in job.levels:
             self._store(level.key, level.tokens)
         self.prefilling = None
-        self.ready.append(job)
-        self._next_decode()
-        self._next_prefill()
+        self.prefilled.append(job)
+        self._start_next_decode()
+        self._start_next_prefill()
 
-    def _next_decode(self) -> None:
-        while self.ready and self.decoding < self.size.slots:
-            job = self.ready.popleft()
+    def _start_next_decode(self) -> None:
+        while self.prefilled and self.decoding < self.spec.slots:
+            job = self.prefilled.popleft()
             self.decoding += 1
-            job.first_token()
-            born = self.incarnation
-            took_ms = job.output_tokens * self.size.decode_ms
-            self.timeline.after(
-                took_ms, lambda job=job, born=born: self._decoded(job, born)
+            job.on_first_token()
+            incarnation = self.incarnation
+            duration_ms = job.output_tokens * self.spec.decode_ms_per_token
+            self.timeline.call_later(
+                duration_ms,
+                lambda job=job, incarnation=incarnation: self._finish_decode(
+                    job, incarnation
+                ),
             )
 
-    def _decoded(self, job: Job, born: int) -> None:
-        if born != self.incarnation:
+    def _finish_decode(self, job: Job, incarnation: int) -> None:
+        if incarnation != self.incarnation:
             return
         self.decoding -= 1
-        job.finished()
-        self._next_decode()
+        job.on_finished()
+        self._start_next_decode()
 
     def _store(self, key: int, tokens: int) -> None:
         if key not in self.cache:
             self.cached_tokens += tokens
-            self._event(True, key)
+            self._record_event(True, key)
         self.cache[key] = tokens
         self.cache.move_to_end(key)
-        while self.cached_tokens > self.size.cache_tokens:
-            old, old_tokens = self.cache.popitem(last=False)
-            self.cached_tokens -= old_tokens
-            self._event(False, old)
+        while self.cached_tokens > self.spec.cache_tokens:
+            evicted, evicted_tokens = self.cache.popitem(last=False)
+            self.cached_tokens -= evicted_tokens
+            self._record_event(False, evicted)
 
-    def _event(self, stored: bool, key: int) -> None:
+    def _record_event(self, stored: bool, key: int) -> None:
         self.sequence += 1
-        event = Event(self.sequence, stored, key, self.timeline.now_ms)
-        self.events.append(event)
-        self.backlog.append(event)
+        event = CacheEvent(self.sequence, stored, key, self.timeline.now_ms)
+        self.pending_events.append(event)
+        self.stored_events.append(event)
 
 
-__all__ = ["Engine", "EngineSize", "Event", "Job", "Timeline"]
+__all__ = ["Engine", "EngineSpec", "CacheEvent", "Job", "Timeline"]
--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -1,4 +1,4 @@
-"""One run: a workload, a policy, and what came of every request."""
+"""Simulates one run of a workload under a policy."""
 
 from __future__ import annotations
 
@@ -18,20 +18,27 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Seen:
-    """What came of one request."""
+class RequestOutcome:
+    """Outcome of one request.
 
-    ask: workload.Ask
+    Attributes:
+        first_token_ms: Time of the first token; negative if there was none.
+        wasted_tokens: Tokens computed although an engine had computed them
+            before.
+        refusal_reason: Empty unless the request was refused.
+    """
+
+    request: workload.Request
     arrived_ms: float
-    first_ms: float = -1.0
+    first_token_ms: float = -1.0
     cached_tokens: int = 0
     prompt_tokens: int = 0
     wasted_tokens: int = 0
-    refused: str = ""
+    refusal_reason: str = ""
 
 
 class Experiment:
-    """A deployment under one policy."""
+    """A simulated deployment under one policy."""
 
     def __init__(
         self,
@@ -40,133 +47,149 @@
         policy: str,
         rate_per_s: float,
         seed: int,
-        numbers: dict[str, float] | None = None,
+        policy_overrides: dict[str, float] | None = None,
     ) -> None:
-        """Prepares the run."""
+        """Prepares the run; `policy_overrides` replace fields of `Policy`."""
         self.deployment = deployment
-        self.numbers = numbers or {}
+        self.policy_overrides = policy_overrides or {}
         self.rng = random.Random(f"experiment/{seed}")
-        self.arrivals = random.Random(f"arrivals/{deployment.name}/{seed}")
+        self.arrival_rng = random.Random(f"arrivals/{deployment.name}/{seed}")
         self.rate_per_s = rate_per_s
         self.workload = workload.Workload(deployment, seed)
         self.timeline = engines.Timeline()
-        self.size = engines.EngineSize(cache_tokens=deployment.cache_tokens)
+        self.engine_spec = engines.EngineSpec(
+            cache_tokens=deployment.cache_tokens
+        )
         self.engines = [
-            engines.Engine(f"engine-{n}", self.size, self.timeline)
+            engines.Engine(f"engine-{n}", self.engine_spec, self.timeline)
             for n in range(deployment.engines)
         ]
-        self.by_name = {engine.name: engine for engine in self.engines}
-        self.seen: list[Seen] = []
-        self.known: set[int] = set()
-        self.dispatches = 0
-        self.reports: collections.Counter[str] = collections.Counter()
-        self.sent_since: collections.Counter[tuple[int, str]] = (
+        self.engines_by_name = {engine.name: engine for engine in self.engines}
+        self.outcomes: list[RequestOutcome] = []
+        self.computed_keys: set[int] = set()
+        self.dispatch_count = 0
+        self.reported_loads: collections.Counter[str] = collections.Counter()
+        self.sent_since_report: collections.Counter[tuple[int, str]] = (
             collections.Counter()
         )
-        self.silent_events = False
-        self.frozen_reports = False
-        self._rows: dict[int, Seen] = {}
-        self._lost: dict[
+        self.drop_cache_events = False
+        self.freeze_load_reports = False
+        self._outcomes_by_number: dict[int, RequestOutcome] = {}
+        self._failure_callbacks: dict[
             str, dict[int, Callable[[inputs.FailurePhase], None]]
         ] = collections.defaultdict(dict)
-        self._lagging: collections.deque[dict[str, int]] = collections.deque()
+        self._load_samples: collections.deque[dict[str, int]] = (
+            collections.deque()
+        )
         self.policy = policies.POLICIES[policy](self)
 
     def run(self, run_ms: float = RUN_MS) -> None:
-        """Runs warm-up and measured time."""
-        self.timeline.after(0, self._arrive)
-        self.timeline.after(0, self._sample_loads)
+        """Simulates the warm-up and the measured time."""
+        self.timeline.call_later(0, self._generate_arrivals)
+        self.timeline.call_later(0, self._sample_loads)
         self.timeline.run_until(WARM_UP_MS + run_ms)
 
     def send(
         self,
-        ask: workload.Ask,
+        request: workload.Request,
         engine: engines.Engine,
         *,
-        first: Callable[[], None] = lambda: None,
-        last: Callable[[], None] = lambda: None,
-        lost: Callable[[inputs.FailurePhase], None] = lambda phase: None,
+        on_first_token: Callable[[], None] = lambda: None,
+        on_last_token: Callable[[], None] = lambda: None,
+        on_failure: Callable[[inputs.FailurePhase], None] = lambda phase: None,
     ) -> None:
-        """Carries a request to an engine and its tokens back."""
-        self.sent_since[ask.daemon, engine.name] += 1
-        self.dispatches += 1
+        """Sends a request to an engine, and its tokens back."""
+        self.sent_since_report[request.daemon, engine.name] += 1
+        self.dispatch_count += 1
         hop_ms = self.deployment.hop_ms
 
-        def first_token() -> None:
-            self.timeline.after(hop_ms, lambda: self._first(ask, job, first))
-
-        def finished() -> None:
-            self._lost[engine.name].pop(ask.number, None)
-            self.timeline.after(hop_ms, last)
-
-        job = engines.Job(ask.levels, ask.output_tokens, first_token, finished)
-        self._lost[engine.name][ask.number] = lost
+        def handle_first_token() -> None:
+            self.timeline.call_later(
+                hop_ms,
+                lambda: self._record_first_token(request, job, on_first_token),
+            )
+
+        def handle_finished() -> None:
+            self._failure_callbacks[engine.name].pop(request.number, None)
+            self.timeline.call_later(hop_ms, on_last_token)
+
+        job = engines.Job(
+            request.levels,
+            request.output_tokens,
+            handle_first_token,
+            handle_finished,
+        )
+        self._failure_callbacks[engine.name][request.number] = on_failure
 
         def deliver() -> None:
-            if engine.up:
+            if engine.is_up:
                 engine.submit(job)
             else:
-                self._lost[engine.name].pop(ask.number, None)
-                lost(inputs.FailurePhase.CONNECT)
+                self._failure_callbacks[engine.name].pop(request.number, None)
+                on_failure(inputs.FailurePhase.CONNECT)
 
-        self.timeline.after(hop_ms, deliver)
+        self.timeline.call_later(hop_ms, deliver)
 
-    def refused(self, ask: workload.Ask, reason: str) -> None:
-        """Counts a refusal."""
-        self._rows[ask.number].refused = reason
+    def record_refusal(self, request: workload.Request, reason: str) -> None:
+        """Records that a request was refused."""
+        self._outcomes_by_number[request.number].refusal_reason = reason
 
     def crash(self, engine: engines.Engine) -> None:
-        """Lets an engine crash and come back empty at once."""
+        """Crashes an engine, which restarts empty at once."""
         engine.crash()
-        lost = list(self._lost.pop(engine.name, {}).values())
-        for tell in lost:
-            tell(inputs.FailurePhase.SENT)
-
-    def _arrive(self) -> None:
-        ask = self.workload.draw()
-        row = Seen(ask, self.timeline.now_ms)
-        self._rows[ask.number] = row
-        self.seen.append(row)
-        self.policy.arrived(ask)
-        gap_ms = self.arrivals.expovariate(self.rate_per_s / 1000)
-        self.timeline.after(gap_ms, self._arrive)
-
-    def _first(
+        callbacks = list(self._failure_callbacks.pop(engine.name, {}).values())
+        for on_failure in callbacks:
+            on_failure(inputs.FailurePhase.SENT)
+
+    def _generate_arrivals(self) -> None:
+        request = self.workload.draw()
+        outcome = RequestOutcome(request, self.timeline.now_ms)
+        self._outcomes_by_number[request.number] = outcome
+        self.outcomes.append(outcome)
+        self.policy.handle_arrival(request)
+        gap_ms = self.arrival_rng.expovariate(self.rate_per_s / 1000)
+        self.timeline.call_later(gap_ms, self._generate_arrivals)
+
+    def _record_first_token(
         self,
-        ask: workload.Ask,
+        request: workload.Request,
         job: engines.Job,
-        first: Callable[[], None],
+        on_first_token: Callable[[], None],
     ) -> None:
-        row = self._rows[ask.number]
-        if row.first_ms < 0:
-            row.first_ms = self.timeline.now_ms
-            row.cached_tokens = job.cached_tokens
-            row.prompt_tokens = job.prompt_tokens
-            row.wasted_tokens = self._wasted(job)
-        first()
-
-    def _wasted(self, job: engines.Job) -> int:
-        """Returns tokens computed that some engine had computed before."""
-        known = 0
+        outcome = self._outcomes_by_number[request.number]
+        if outcome.first_token_ms < 0:
+            outcome.first_token_ms = self.timeline.now_ms
+            outcome.cached_tokens = job.cached_tokens
+            outcome.prompt_tokens = job.prompt_tokens
+            outcome.wasted_tokens = self._wasted_tokens(job)
+        on_first_token()
+
+    def _wasted_tokens(self, job: engines.Job) -> int:
+        """Returns tokens computed although an engine computed them before."""
+        computed_before = 0
         for level in job.levels:
-            if level.key in self.known:
-                known += level.tokens
-            self.known.add(level.key)
-        return max(0, known - job.cached_tokens)
+            if level.key in self.computed_keys:
+                computed_before += level.tokens
+            self.computed_keys.add(level.key)
+        return max(0, computed_before - job.cached_tokens)
 
     def _sample_loads(self) -> None:
-        """Gives the baselines the same late load reports."""
-        self._lagging.append(
+        """Delays the baselines' load reports like the router's."""
+        self._load_samples.append(
             {
-                e.name: e.decoding + len(e.waiting) + len(e.ready)
+                e.name: e.decoding + len(e.waiting) + len(e.prefilled)
                 for e in self.engines
             }
         )
-        lag = policies.LAG_MS // policies.REPORT_MS
-        if len(self._lagging) > lag:
-            self.reports = collections.Counter(self._lagging.popleft())
-            self.sent_since.clear()
-        self.timeline.after(policies.REPORT_MS, self._sample_loads)
+        lag_samples = policies.REPORT_LAG_MS // policies.REPORT_INTERVAL_MS
+        if len(self._load_samples) > lag_samples:
+            self.reported_loads = collections.Counter(
+                self._load_samples.popleft()
+            )
+            self.sent_since_report.clear()
+        self.timeline.call_later(
+            policies.REPORT_INTERVAL_MS, self._sample_loads
+        )
 
 
-__all__ = ["RUN_MS", "WARM_UP_MS", "Experiment", "Seen"]
+__all__ = ["RUN_MS", "WARM_UP_MS", "Experiment", "RequestOutcome"]
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -1,4 +1,4 @@
-"""`scripts/bench.sh faults`: the policy while things fail."""
+"""`scripts/bench.sh faults`: the router's placement during faults."""
 
 from __future__ import annotations
 
@@ -20,21 +20,24 @@
 RUN_MS = 60_000
 SEEDS = (1, 2, 3)
 WORKERS = 4
-# A second counts as steady within this part of the mean before the fault.
-STEADY = 0.05
+# Relative loss against the mean before the fault that counts as recovered.
+STEADY_TOLERANCE = 0.05
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class FaultFigures:
-    """What a fault did.
+    """Effects of a fault.
 
     Attributes:
-        steady_hit_rate: Mean of the seconds before the fault.
-        worst_hit_rate: Worst second after it.
-        worst_p95_ms: Worst second's 95th percentile of the first token.
-        recovery_s: Seconds until two seconds in a row are steady again.
-        first5_hit_rate: The five seconds after the fault.
-        dispatches_a_request: Dispatches over requests in ten seconds after.
+        steady_hit_rate: Hit rate in the 15 seconds before the fault.
+        worst_hit_rate: Hit rate of the worst second after it.
+        worst_p95_ms: Worst second's 95th percentile of the time to the first
+            token.
+        recovery_s: Seconds until the mean hit rate of three seconds in a row
+            is steady again.
+        first5_hit_rate: Hit rate in the five seconds after the fault.
+        dispatches_a_request: Dispatches per request in the ten seconds after
+            the fault.
         failed: Requests refused or never answered after the fault.
     """
 
@@ -50,29 +53,40 @@
 
 
 def run_fault(fault: str, seed: int, capacity: float) -> FaultFigures:
-    """Makes one run with one fault."""
+    """Simulates one run with one fault."""
     run = experiment.Experiment(
         deployment=workload.DEPLOYMENTS["vatuvola"],
         policy="ours",
         rate_per_s=capacity * UTILISATION,
         seed=seed,
     )
-    counts: list[int] = []
-    run.timeline.after(FAULT_MS, lambda: counts.append(run.dispatches))
-    run.timeline.after(FAULT_MS, lambda: _FAULTS[fault](run))
-    run.timeline.after(FAULT_MS + 10_000, lambda: counts.append(run.dispatches))
+    dispatch_counts: list[int] = []
+    run.timeline.call_later(
+        FAULT_MS, lambda: dispatch_counts.append(run.dispatch_count)
+    )
+    run.timeline.call_later(FAULT_MS, lambda: _FAULTS[fault](run))
+    run.timeline.call_later(
+        FAULT_MS + 10_000, lambda: dispatch_counts.append(run.dispatch_count)
+    )
     run.run(RUN_MS)
-    asked = sum(
-        1 for row in run.seen if FAULT_MS <= row.arrived_ms < FAULT_MS + 10_000
+    request_count = sum(
+        1
+        for outcome in run.outcomes
+        if FAULT_MS <= outcome.arrived_ms < FAULT_MS + 10_000
+    )
+    return _figures(
+        run,
+        fault,
+        seed,
+        (dispatch_counts[1] - dispatch_counts[0]) / request_count,
     )
-    return _figures(run, fault, seed, (counts[1] - counts[0]) / asked)
 
 
-def main(words: list[str]) -> int:
-    """Runs all faults and prints medians."""
+def main(arguments: list[str]) -> int:
+    """Simulates all faults and prints medians over seeds."""
     parser = argparse.ArgumentParser(prog="bench faults")
     parser.add_argument("--json")
-    asked = parser.parse_args(words)
+    options = parser.parse_args(arguments)
     capacity = policy.capacity_per_s("vatuvola")
     with concurrent.futures.ProcessPoolExecutor(WORKERS) as pool:
         jobs = {
@@ -82,143 +96,165 @@
             for fault in _FAULTS
         }
         runs = {
-            fault: [job.result() for job in started]
-            for fault, started in jobs.items()
+            fault: [job.result() for job in fault_jobs]
+            for fault, fault_jobs in jobs.items()
         }
     names = [f.name for f in dataclasses.fields(FaultFigures)][2:]
     print("fault".ljust(16) + "".join(name.rjust(22) for name in names))
-    for fault, chosen in runs.items():
+    for fault, fault_runs in runs.items():
         cells = [
-            f"{statistics.median(getattr(run, name) for run in chosen):.3f}"
+            f"{statistics.median(getattr(run, name) for run in fault_runs):.3f}"
             for name in names
         ]
         print(fault.ljust(16) + "".join(cell.rjust(22) for cell in cells))
-    if asked.json:
-        told = [dataclasses.asdict(r) for c in runs.values() for r in c]
-        pathlib.Path(asked.json).write_text(json.dumps({"runs": told}))
+    if options.json:
+        reports = [dataclasses.asdict(r) for c in runs.values() for r in c]
+        pathlib.Path(options.json).write_text(json.dumps({"runs": reports}))
     return 0
 
 
-def _engine_crash(run: experiment.Experiment) -> None:
+def _crash_engine(run: experiment.Experiment) -> None:
     run.crash(run.engines[0])
 
 
-def _hot_shift(run: experiment.Experiment) -> None:
-    run.workload.shift = 2
+def _shift_popularity(run: experiment.Experiment) -> None:
+    run.workload.rulebook_shift = 2
 
 
-def _herd(run: experiment.Experiment) -> None:
-    assert isinstance(run.policy, policies.Ours)
+def _restart_all_daemons(run: experiment.Experiment) -> None:
+    assert isinstance(run.policy, policies.RouterPolicy)
     for daemon in range(run.deployment.daemons):
         run.policy.restart(daemon)
-    run.policy.reread_events()
+    run.policy.replay_cache_events()
 
 
-def _one_daemon(run: experiment.Experiment) -> None:
-    assert isinstance(run.policy, policies.Ours)
+def _restart_one_daemon(run: experiment.Experiment) -> None:
+    assert isinstance(run.policy, policies.RouterPolicy)
     run.policy.restart(0)
 
 
-def _domain_lost(run: experiment.Experiment) -> None:
-    """A failure domain goes for ten seconds, and comes back empty."""
-    _down(run, run.engines[:1], 10_000)
+def _stop_failure_domain(run: experiment.Experiment) -> None:
+    """Stops a failure domain for ten seconds; it restarts empty."""
+    _stop_engines(run, run.engines[:1], 10_000)
 
 
-def _third_fails(run: experiment.Experiment) -> None:
-    _down(run, run.engines[:2], 10_000)
+def _stop_third_of_engines(run: experiment.Experiment) -> None:
+    _stop_engines(run, run.engines[:2], 10_000)
 
 
-def _silent_events(run: experiment.Experiment) -> None:
-    run.silent_events = True
+def _drop_cache_events(run: experiment.Experiment) -> None:
+    run.drop_cache_events = True
 
 
-def _frozen_reports(run: experiment.Experiment) -> None:
-    run.frozen_reports = True
+def _freeze_load_reports(run: experiment.Experiment) -> None:
+    run.freeze_load_reports = True
 
 
-def _overload(run: experiment.Experiment) -> None:
-    usual = run.rate_per_s
-    run.rate_per_s = usual * 3
+def _overload_for_10s(run: experiment.Experiment) -> None:
+    usual_rate_per_s = run.rate_per_s
+    run.rate_per_s = usual_rate_per_s * 3
 
-    def over() -> None:
-        run.rate_per_s = usual
+    def end_overload() -> None:
+        run.rate_per_s = usual_rate_per_s
 
-    run.timeline.after(10_000, over)
+    run.timeline.call_later(10_000, end_overload)
 
 
-def _down(run: experiment.Experiment, engines: list, for_ms: int) -> None:
+def _stop_engines(
+    run: experiment.Experiment, engines: list, duration_ms: int
+) -> None:
     for engine in engines:
-        engine.up = False
+        engine.is_up = False
         run.crash(engine)
 
-    def back() -> None:
+    def restart() -> None:
         for engine in engines:
-            engine.up = True
+            engine.is_up = True
 
-    run.timeline.after(for_ms, back)
+    run.timeline.call_later(duration_ms, restart)
 
 
 _FAULTS: dict[str, Callable[[experiment.Experiment], None]] = {
-    "engine_crash": _engine_crash,
-    "hot_shift": _hot_shift,
-    "herd_restart": _herd,
-    "one_daemon": _one_daemon,
-    "domain_lost": _domain_lost,
-    "third_fails": _third_fails,
-    "silent_events": _silent_events,
-    "frozen_reports": _frozen_reports,
-    "overload_10s": _overload,
+    "engine_crash": _crash_engine,
+    "hot_shift": _shift_popularity,
+    "herd_restart": _restart_all_daemons,
+    "one_daemon": _restart_one_daemon,
+    "domain_lost": _stop_failure_domain,
+    "third_fails": _stop_third_of_engines,
+    "silent_events": _drop_cache_events,
+    "frozen_reports": _freeze_load_reports,
+    "overload_10s": _overload_for_10s,
 }
 
 
 def _figures(
-    run: experiment.Experiment, fault: str, seed: int, dispatched: float
+    run: experiment.Experiment,
+    fault: str,
+    seed: int,
+    dispatches_per_request: float,
 ) -> FaultFigures:
-    seconds: dict[int, list[experiment.Seen]] = {}
-    for row in run.seen:
-        seconds.setdefault(int(row.arrived_ms // 1000), []).append(row)
+    outcomes_by_second: dict[int, list[experiment.RequestOutcome]] = {}
+    for outcome in run.outcomes:
+        outcomes_by_second.setdefault(
+            int(outcome.arrived_ms // 1000), []
+        ).append(outcome)
     fault_s = FAULT_MS // 1000
     last_s = (experiment.WARM_UP_MS + RUN_MS) // 1000 - 4
     steady = _hit_rate(
-        [r for s in range(fault_s - 15, fault_s) for r in seconds[s]]
+        [r for s in range(fault_s - 15, fault_s) for r in outcomes_by_second[s]]
     )
-    after = [_hit_rate(seconds[s]) for s in range(fault_s, last_s)]
+    hit_rates_after = [
+        _hit_rate(outcomes_by_second[s]) for s in range(fault_s, last_s)
+    ]
     return FaultFigures(
         fault=fault,
         seed=seed,
         steady_hit_rate=steady,
-        worst_hit_rate=min(after),
-        worst_p95_ms=max(_p95(seconds[s]) for s in range(fault_s, last_s)),
-        recovery_s=_recovery_s(after, steady),
+        worst_hit_rate=min(hit_rates_after),
+        worst_p95_ms=max(
+            _p95(outcomes_by_second[s]) for s in range(fault_s, last_s)
+        ),
+        recovery_s=_recovery_s(hit_rates_after, steady),
         first5_hit_rate=_hit_rate(
-            [r for s in range(fault_s, fault_s + 5) for r in seconds[s]]
+            [
+                r
+                for s in range(fault_s, fault_s + 5)
+                for r in outcomes_by_second[s]
+            ]
         ),
-        dispatches_a_request=dispatched,
+        dispatches_a_request=dispatches_per_request,
         failed=sum(
             1
-            for row in run.seen
-            if FAULT_MS <= row.arrived_ms < last_s * 1000 and row.first_ms < 0
+            for outcome in run.outcomes
+            if FAULT_MS <= outcome.arrived_ms < last_s * 1000
+            and outcome.first_token_ms < 0
         ),
     )
 
 
-def _hit_rate(rows: list[experiment.Seen]) -> float:
-    prompt = sum(row.prompt_tokens for row in rows)
-    return sum(row.cached_tokens for row in rows) / max(1, prompt)
+def _hit_rate(outcomes: list[experiment.RequestOutcome]) -> float:
+    prompt_tokens = sum(outcome.prompt_tokens for outcome in outcomes)
+    return sum(outcome.cached_tokens for outcome in outcomes) / max(
+        1, prompt_tokens
+    )
 
 
-def _p95(rows: list[experiment.Seen]) -> float:
-    took = sorted(r.first_ms - r.arrived_ms for r in rows if r.first_ms >= 0)
-    return took[int(0.95 * len(took))] if took else 0.0
+def _p95(outcomes: list[experiment.RequestOutcome]) -> float:
+    delays_ms = sorted(
+        outcome.first_token_ms - outcome.arrived_ms
+        for outcome in outcomes
+        if outcome.first_token_ms >= 0
+    )
+    return delays_ms[int(0.95 * len(delays_ms))] if delays_ms else 0.0
 
 
-def _recovery_s(after: list[float], steady: float) -> float:
-    """Returns seconds until three seconds' mean is steady again."""
-    for second in range(len(after) - 3):
-        mean = statistics.mean(after[second : second + 3])
-        if mean >= steady * (1 - STEADY):
+def _recovery_s(hit_rates: list[float], steady_hit_rate: float) -> float:
+    """Returns seconds until the mean of three seconds is steady again."""
+    for second in range(len(hit_rates) - 3):
+        mean = statistics.mean(hit_rates[second : second + 3])
+        if mean >= steady_hit_rate * (1 - STEADY_TOLERANCE):
             return float(second)
-    return float(len(after))
+    return float(len(hit_rates))
 
 
 __all__ = ["FaultFigures", "main", "run_fault"]
--- a/bench/figures.py
+++ b/bench/figures.py
@@ -1,4 +1,4 @@
-"""Figures of one run, and medians over seeds."""
+"""Computes the figures of a run, and medians over seeds."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Figures:
-    """What a run came to; field names are those of the JSON output."""
+    """Results of a run; the field names are those of the JSON output."""
 
     deployment: str
     utilisation: float
@@ -31,45 +31,57 @@
     fairness: float
 
 
-def of_run(
+def compute(
     run: experiments.Experiment, *, policy: str, utilisation: float, seed: int
 ) -> Figures:
-    """Returns the figures of the measured time."""
+    """Returns the figures of the time after the warm-up."""
     end_ms = run.timeline.now_ms
-    # What arrived last may still be on its way.
-    rows = [
-        row
-        for row in run.seen
-        if experiments.WARM_UP_MS <= row.arrived_ms < end_ms - 3_000
+    # The last requests may still be in progress.
+    outcomes = [
+        outcome
+        for outcome in run.outcomes
+        if experiments.WARM_UP_MS <= outcome.arrived_ms < end_ms - 3_000
     ]
-    first = sorted(
-        row.first_ms - row.arrived_ms for row in rows if row.first_ms >= 0
+    first_token_delays_ms = sorted(
+        outcome.first_token_ms - outcome.arrived_ms
+        for outcome in outcomes
+        if outcome.first_token_ms >= 0
     )
-    prompt = sum(row.prompt_tokens for row in rows)
+    prompt_tokens = sum(outcome.prompt_tokens for outcome in outcomes)
     deadline_ms = run.deployment.deadline_ms
-    unanswered = sum(1 for r in rows if r.first_ms < 0 and not r.refused)
+    unanswered = sum(
+        1
+        for outcome in outcomes
+        if outcome.first_token_ms < 0 and not outcome.refusal_reason
+    )
     return Figures(
         deployment=run.deployment.name,
         utilisation=utilisation,
         policy=policy,
         seed=seed,
-        hit_rate=sum(row.cached_tokens for row in rows) / max(1, prompt),
-        ttft_p50_ms=quantile(first, 0.50),
-        ttft_p95_ms=quantile(first, 0.95),
-        ttft_p99_ms=quantile(first, 0.99),
-        wasted_tokens=sum(row.wasted_tokens for row in rows),
-        refused=sum(1 for row in rows if row.refused),
-        late=sum(1 for ms in first if ms > deadline_ms) + unanswered,
-        asked=len(rows),
-        fairness=_fairness(rows, deadline_ms),
+        hit_rate=sum(outcome.cached_tokens for outcome in outcomes)
+        / max(1, prompt_tokens),
+        ttft_p50_ms=quantile(first_token_delays_ms, 0.50),
+        ttft_p95_ms=quantile(first_token_delays_ms, 0.95),
+        ttft_p99_ms=quantile(first_token_delays_ms, 0.99),
+        wasted_tokens=sum(outcome.wasted_tokens for outcome in outcomes),
+        refused=sum(1 for outcome in outcomes if outcome.refusal_reason),
+        late=sum(
+            1 for delay_ms in first_token_delays_ms if delay_ms > deadline_ms
+        )
+        + unanswered,
+        asked=len(outcomes),
+        fairness=_fairness(outcomes, deadline_ms),
     )
 
 
-def quantile(ordered: Sequence[float], part: float) -> float:
+def quantile(sorted_values: Sequence[float], fraction: float) -> float:
     """Returns a quantile of sorted values."""
-    if not ordered:
+    if not sorted_values:
         return 0.0
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+    return sorted_values[
+        min(len(sorted_values) - 1, int(fraction * len(sorted_values)))
+    ]
 
 
 def median(runs: Sequence[Figures], name: str) -> float:
@@ -83,13 +95,19 @@
     return max(values) - min(values)
 
 
-def _fairness(rows: list[experiments.Seen], deadline_ms: int) -> float:
-    """Returns the least share of a workspace's requests served in time."""
-    served: dict[str, list[bool]] = {}
-    for row in rows:
-        good = 0 <= row.first_ms - row.arrived_ms <= deadline_ms
-        served.setdefault(row.ask.workspace, []).append(good)
-    return min(sum(good) / len(good) for good in served.values())
+def _fairness(
+    outcomes: list[experiments.RequestOutcome], deadline_ms: int
+) -> float:
+    """Returns the lowest share of requests served in time per workspace."""
+    served_in_time: dict[str, list[bool]] = {}
+    for outcome in outcomes:
+        in_time = (
+            0 <= outcome.first_token_ms - outcome.arrived_ms <= deadline_ms
+        )
+        served_in_time.setdefault(outcome.request.workspace, []).append(in_time)
+    return min(
+        sum(in_time) / len(in_time) for in_time in served_in_time.values()
+    )
 
 
-__all__ = ["Figures", "median", "of_run", "quantile", "spread"]
+__all__ = ["Figures", "median", "compute", "quantile", "spread"]
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -1,4 +1,4 @@
-"""`scripts/bench.sh limits`: a global limit kept over nine daemons."""
+"""`scripts/bench.sh limits`: a global limit shared by nine daemons."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 TICK_MS = 100
 GOSSIP_MS = 500
 CELL = "workspace/desk"
-LIMIT = 200
+IN_FLIGHT_LIMIT = 200
 RATE_LIMIT = 300.0
 SERVICE_MS = 400
 SEEDS = (1, 2, 3)
@@ -24,12 +24,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class LimitFigures:
-    """What a run came to, as parts of the limit.
+    """Results of a run, as fractions of the limit.
 
     Attributes:
         overshoot: Largest excess over the limit in any tick.
         overshoot_mean: Mean excess.
-        use: Part of the limit used while demand was above it.
+        use: Fraction of the limit used while demand was above it.
     """
 
     scene: str
@@ -41,193 +41,204 @@
 
 
 class Fleet:
-    """Daemons that tell each other their demand, a gossip round late."""
+    """Daemons that exchange their demand once per gossip round."""
 
     def __init__(self, seed: int) -> None:
-        """Starts with nobody in flight."""
+        """Starts without requests in flight."""
         self.rng = random.Random(seed)
         self.names = [f"d{n}" for n in range(DAEMONS)]
         self.now_ms = 0
         self.live = set(self.names)
-        self.cut: set[str] = set()
-        self.shares = {name: self._new(name) for name in self.names}
-        self.done: list[tuple[int, int, str]] = []
-        self.count = 0
-        self.accepted = 0
+        self.partitioned: set[str] = set()
+        self.shares = {name: self._new_shares(name) for name in self.names}
+        self.pending_ends: list[tuple[int, int, str]] = []
+        self.request_count = 0
+        self.accepted_in_tick = 0
 
     def step(self, demand_per_s: dict[str, float], *, kind: str) -> None:
-        """Lets one tick of requests arrive, end, and be told."""
+        """Simulates a tick: arrivals, ends, and demand reports when due."""
         end_ms = self.now_ms + TICK_MS
-        self.accepted = 0
+        self.accepted_in_tick = 0
         while self.now_ms < end_ms:
             self.now_ms += 10
-            self._finish()
+            self._finish_requests()
             for name in sorted(self.live):
-                self._arrive(name, demand_per_s[name] / 100, kind)
+                self._generate_arrivals(name, demand_per_s[name] / 100, kind)
         for name in self.live:
             self.shares[name].update_demand(self.now_ms)
         if self.now_ms % GOSSIP_MS == 0:
-            self._gossip()
+            self._exchange_demand()
 
     def kill(self, name: str) -> None:
-        """Ends a daemon; its requests at the engines end with it."""
+        """Kills a daemon; its requests at the engines end with it."""
         self.live.discard(name)
-        self.done = [d for d in self.done if d[2] != name]
-        heapq.heapify(self.done)
+        self.pending_ends = [d for d in self.pending_ends if d[2] != name]
+        heapq.heapify(self.pending_ends)
 
     def start(self, name: str) -> None:
-        """Starts a daemon anew."""
+        """Starts a daemon with empty state."""
         self.live.add(name)
-        self.shares[name] = self._new(name)
+        self.shares[name] = self._new_shares(name)
 
-    def notice(self, name: str) -> None:
-        """Tells the others that a daemon is gone."""
-        for other in self.live:
-            self.shares[other].forget_peer(name)
-            self.shares[other].live = frozenset(self.live)
+    def update_membership(self, removed: str) -> None:
+        """Removes a daemon's demand, if any, and updates all live sets."""
+        for name in self.live:
+            self.shares[name].forget_peer(removed)
+            self.shares[name].live = frozenset(self.live)
 
     def in_flight(self) -> int:
-        """Returns the requests running over all daemons."""
+        """Returns the number of running requests of all daemons."""
         return sum(self.shares[n].cells[CELL].in_flight for n in self.live)
 
-    def _new(self, name: str) -> shares.Shares:
+    def _new_shares(self, name: str) -> shares.Shares:
         return shares.Shares(daemon=name, live=frozenset(self.live))
 
-    def _arrive(self, name: str, mean: float, kind: str) -> None:
+    def _generate_arrivals(
+        self, name: str, mean_arrivals: float, kind: str
+    ) -> None:
         share = self.shares[name]
-        for _ in range(_poisson(self.rng, mean)):
+        for _ in range(_poisson(self.rng, mean_arrivals)):
             share.record_arrival(CELL)
             if kind == "rate":
-                taken = share.take_rate_token(
+                is_accepted = share.take_rate_token(
                     CELL, limit_per_s=RATE_LIMIT, now_ms=self.now_ms
                 )
-                self.accepted += taken
+                self.accepted_in_tick += is_accepted
                 continue
-            if not share.allows_request(CELL, limit=LIMIT):
+            if not share.allows_request(CELL, limit=IN_FLIGHT_LIMIT):
                 continue
             share.record_start(CELL)
             ends_ms = self.now_ms + int(self.rng.expovariate(1 / SERVICE_MS))
-            self.count += 1
-            heapq.heappush(self.done, (ends_ms, self.count, name))
+            self.request_count += 1
+            heapq.heappush(
+                self.pending_ends, (ends_ms, self.request_count, name)
+            )
 
-    def _finish(self) -> None:
-        while self.done and self.done[0][0] <= self.now_ms:
-            _, _, name = heapq.heappop(self.done)
+    def _finish_requests(self) -> None:
+        while self.pending_ends and self.pending_ends[0][0] <= self.now_ms:
+            _, _, name = heapq.heappop(self.pending_ends)
             self.shares[name].record_end(CELL)
 
-    def _gossip(self) -> None:
-        for teller in self.live - self.cut:
-            use = self.shares[teller].cells[CELL]
-            for hearer in self.live - self.cut - {teller}:
-                self.shares[hearer].record_peer_demand(
-                    daemon=teller,
+    def _exchange_demand(self) -> None:
+        for sender in self.live - self.partitioned:
+            usage = self.shares[sender].cells[CELL]
+            for receiver in self.live - self.partitioned - {sender}:
+                self.shares[receiver].record_peer_demand(
+                    daemon=sender,
                     cell=CELL,
-                    demand=use.demand,
-                    rate_per_s=use.rate_per_s,
+                    demand=usage.demand,
+                    rate_per_s=usage.rate_per_s,
                 )
 
 
-def run_scene(scene: str, seed: int, kind: str) -> LimitFigures:
-    """Plays one scene for two minutes."""
+def run_scenario(scenario: str, seed: int, kind: str) -> LimitFigures:
+    """Simulates one scenario for two minutes."""
     fleet = Fleet(seed)
-    excess: list[float] = []
-    used: list[float] = []
+    excesses: list[float] = []
+    usages_under_load: list[float] = []
     rates: list[int] = []
-    scale = LIMIT * 1000 / SERVICE_MS if kind == "in_flight" else RATE_LIMIT
+    scale = (
+        IN_FLIGHT_LIMIT * 1000 / SERVICE_MS
+        if kind == "in_flight"
+        else RATE_LIMIT
+    )
     for tick in range(1200):
-        demand = _demand(scene, fleet, tick, scale)
-        _trouble(scene, fleet, tick)
+        demand = _demand(scenario, fleet, tick, scale)
+        _inject_faults(scenario, fleet, tick)
         fleet.step(demand, kind=kind)
         if tick < 100:
             continue
-        rates.append(fleet.accepted)
-        # A rate is looked at over a second.
-        now = (
-            fleet.in_flight() / LIMIT
+        rates.append(fleet.accepted_in_tick)
+        # A rate is averaged over a second.
+        usage = (
+            fleet.in_flight() / IN_FLIGHT_LIMIT
             if kind == "in_flight"
             else sum(rates[-10:]) / RATE_LIMIT
         )
         if kind == "rate" and len(rates) < 10:
             continue
-        excess.append(max(0.0, now - 1.0))
-        wanted = sum(demand[name] for name in fleet.live)
-        if wanted > 1.2 * scale:
-            used.append(min(1.0, now))
+        excesses.append(max(0.0, usage - 1.0))
+        total_demand = sum(demand[name] for name in fleet.live)
+        if total_demand > 1.2 * scale:
+            usages_under_load.append(min(1.0, usage))
     return LimitFigures(
-        scene=scene,
+        scene=scenario,
         seed=seed,
         kind=kind,
-        overshoot=max(excess),
-        overshoot_mean=statistics.mean(excess),
-        use=statistics.mean(used) if used else 1.0,
+        overshoot=max(excesses),
+        overshoot_mean=statistics.mean(excesses),
+        use=statistics.mean(usages_under_load) if usages_under_load else 1.0,
     )
 
 
-SCENES = ("skewed", "shifting", "deaths", "cut_off", "comes_back")
+SCENARIOS = ("skewed", "shifting", "deaths", "cut_off", "comes_back")
 
 
-def main(words: list[str]) -> int:
-    """Plays all scenes and prints medians over seeds."""
+def main(arguments: list[str]) -> int:
+    """Simulates all scenarios and prints medians over seeds."""
     parser = argparse.ArgumentParser(prog="bench limits")
     parser.add_argument("--json")
-    asked = parser.parse_args(words)
+    options = parser.parse_args(arguments)
     runs = []
     print("scene        kind       worst excess  mean excess  use")
     for kind in ("in_flight", "rate"):
-        for scene in SCENES:
-            chosen = [run_scene(scene, seed, kind) for seed in SEEDS]
-            runs.extend(chosen)
+        for scenario in SCENARIOS:
+            scenario_runs = [
+                run_scenario(scenario, seed, kind) for seed in SEEDS
+            ]
+            runs.extend(scenario_runs)
             print(
-                f"{scene:12s} {kind:10s}"
-                f" {_median(chosen, 'overshoot'):11.1%}"
-                f" {_median(chosen, 'overshoot_mean'):12.2%}"
-                f" {_median(chosen, 'use'):6.1%}"
+                f"{scenario:12s} {kind:10s}"
+                f" {_median(scenario_runs, 'overshoot'):11.1%}"
+                f" {_median(scenario_runs, 'overshoot_mean'):12.2%}"
+                f" {_median(scenario_runs, 'use'):6.1%}"
             )
-    if asked.json:
-        told = {"runs": [dataclasses.asdict(run) for run in runs]}
-        pathlib.Path(asked.json).write_text(json.dumps(told, indent=1))
+    if options.json:
+        report = {"runs": [dataclasses.asdict(run) for run in runs]}
+        pathlib.Path(options.json).write_text(json.dumps(report, indent=1))
     return 0
 
 
 def _demand(
-    scene: str, fleet: Fleet, tick: int, scale: float
+    scenario: str, fleet: Fleet, tick: int, scale: float
 ) -> dict[str, float]:
     weights = {n: 1 / (i + 1) for i, n in enumerate(fleet.names)}
-    if scene == "shifting":
-        turn = tick // 100
+    if scenario == "shifting":
+        rotation = tick // 100
         weights = {
-            n: 1 / ((i + turn) % DAEMONS + 1) for i, n in enumerate(fleet.names)
+            n: 1 / ((i + rotation) % DAEMONS + 1)
+            for i, n in enumerate(fleet.names)
         }
     total = sum(weights.values())
     return {n: 1.5 * scale * w / total for n, w in weights.items()}
 
 
-def _trouble(scene: str, fleet: Fleet, tick: int) -> None:
+def _inject_faults(scenario: str, fleet: Fleet, tick: int) -> None:
     victim = fleet.names[1]
-    if scene in ("deaths", "comes_back"):
+    if scenario in ("deaths", "comes_back"):
         if tick % 300 == 150:
             fleet.kill(victim)
-        # Noticed by probes some seconds later.
+        # Probes detect it some seconds later.
         if tick % 300 == 185:
-            fleet.notice(victim)
-        if scene == "comes_back" and tick % 300 == 250:
+            fleet.update_membership(victim)
+        if scenario == "comes_back" and tick % 300 == 250:
             fleet.start(victim)
-            fleet.notice("")
-    if scene == "cut_off":
+            fleet.update_membership("")
+    if scenario == "cut_off":
         if tick % 300 == 150:
-            fleet.cut.add(victim)
+            fleet.partitioned.add(victim)
         if tick % 300 == 185:
-            # The rest counts it as dead; it still serves, until it loses
-            # its right after some seconds.
+            # The others consider it dead; it serves until its serving lease
+            # expires some seconds later.
             fleet.live.discard(victim)
-            fleet.notice(victim)
+            fleet.update_membership(victim)
             fleet.live.add(victim)
         if tick % 300 == 200:
             fleet.kill(victim)
         if tick % 300 == 250:
-            fleet.cut.discard(victim)
+            fleet.partitioned.discard(victim)
             fleet.start(victim)
-            fleet.notice("")
+            fleet.update_membership("")
 
 
 def _median(runs: list[LimitFigures], name: str) -> float:
@@ -235,11 +246,11 @@
 
 
 def _poisson(rng: random.Random, mean: float) -> int:
-    count, left = 0, rng.expovariate(1.0)
-    while left < mean:
+    count, elapsed = 0, rng.expovariate(1.0)
+    while elapsed < mean:
         count += 1
-        left += rng.expovariate(1.0)
+        elapsed += rng.expovariate(1.0)
     return count
 
 
-__all__ = ["LimitFigures", "main", "run_scene"]
+__all__ = ["LimitFigures", "main", "run_scenario"]
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -1,4 +1,4 @@
-"""`scripts/bench.sh membership`: notice of lost daemons, and its cost."""
+"""`scripts/bench.sh membership`: detection of lost daemons and its cost."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-QUIET_S = 10.0
-POLL_S = 0.02
+IDLE_S = 10.0
+POLL_INTERVAL_S = 0.02
 
 
-def main(words: list[str]) -> int:
-    """Measures each size and prints it."""
+def main(arguments: list[str]) -> int:
+    """Measures each size and prints the results."""
     parser = argparse.ArgumentParser(prog="bench membership")
     parser.add_argument("--sizes", type=int, nargs="+", default=[9, 20])
     parser.add_argument("--json")
-    asked = parser.parse_args(words)
+    options = parser.parse_args(arguments)
     runs = []
-    for size in asked.sizes:
-        told = _measure(size)
-        runs.append(told)
-        print(", ".join(f"{k} {v:.2f}" for k, v in told.items()))
-    if asked.json:
-        pathlib.Path(asked.json).write_text(json.dumps({"runs": runs}))
+    for size in options.sizes:
+        results = _measure(size)
+        runs.append(results)
+        print(", ".join(f"{k} {v:.2f}" for k, v in results.items()))
+    if options.json:
+        pathlib.Path(options.json).write_text(json.dumps({"runs": runs}))
     return 0
 
 
@@ -47,26 +47,30 @@
         cluster.start_engine("engine-0", "rulebook")
         cluster.start_engine("engine-1", "rulebook")
         cluster.start_daemons(*names)
-        told = {"daemons": float(size)}
-        told.update(_quiet(cluster, names))
-        told["leaving_server_s"] = _leaving(cluster, names)
-        told["killed_s"] = _gone(cluster, names, names[-1], cluster.kill)
-        told["frozen_s"] = _gone(
+        results = {"daemons": float(size)}
+        results.update(_measure_idle(cluster, names))
+        results["leaving_server_s"] = _leaving_notice_s(cluster, names)
+        results["killed_s"] = _detection_s(
+            cluster, names, names[-1], cluster.kill
+        )
+        results["frozen_s"] = _detection_s(
             cluster,
             names[:-1],
             names[-2],
             lambda name: cluster.signal(name, signal.SIGSTOP),
         )
-        return told
+        return results
     finally:
         cluster.close()
 
 
-def _quiet(cluster: processes.Cluster, names: list[str]) -> dict[str, float]:
-    """Counts bytes, processor time and false suspicions without trouble."""
-    before = [metrics(cluster, name) for name in names]
-    time.sleep(QUIET_S)
-    after = [metrics(cluster, name) for name in names]
+def _measure_idle(
+    cluster: processes.Cluster, names: list[str]
+) -> dict[str, float]:
+    """Counts bytes, processor time and false suspicions without faults."""
+    before = [read_metrics(cluster, name) for name in names]
+    time.sleep(IDLE_S)
+    after = [read_metrics(cluster, name) for name in names]
     count = len(names)
     suspicions = sum(
         cluster.ready(name)["members"].get(other, "alive") != "alive"
@@ -79,29 +83,29 @@
             for a, b in zip(after, before, strict=True)
         )
         / count
-        / QUIET_S,
+        / IDLE_S,
         "core_percent": 100
         * sum(
             a["godwittack_cpu_seconds"] - b["godwittack_cpu_seconds"]
             for a, b in zip(after, before, strict=True)
         )
         / count
-        / QUIET_S,
+        / IDLE_S,
         "false_suspicions": float(suspicions),
     }
 
 
-def _gone(
+def _detection_s(
     cluster: processes.Cluster,
     names: list[str],
     victim: str,
-    end: Callable[[str], None],
+    inject_fault: Callable[[str], None],
 ) -> float:
-    """Returns seconds until every other daemon counts one as gone."""
+    """Applies a fault to `victim`; returns seconds until no other lists it."""
     others = [name for name in names if name != victim]
-    end(victim)
+    inject_fault(victim)
     started = time.monotonic()
-    return _until(
+    return _wait_until(
         started,
         lambda: all(
             not any(
@@ -113,11 +117,11 @@
     )
 
 
-def _leaving(cluster: processes.Cluster, names: list[str]) -> float:
-    """Returns seconds until every daemon knows that a server leaves."""
+def _leaving_notice_s(cluster: processes.Cluster, names: list[str]) -> float:
+    """Returns seconds until every daemon lists a server as leaving."""
     processes.call("POST", cluster.url("engine-0", "/fault/leave"))
     started = time.monotonic()
-    return _until(
+    return _wait_until(
         started,
         lambda: all(
             cluster.ready(name)["servers"]["engine-0"]["leaving"]
@@ -126,24 +130,24 @@
     )
 
 
-def _until(started: float, holds: Callable[[], bool]) -> float:
-    while not holds():
+def _wait_until(started: float, condition: Callable[[], bool]) -> float:
+    while not condition():
         if time.monotonic() - started > processes.WAIT_S:
-            raise processes.StepError("never noticed")
-        time.sleep(POLL_S)
+            raise processes.StepError("condition not met in time")
+        time.sleep(POLL_INTERVAL_S)
     return time.monotonic() - started
 
 
-def metrics(cluster: processes.Cluster, name: str) -> dict[str, float]:
+def read_metrics(cluster: processes.Cluster, name: str) -> dict[str, float]:
     """Returns a daemon's metrics by name, summed over their labels."""
     text = processes.call("GET", cluster.url(name, "/metrics"))[2].decode()
-    found: dict[str, float] = {}
+    values: dict[str, float] = {}
     for line in text.splitlines():
         match = re.match(r"^(godwittack_\w+?)(_total)?(\{.*\})? (\S+)$", line)
         if match:
             key = match[1].replace("_bytes_bytes", "_bytes")
-            found[key] = found.get(key, 0.0) + float(match[4])
-    return found
+            values[key] = values.get(key, 0.0) + float(match[4])
+    return values
 
 
-__all__ = ["main", "metrics"]
+__all__ = ["main", "read_metrics"]
--- a/bench/peers.py
+++ b/bench/peers.py
@@ -1,8 +1,8 @@
-"""Stand-in for the other daemons of a large fleet, all in one process.
+"""Simulates the other daemons of a large fleet in one process.
 
-Each listens on a port of its own, answers probes, probes one real daemon as
-often as a fleet of that size would, and, where it belongs to the audience,
-tells it news on a stream of its own.
+Each listens on its own port and answers probes. Together they probe one real
+daemon as often as a fleet of that size would, and those that send updates to
+it do so on a stream of their own.
 """
 
 from __future__ import annotations
@@ -28,16 +28,17 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class PeersAsked:
-    """What the stand-in is asked to be.
+class PeersConfig:
+    """Configuration of the simulated peers.
 
     Attributes:
         daemon: Peer address of the real daemon.
-        probes_a_s: Probes that reach the daemon a second.
-        audience: Peers that tell it news.
-        loads: Load reports in each piece of news.
-        cell_tellers: Of them, those that tell demand of a cell as well.
-        levels: Cache levels stored or evicted in each.
+        probes_a_s: Probes per second that reach the daemon.
+        audience: Number of peers that send it updates.
+        news_ms: Mean time between two updates of a peer.
+        loads: Load reports per update.
+        cell_tellers: Number of these peers that also send demand of a cell.
+        levels: Cache levels stored or evicted per update.
     """
 
     secret: str
@@ -53,7 +54,7 @@
 
 
 class FakePeer:
-    """Implements `PeerHandler` for one member."""
+    """Implements `PeerHandler` for one simulated member."""
 
     def __init__(
         self,
@@ -61,9 +62,17 @@
         address: str,
         *,
         fleet: list[FakePeer],
-        known: set[str],
+        informed_daemons: set[str],
     ) -> None:
-        """Is a live member of `fleet`, which has heard of those `known`."""
+        """Creates a live member.
+
+        Args:
+            number: Index in the fleet.
+            address: Peer and HTTP address.
+            fleet: All simulated members.
+            informed_daemons: Ids of the daemons that have received the member
+                list; shared by the fleet.
+        """
         self.member = view.Member(
             member_id=peer_name(number),
             peer_address=address,
@@ -71,40 +80,40 @@
             failure_domain=f"domain-{number % 5}",
         )
         self.number = number
-        self.version = 0
+        self.table_version = 0
         self._fleet = fleet
-        self._known = known
+        self._informed_daemons = informed_daemons
         self.list_hash = 0
 
     def envelope(self) -> peer_pb2.Envelope:
-        """Returns what a probe or its answer says."""
+        """Returns the envelope of a probe or of an answer to one."""
         return peer_pb2.Envelope(
             protocol_version=exchange.PROTOCOL_VERSION,
-            sender=self.own(is_full=False),
-            table_version=self.version,
+            sender=self.own_entry(is_full=False),
+            table_version=self.table_version,
             list_hash=self.list_hash,
         )
 
-    def own(self, *, is_full: bool) -> peer_pb2.Member:
-        """Returns its entry, without addresses where these are known."""
+    def own_entry(self, *, is_full: bool) -> peer_pb2.Member:
+        """Returns the member's entry, with its addresses if `is_full`."""
         if is_full:
             return codec.member_to_proto(self.member)
         return peer_pb2.Member(
             member_id=self.member.member_id, refutation=self.member.refutation
         )
 
-    def handle_exchange(self, told: peer_pb2.Envelope) -> peer_pb2.Envelope:
-        """Answers a probe; has whatever table the daemon has."""
-        self.version = told.table_version
-        for update in told.updates:
+    def handle_exchange(self, message: peer_pb2.Envelope) -> peer_pb2.Envelope:
+        """Answers a probe; adopts the table version of the sender."""
+        self.table_version = message.table_version
+        for update in message.updates:
             if update.member_id == self.member.member_id and update.state:
                 self.member = dataclasses.replace(
                     self.member, refutation=update.refutation + 1
                 )
         answer = self.envelope()
-        answer.sender.CopyFrom(self.own(is_full=told.who_is_it))
-        if told.sender.member_id not in self._known:
-            self._known.add(told.sender.member_id)
+        answer.sender.CopyFrom(self.own_entry(is_full=message.who_is_it))
+        if message.sender.member_id not in self._informed_daemons:
+            self._informed_daemons.add(message.sender.member_id)
             answer.is_full = True
             answer.updates.extend(
                 codec.member_to_proto(peer.member) for peer in self._fleet
@@ -112,33 +121,41 @@
         return answer
 
     def handle_news(self, sender_id: str, news: peer_pb2.News) -> None:
-        """Takes news."""
+        """Ignores updates."""
 
     def handle_table_request(
-        self, asked: peer_pb2.TableRequest
+        self, request: peer_pb2.TableRequest
     ) -> peer_pb2.TableReply:
-        """Has no newer table."""
-        return peer_pb2.TableReply(version=asked.known_version)
+        """Returns no newer table."""
+        return peer_pb2.TableReply(version=request.known_version)
 
     def handle_report_request(self) -> peer_pb2.ReportReply:
-        """Has counted nothing."""
+        """Returns empty counters."""
         return peer_pb2.ReportReply(report_json="{}")
 
 
 def peer_name(number: int) -> str:
-    """Returns a peer's member id, as long as a real one."""
+    """Returns a peer's member id, of the length of a real one."""
     return f"entry-{number}@{number:08x}"
 
 
-async def main(file: str) -> None:
-    """Plays the peers until it is ended."""
-    told = json.loads(pathlib.Path(file).read_text())
-    asked = PeersAsked(**told)
-    secret = asked.secret.encode()
+async def main(config_path: str) -> None:
+    """Simulates the peers until the process is ended.
+
+    Args:
+        config_path: Path of a JSON file with the fields of `PeersConfig`.
+    """
+    fields = json.loads(pathlib.Path(config_path).read_text())
+    config = PeersConfig(**fields)
+    secret = config.secret.encode()
     peers: list[FakePeer] = []
-    known: set[str] = set()
-    for number, address in enumerate(asked.addresses):
-        peers.append(FakePeer(number, address, fleet=peers, known=known))
+    informed_daemons: set[str] = set()
+    for number, address in enumerate(config.addresses):
+        peers.append(
+            FakePeer(
+                number, address, fleet=peers, informed_daemons=informed_daemons
+            )
+        )
     servers = [peer_server.PeerServer(handler=p, secret=secret) for p in peers]
     sockets = [
         datagram.DatagramPeers(secret=secret, timeout_ms=TIMEOUT_MS)
@@ -147,16 +164,18 @@
     for peer, server, socket in zip(peers, servers, sockets, strict=True):
         await server.start(peer.member.peer_address)
         await socket.start(peer.member.peer_address, handler=peer)
-    read = await _list_hash(asked.platform_url)
-    readers = assignment.list_readers([peer.member for peer in peers])
+    list_hash = await _read_list_hash(config.platform_url)
+    list_readers = assignment.list_readers([peer.member for peer in peers])
     for peer in peers:
-        peer.list_hash = read if peer.member in readers else 0
+        peer.list_hash = list_hash if peer.member in list_readers else 0
     print("listening", flush=True)
-    tellers = [_tell(peer, asked) for peer in peers[: asked.audience]]
-    await asyncio.gather(_probe(peers, sockets, asked), *tellers)
+    senders = [
+        _send_updates_forever(peer, config) for peer in peers[: config.audience]
+    ]
+    await asyncio.gather(_probe_forever(peers, sockets, config), *senders)
 
 
-async def _list_hash(platform_url: str) -> int:
+async def _read_list_hash(platform_url: str) -> int:
     async with aiohttp.ClientSession() as session:
         client = http.HttpPlatform(
             session=session,
@@ -165,53 +184,53 @@
             backoff_ms=0,
             clock=SystemClock(),
         )
-        got = await client.instances()
-    return listing.fingerprint({i.name: i for i in got.ok_value})
+        result = await client.instances()
+    return listing.fingerprint({i.name: i for i in result.ok_value})
 
 
-async def _probe(
+async def _probe_forever(
     peers: list[FakePeer],
     sockets: list[datagram.DatagramPeers],
-    asked: PeersAsked,
+    config: PeersConfig,
 ) -> None:
     rng = random.Random(1)
     while True:
         number = rng.randrange(len(peers))
         peer = peers[number]
-        got = await sockets[number].exchange(asked.daemon, peer.envelope())
-        if got.is_ok():
-            peer.version = got.ok_value.table_version
-        await asyncio.sleep(1 / asked.probes_a_s)
+        answer = await sockets[number].exchange(config.daemon, peer.envelope())
+        if answer.is_ok():
+            peer.table_version = answer.ok_value.table_version
+        await asyncio.sleep(1 / config.probes_a_s)
 
 
-async def _tell(peer: FakePeer, asked: PeersAsked) -> None:
+async def _send_updates_forever(peer: FakePeer, config: PeersConfig) -> None:
     client = exchange.PeerClient(
-        secret=asked.secret.encode(), timeout_ms=TIMEOUT_MS
+        secret=config.secret.encode(), timeout_ms=TIMEOUT_MS
     )
     rng = random.Random(peer.member.member_id)
     stream, writer = None, wire.NewsWriter()
     while True:
-        await asyncio.sleep(asked.news_ms / 1000 * rng.uniform(0.9, 1.1))
-        opens = stream is None
+        await asyncio.sleep(config.news_ms / 1000 * rng.uniform(0.9, 1.1))
+        is_new_stream = stream is None
         if stream is None:
-            stream = client.open_news(asked.daemon, on_broken=lambda: None)
+            stream = client.open_news(config.daemon, on_broken=lambda: None)
             writer = wire.NewsWriter()
-        message = writer.write(_news(peer, asked, rng), now_ms=0)
-        if opens:
+        message = writer.write(_make_updates(peer, config, rng), now_ms=0)
+        if is_new_stream:
             message.sender_id = peer.member.member_id
         if (await stream.send(message)).is_err():
             stream = None
 
 
-def _news(
-    peer: FakePeer, asked: PeersAsked, rng: random.Random
+def _make_updates(
+    peer: FakePeer, config: PeersConfig, rng: random.Random
 ) -> pending.PendingNews:
     number = peer.number
-    has_demand = number < asked.cell_tellers
-    names = [f"server-{15 * (2 * number + n)}" for n in range(asked.loads)]
+    has_demand = number < config.cell_tellers
+    names = [f"server-{15 * (2 * number + n)}" for n in range(config.loads)]
     return pending.PendingNews(
         loads={name: _load(name, rng) for name in names},
-        digests=[_digest(names[0], asked.levels, rng)],
+        digests=[_digest(names[0], config.levels, rng)],
         demands=(_demand(number, rng),) if has_demand else None,
     )
 
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -1,4 +1,4 @@
-"""Baselines, the clairvoyant, and ours, behind one interface."""
+"""Placement policies: baselines, the router, and a clairvoyant router."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from godwittack.backend import protocol as backend
 from godwittack.core import effects, inputs, router, server_inputs, work
-from godwittack.core import policy as policies
+from godwittack.core import policy as core_policy
 from godwittack.daemon import digest
 from godwittack.placement import rendezvous
 from godwittack.table import model
@@ -19,178 +19,194 @@
     from bench import engines, workload
     from bench.experiment import Experiment
 
-REPORT_MS = 500
-LAG_MS = 1_000
+REPORT_INTERVAL_MS = 500
+REPORT_LAG_MS = 1_000
 EVENT_LAG_MS = 500
-EVENT_LOSS = 0.05
-DIGEST_MS = 500
-TICK_MS = 100
-GOSSIP_MS = 500
+EVENT_LOSS_RATE = 0.05
+DIGEST_INTERVAL_MS = 500
+TICK_INTERVAL_MS = 100
+GOSSIP_INTERVAL_MS = 500
 PROBE_HOP_MS = 1.0
-BOUND = 1.25
+LOAD_BOUND_FACTOR = 1.25
 FOREVER_MS = 1 << 50
 
 
 class Policy(Protocol):
-    """Places requests of all daemons."""
+    """Places the requests of all daemons."""
 
-    def arrived(self, ask: workload.Ask) -> None:
-        """Takes a request; ends in `Experiment.send` or `refused`."""
+    def handle_arrival(self, request: workload.Request) -> None:
+        """Places a request by `Experiment.send`, or records a refusal."""
 
 
 @dataclasses.dataclass
 class Baseline:
-    """One choice a request, no holding back and no refusing."""
+    """Sends each request to an engine at once; no queue, no refusals."""
 
     experiment: Experiment
 
-    def arrived(self, ask: workload.Ask) -> None:
-        """Sends the request to the engine chosen."""
-        up = [e for e in self.experiment.engines if e.up]
-        engine = self.choose(ask, up)
-        self.experiment.send(ask, engine)
+    def handle_arrival(self, request: workload.Request) -> None:
+        """Sends the request to the selected engine."""
+        live_engines = [e for e in self.experiment.engines if e.is_up]
+        engine = self.select_engine(request, live_engines)
+        self.experiment.send(request, engine)
 
-    def choose(
-        self, ask: workload.Ask, up: list[engines.Engine]
+    def select_engine(
+        self, request: workload.Request, live_engines: list[engines.Engine]
     ) -> engines.Engine:
-        """Returns the engine."""
+        """Returns the engine for a request."""
         raise NotImplementedError
 
 
 class RoundRobin(Baseline):
-    """Each daemon takes the engines in turn."""
+    """Each daemon selects the engines in rotation."""
 
     def __init__(self, experiment: Experiment) -> None:
-        """Starts each daemon at another engine."""
+        """Starts each daemon at a different engine."""
         super().__init__(experiment)
         self._next = collections.Counter(
             {n: n for n in range(experiment.deployment.daemons)}
         )
 
-    def choose(
-        self, ask: workload.Ask, up: list[engines.Engine]
+    def select_engine(
+        self, request: workload.Request, live_engines: list[engines.Engine]
     ) -> engines.Engine:
         """Returns the next engine."""
-        self._next[ask.daemon] += 1
-        return up[self._next[ask.daemon] % len(up)]
+        self._next[request.daemon] += 1
+        return live_engines[self._next[request.daemon] % len(live_engines)]
 
 
 class LeastLoaded(Baseline):
-    """The least load by the last report and what the daemon sent since."""
+    """Selects by the last load report plus what the daemon sent since."""
 
-    def choose(
-        self, ask: workload.Ask, up: list[engines.Engine]
+    def select_engine(
+        self, request: workload.Request, live_engines: list[engines.Engine]
     ) -> engines.Engine:
         """Returns the least loaded engine."""
-        seen = self.experiment.reports
-        sent = self.experiment.sent_since
+        reported = self.experiment.reported_loads
+        sent = self.experiment.sent_since_report
         return min(
-            up, key=lambda e: (seen[e.name] + sent[ask.daemon, e.name], e.name)
+            live_engines,
+            key=lambda e: (
+                reported[e.name] + sent[request.daemon, e.name],
+                e.name,
+            ),
         )
 
 
 class ConsistentHash(Baseline):
-    """The rulebook's hash alone."""
+    """Selects by the rulebook's hash alone."""
 
-    def choose(
-        self, ask: workload.Ask, up: list[engines.Engine]
+    def select_engine(
+        self, request: workload.Request, live_engines: list[engines.Engine]
     ) -> engines.Engine:
-        """Returns the rulebook's home."""
-        by_name = {engine.name: engine for engine in up}
-        order = rendezvous.rank(ask.levels[0].key, tuple(sorted(by_name)))
-        return by_name[order[0]]
+        """Returns the first engine in the rulebook's hash order."""
+        engines_by_name = {engine.name: engine for engine in live_engines}
+        order = rendezvous.rank(
+            request.levels[0].key, tuple(sorted(engines_by_name))
+        )
+        return engines_by_name[order[0]]
 
 
 class BoundedLoad(Baseline):
     """Consistent hashing with bounded loads (Mirrokni et al. 2018)."""
 
-    def choose(
-        self, ask: workload.Ask, up: list[engines.Engine]
+    def select_engine(
+        self, request: workload.Request, live_engines: list[engines.Engine]
     ) -> engines.Engine:
         """Returns the first engine in hash order under the bound."""
-        seen, sent = self.experiment.reports, self.experiment.sent_since
-        load = {e.name: seen[e.name] + sent[ask.daemon, e.name] for e in up}
-        bound = BOUND * (sum(load.values()) + 1) / len(up)
-        by_name = {engine.name: engine for engine in up}
-        order = rendezvous.rank(ask.levels[0].key, tuple(sorted(by_name)))
+        reported, sent = (
+            self.experiment.reported_loads,
+            self.experiment.sent_since_report,
+        )
+        load = {
+            e.name: reported[e.name] + sent[request.daemon, e.name]
+            for e in live_engines
+        }
+        bound = LOAD_BOUND_FACTOR * (sum(load.values()) + 1) / len(live_engines)
+        engines_by_name = {engine.name: engine for engine in live_engines}
+        order = rendezvous.rank(
+            request.levels[0].key, tuple(sorted(engines_by_name))
+        )
         for name in order:
             if load[name] < bound:
-                return by_name[name]
-        return by_name[order[0]]
+                return engines_by_name[name]
+        return engines_by_name[order[0]]
 
 
-class Ours:
-    """The real core, one a daemon, fed with late and lossy news."""
+class RouterPolicy:
+    """The router's core, one per daemon, with delayed and lossy updates."""
 
-    report_ms = REPORT_MS
-    lag_ms = LAG_MS
+    report_interval_ms = REPORT_INTERVAL_MS
+    report_lag_ms = REPORT_LAG_MS
     event_lag_ms = EVENT_LAG_MS
-    event_loss = EVENT_LOSS
-    digest_ms = DIGEST_MS
+    event_loss_rate = EVENT_LOSS_RATE
+    digest_interval_ms = DIGEST_INTERVAL_MS
     one_core = False
 
     def __init__(self, experiment: Experiment) -> None:
-        """Builds the cores and starts the news."""
+        """Builds the cores and schedules their updates."""
         self.experiment = experiment
         deployment = experiment.deployment
-        self._asks: dict[str, workload.Ask] = {}
+        self._requests: dict[str, workload.Request] = {}
         self._attempts: dict[str, tuple[int, str]] = {}
         self._digesters = {
             engine.name: digest.Digester(engine.name)
             for engine in experiment.engines
         }
-        self._history: dict[str, list[server_inputs.LoadReported]] = (
+        self._load_history: dict[str, list[server_inputs.LoadReported]] = (
             collections.defaultdict(list)
         )
         self._table = model.Table.from_rows(
             version=1, rows=_rows(deployment, experiment.workload)
         )
-        self._incarnation = collections.Counter()
+        self._incarnations = collections.Counter()
         count = 1 if self.one_core else deployment.daemons
-        self.cores = [self._core(n) for n in range(count)]
+        self.cores = [self._create_core(n) for n in range(count)]
         timeline = experiment.timeline
-        timeline.after(0, self._report)
-        timeline.after(self.digest_ms, self._digest)
-        timeline.after(TICK_MS, self._tick)
-        timeline.after(GOSSIP_MS, self._gossip)
+        timeline.call_later(0, self._send_load_reports)
+        timeline.call_later(self.digest_interval_ms, self._send_digests)
+        timeline.call_later(TICK_INTERVAL_MS, self._tick)
+        timeline.call_later(GOSSIP_INTERVAL_MS, self._exchange_demand)
 
     def restart(self, daemon: int) -> None:
         """Replaces a daemon's core by an empty one."""
-        self.cores[daemon] = self._core(daemon)
+        self.cores[daemon] = self._create_core(daemon)
 
-    def reread_events(self) -> None:
-        """Has new watchers read each engine's events from the oldest kept."""
+    def replay_cache_events(self) -> None:
+        """Makes new watchers read all cache events that the engines keep."""
         for engine in self.experiment.engines:
             self._digesters[engine.name] = digest.Digester(engine.name)
-            engine.events = list(engine.backlog)
+            engine.pending_events = list(engine.stored_events)
 
-    def arrived(self, ask: workload.Ask) -> None:
-        """Hands a request to its daemon's core."""
-        request_id = str(ask.number)
-        self._asks[request_id] = ask
-        asked = work.Work(
+    def handle_arrival(self, request: workload.Request) -> None:
+        """Submits a request to its daemon's core."""
+        request_id = str(request.number)
+        self._requests[request_id] = request
+        request_work = work.Work(
             kind=work.WorkKind.GENERATION,
-            token_sha256=ask.workspace,
+            token_sha256=request.workspace,
             target="rulebook",
             streaming=True,
-            levels=ask.levels,
-            max_tokens=ask.output_tokens,
+            levels=request.levels,
+            max_tokens=request.output_tokens,
             deadline_ms=self.experiment.deployment.deadline_ms,
         )
-        told = inputs.RequestArrived(self._now(), request_id, asked)
-        self._step(ask.daemon % len(self.cores), told)
+        message = inputs.RequestArrived(self._now(), request_id, request_work)
+        self._step(request.daemon % len(self.cores), message)
 
-    def _core(self, daemon: int) -> router.Router:
-        self._incarnation[daemon] += 1
+    def _create_core(self, daemon: int) -> router.Router:
+        self._incarnations[daemon] += 1
         core = router.Router.from_config(
-            daemon=f"d{daemon}@{self._incarnation[daemon]}",
+            daemon=f"d{daemon}@{self._incarnations[daemon]}",
             table=self._table,
-            policy=policies.Policy(
-                prefill_us_per_token=self.experiment.size.prefill_us,
-                # Only first and last frames are sent here: the time between
-                # them is no silence.
+            policy=core_policy.Policy(
+                prefill_us_per_token=(
+                    self.experiment.engine_spec.prefill_us_per_token
+                ),
+                # Only the first and last frames are simulated; the time
+                # between them must not time out.
                 frame_gap_ms=FOREVER_MS,
-                **self.experiment.numbers,
+                **self.experiment.policy_overrides,
             ),
         )
         now_ms = self._now()
@@ -204,47 +220,55 @@
                     target="rulebook",
                 )
             )
-            for load in self._history[engine.name][-1:]:
+            for load in self._load_history[engine.name][-1:]:
                 core.step(load)
         return core
 
-    def _step(self, daemon: int, told: inputs.Input) -> None:
-        for effect in self.cores[daemon].step(told):
+    def _step(self, daemon: int, message: inputs.Input) -> None:
+        for effect in self.cores[daemon].step(message):
             match effect:
                 case effects.Dispatch():
                     self._dispatch(daemon, effect)
                 case effects.Probe():
-                    self._probe(daemon, effect.server_id)
+                    self._answer_probe(daemon, effect.server_id)
                 case effects.Refuse():
-                    ask = self._asks.pop(effect.request_id)
-                    self.experiment.refused(ask, effect.reason.value)
+                    request = self._requests.pop(effect.request_id)
+                    self.experiment.record_refusal(request, effect.reason.value)
 
     def _dispatch(self, daemon: int, effect: effects.Dispatch) -> None:
-        ask = self._asks[effect.request_id]
-        engine = self.experiment.by_name[effect.server_id]
+        request = self._requests[effect.request_id]
+        engine = self.experiment.engines_by_name[effect.server_id]
         core = self.cores[daemon]
 
-        def tell(make: Callable[[int], inputs.Input]) -> None:
+        def submit(make_message: Callable[[int], inputs.Input]) -> None:
             if self.cores[daemon] is core:
-                self._step(daemon, make(self._now()))
+                self._step(daemon, make_message(self._now()))
 
-        def first() -> None:
-            tell(
-                lambda at: inputs.AttemptOpened(
-                    at, effect.attempt_id, effect.attempt_id, effect.stamp
+        def handle_first_token() -> None:
+            submit(
+                lambda at_ms: inputs.AttemptOpened(
+                    at_ms, effect.attempt_id, effect.attempt_id, effect.stamp
                 )
             )
             frame = (work.Frame(1, b""),)
-            tell(lambda at: inputs.FramesArrived(at, effect.attempt_id, frame))
+            submit(
+                lambda at_ms: inputs.FramesArrived(
+                    at_ms, effect.attempt_id, frame
+                )
+            )
 
-        def last() -> None:
+        def handle_last_token() -> None:
             frame = (work.Frame(2, b"", True),)
-            tell(lambda at: inputs.FramesArrived(at, effect.attempt_id, frame))
+            submit(
+                lambda at_ms: inputs.FramesArrived(
+                    at_ms, effect.attempt_id, frame
+                )
+            )
 
-        def lost(phase: inputs.FailurePhase) -> None:
-            tell(
-                lambda at: inputs.AttemptFailed(
-                    at,
+        def handle_failure(phase: inputs.FailurePhase) -> None:
+            submit(
+                lambda at_ms: inputs.AttemptFailed(
+                    at_ms,
                     effect.attempt_id,
                     phase,
                     inputs.FailureCause.BROKEN,
@@ -252,103 +276,116 @@
                 )
             )
 
-        self.experiment.send(ask, engine, first=first, last=last, lost=lost)
+        self.experiment.send(
+            request,
+            engine,
+            on_first_token=handle_first_token,
+            on_last_token=handle_last_token,
+            on_failure=handle_failure,
+        )
 
-    def _probe(self, daemon: int, name: str) -> None:
-        """Answers a probe a hop later."""
+    def _answer_probe(self, daemon: int, name: str) -> None:
+        """Answers a probe after a round trip."""
 
         def answer() -> None:
-            alive = self.experiment.by_name[name].up
-            told = server_inputs.ProbeAnswered(self._now(), name, alive)
-            self._step(daemon, told)
+            is_alive = self.experiment.engines_by_name[name].is_up
+            message = server_inputs.ProbeAnswered(self._now(), name, is_alive)
+            self._step(daemon, message)
 
-        self.experiment.timeline.after(2 * PROBE_HOP_MS, answer)
+        self.experiment.timeline.call_later(2 * PROBE_HOP_MS, answer)
 
-    def _report(self) -> None:
-        """Tells every daemon a load that is `LAG_MS` old."""
+    def _send_load_reports(self) -> None:
+        """Sends every daemon load reports that are `report_lag_ms` old."""
         timeline = self.experiment.timeline
         for engine in self.experiment.engines:
-            if not engine.up:
+            if not engine.is_up:
                 continue
-            history = self._history[engine.name]
+            history = self._load_history[engine.name]
             history.append(_load(engine, self._now()))
-            if self.experiment.frozen_reports:
+            if self.experiment.freeze_load_reports:
                 continue
-            old = [
+            delayed = [
                 load
                 for load in history
-                if load.at_ms <= self._now() - self.lag_ms
+                if load.at_ms <= self._now() - self.report_lag_ms
                 and load.incarnation == str(engine.incarnation)
             ]
-            chosen = old[-1] if old else history[-1]
-            age_ms = self._now() - chosen.at_ms
-            told = dataclasses.replace(chosen, at_ms=self._now(), age_ms=age_ms)
+            load = delayed[-1] if delayed else history[-1]
+            age_ms = self._now() - load.at_ms
+            report = dataclasses.replace(load, at_ms=self._now(), age_ms=age_ms)
             for daemon in range(len(self.cores)):
-                self._step(daemon, told)
+                self._step(daemon, report)
             del history[:-8]
-        timeline.after(self.report_ms, self._report)
+        timeline.call_later(self.report_interval_ms, self._send_load_reports)
 
-    def _digest(self) -> None:
-        """Tells every daemon what an engine's events say, late and lossy."""
+    def _send_digests(self) -> None:
+        """Sends every daemon digests of cache events, delayed and lossy."""
         rng = self.experiment.rng
         for engine in self.experiment.engines:
             due = [
                 event
-                for event in engine.events
+                for event in engine.pending_events
                 if event.at_ms
                 <= self.experiment.timeline.now_ms - self.event_lag_ms
             ]
-            engine.events = engine.events[len(due) :]
-            if self.experiment.silent_events or not due:
+            engine.pending_events = engine.pending_events[len(due) :]
+            if self.experiment.drop_cache_events or not due:
                 continue
-            kept = [e for e in due if rng.random() >= self.event_loss]
+            received = [e for e in due if rng.random() >= self.event_loss_rate]
             digester = self._digesters[engine.name]
-            told = digester.digest(_told(engine, kept), now_ms=self._now())
-            if told is None:
+            digest_message = digester.digest(
+                _cache_events(engine, received), now_ms=self._now()
+            )
+            if digest_message is None:
                 continue
             for daemon in range(len(self.cores)):
-                self._step(daemon, told)
-        self.experiment.timeline.after(self.digest_ms, self._digest)
+                self._step(daemon, digest_message)
+        self.experiment.timeline.call_later(
+            self.digest_interval_ms, self._send_digests
+        )
 
     def _tick(self) -> None:
         for daemon in range(len(self.cores)):
             self._step(daemon, inputs.Tick(self._now()))
-        self.experiment.timeline.after(TICK_MS, self._tick)
+        self.experiment.timeline.call_later(TICK_INTERVAL_MS, self._tick)
 
-    def _gossip(self) -> None:
-        """Tells every daemon the others' demand."""
+    def _exchange_demand(self) -> None:
+        """Sends every daemon the demand of the others."""
         live = tuple(sorted(core.world.daemon for core in self.cores))
-        for teller, core in enumerate(self.cores):
-            told = tuple(
-                inputs.CellDemand(c, u.demand, u.rate_per_s)
-                for c, u in core.world.shares.cells.items()
+        for sender, core in enumerate(self.cores):
+            demands = tuple(
+                inputs.CellDemand(cell, usage.demand, usage.rate_per_s)
+                for cell, usage in core.world.shares.cells.items()
             )
-            for hearer in range(len(self.cores)):
-                if hearer != teller:
-                    demand = inputs.PeerDemand(
-                        self._now(), core.world.daemon, True, told
+            for receiver in range(len(self.cores)):
+                if receiver != sender:
+                    message = inputs.PeerDemand(
+                        self._now(), core.world.daemon, True, demands
                     )
-                    self._step(hearer, demand)
+                    self._step(receiver, message)
         for daemon in range(len(self.cores)):
             self._step(daemon, inputs.MembersChanged(self._now(), live))
-        self.experiment.timeline.after(GOSSIP_MS, self._gossip)
+        self.experiment.timeline.call_later(
+            GOSSIP_INTERVAL_MS, self._exchange_demand
+        )
 
     def _now(self) -> int:
         return int(self.experiment.timeline.now_ms)
 
 
-class Clairvoyant(Ours):
-    """Ours as one daemon that knows every cache and queue as they are.
+class Clairvoyant(RouterPolicy):
+    """The router as one daemon that knows the state of all caches and queues.
 
-    A rule that minimizes each request's own cost with perfect knowledge does
-    not bound anything: at 90% it computes prefixes everywhere and collapses.
+    A rule that minimizes each request's own cost with perfect knowledge is no
+    upper bound: at 90% utilisation it computes prefixes on all engines and
+    collapses.
     """
 
-    report_ms = 10
-    lag_ms = 0
+    report_interval_ms = 10
+    report_lag_ms = 0
     event_lag_ms = 0
-    event_loss = 0.0
-    digest_ms = 10
+    event_loss_rate = 0.0
+    digest_interval_ms = 10
     one_core = True
 
 
@@ -359,15 +396,15 @@
         incarnation=str(engine.incarnation),
         weights_version="1",
         running=engine.decoding,
-        waiting=len(engine.waiting) + len(engine.ready),
+        waiting=len(engine.waiting) + len(engine.prefilled),
         waiting_tokens=engine.waiting_tokens(),
-        prefill_us_per_token=engine.size.prefill_us,
-        slots=engine.size.slots,
+        prefill_us_per_token=engine.spec.prefill_us_per_token,
+        slots=engine.spec.slots,
     )
 
 
-def _told(
-    engine: engines.Engine, events: list[engines.Event]
+def _cache_events(
+    engine: engines.Engine, events: list[engines.CacheEvent]
 ) -> backend.CacheEvents:
     kinds = {
         True: backend.CacheEventKind.STORED,
@@ -385,7 +422,7 @@
 
 
 def _rows(
-    deployment: workload.Deployment, asks: workload.Workload
+    deployment: workload.Deployment, requests: workload.Workload
 ) -> list[model.Row]:
     rows: list[model.Row] = [
         model.ModelRow(name="rulebook", reuse_weight=deployment.reuse_weight)
@@ -397,7 +434,7 @@
             max_in_flight=1_000_000,
             max_requests_per_s=1_000_000,
         )
-        for name in asks.workspace_names()
+        for name in requests.workspace_names()
     )
     return rows
 
@@ -407,8 +444,8 @@
     "least_loaded": LeastLoaded,
     "consistent_hash": ConsistentHash,
     "bounded_load": BoundedLoad,
-    "ours": Ours,
+    "ours": RouterPolicy,
     "clairvoyant": Clairvoyant,
 }
 
-__all__ = ["POLICIES", "Ours", "Policy"]
+__all__ = ["POLICIES", "RouterPolicy", "Policy"]
--- a/bench/workload.py
+++ b/bench/workload.py
@@ -1,4 +1,4 @@
-"""Requests with nested prefixes: rulebook, section, case."""
+"""Generates requests with nested prompt prefixes: rulebook, section, case."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Deployment:
-    """Sizes of one user's deployment.
+    """Sizes of one deployment.
 
     Attributes:
         engines: Replicas of the model.
         daemons: Entry instances; they share no memory.
-        reuse_weight: The model row's cell.
-        deadline_ms: Until the first token.
-        cache_tokens: An engine's cache.
-        rulebooks: A workspace.
-        sections: A rulebook.
-        hop_ms: One way between daemon and engine.
+        reuse_weight: Value of this field in the model's table row.
+        deadline_ms: Time until the first token.
+        cache_tokens: Prompt tokens that fit into an engine's cache.
+        rulebooks: Rulebooks per workspace.
+        sections: Sections per rulebook.
+        hop_ms: One-way delay between daemon and engine.
     """
 
     name: str
@@ -68,8 +68,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ask:
-    """One request before it is placed."""
+class Request:
+    """A request before it is placed.
+
+    Attributes:
+        daemon: Index of the daemon that receives it.
+    """
 
     number: int
     workspace: str
@@ -79,31 +83,31 @@
 
 
 class Workload:
-    """Draws requests; the same seed draws the same ones."""
+    """Generates random requests; a seed always gives the same ones."""
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
-        """Prepares the popularity of workspaces, rulebooks and sections."""
+        """Sets the popularity of workspaces, rulebooks and sections."""
         self.deployment = deployment
         self.rng = random.Random(f"workload/{deployment.name}/{seed}")
-        self.shift = 0
-        self._numbers = itertools.count()
+        self.rulebook_shift = 0
+        self._request_numbers = itertools.count()
         self._workspaces = _zipf(deployment.workspaces, 1.0)
         self._rulebooks = _zipf(deployment.rulebooks, 1.1)
         self._sections = _zipf(deployment.sections, 0.9)
 
     def workspace_names(self) -> list[str]:
-        """Returns all workspaces."""
+        """Returns the names of all workspaces."""
         return [f"ws{n}" for n in range(self.deployment.workspaces)]
 
-    def draw(self) -> Ask:
-        """Draws the next request."""
-        rng, sizes = self.rng, self.deployment
-        number = next(self._numbers)
+    def draw(self) -> Request:
+        """Returns the next request."""
+        rng, deployment = self.rng, self.deployment
+        number = next(self._request_numbers)
         workspace = _pick(rng, self._workspaces)
         rulebook = _pick(rng, self._rulebooks)
         section = _pick(rng, self._sections)
-        # A shift makes other rulebooks the popular ones, all at once.
-        rulebook = (rulebook + self.shift) % sizes.rulebooks
+        # A shift makes other rulebooks popular, in all workspaces at once.
+        rulebook = (rulebook + self.rulebook_shift) % deployment.rulebooks
         parts = (
             f"rulebook {workspace} {rulebook}",
             f"section {section}",
@@ -115,20 +119,22 @@
             parts=[part.encode() for part in parts],
         )
         tokens = (
-            sizes.rulebook_tokens,
-            sizes.section_tokens,
-            max(20, int(rng.expovariate(1 / sizes.case_tokens))),
+            deployment.rulebook_tokens,
+            deployment.section_tokens,
+            max(20, int(rng.expovariate(1 / deployment.case_tokens))),
         )
         sized = tuple(
             work.Level(level.key, size)
             for level, size in zip(chain, tokens, strict=True)
         )
-        return Ask(
+        return Request(
             number=number,
             workspace=f"ws{workspace}",
             levels=sized,
-            output_tokens=max(4, int(rng.expovariate(1 / sizes.output_tokens))),
-            daemon=rng.randrange(sizes.daemons),
+            output_tokens=max(
+                4, int(rng.expovariate(1 / deployment.output_tokens))
+            ),
+            daemon=rng.randrange(deployment.daemons),
         )
 
 
@@ -138,11 +144,11 @@
 
 
 def _pick(rng: random.Random, cumulative: list[float]) -> int:
-    drawn = rng.random()
-    for index, bound in enumerate(cumulative):
-        if drawn <= bound:
+    sample = rng.random()
+    for index, upper_bound in enumerate(cumulative):
+        if sample <= upper_bound:
             return index
     return len(cumulative) - 1
 
 
-__all__ = ["DEPLOYMENTS", "Ask", "Deployment", "Workload"]
+__all__ = ["DEPLOYMENTS", "Request", "Deployment", "Workload"]
