--- a/tests/cases/availability.py
+++ b/tests/cases/availability.py
@@ -1,4 +1,4 @@
-"""What servers say of their availability, as the core keeps to it."""
+"""Servers that leave or request a rest, as the core and backend treat them."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from godwittack.peer import pending, wire
 from godwittack.platform import servers
 
-STARTED = "x@5"
-STARTED_AGAIN = "x@9"
+INCARNATION = "x@5"
+NEXT_INCARNATION = "x@9"
 DAY_MS = 86_400_000
 DECLINED = inputs.FailurePhase.DECLINED
 REFUSED = inputs.FailureCause.REFUSED
@@ -27,7 +27,7 @@
 
 
 def _list(core: Core, **fields) -> None:
-    entry = {"address": "10.0.0.9:1", "incarnation": STARTED, **fields}
+    entry = {"address": "10.0.0.9:1", "incarnation": INCARNATION, **fields}
     core.list_server("x", routed_core.SERVICE, **entry)
 
 
@@ -36,7 +36,7 @@
 
 
 def an_entry_that_goes_and_comes_back_keeps_a_server_leaving() -> None:
-    """Guards against leaving that is forgotten with a row of the list."""
+    """Guards against leaving that is forgotten with a server's entry."""
     core = Core()
     _list(core)
     core.tell(server_inputs.ServerLeaving, "x")
@@ -45,7 +45,7 @@
     assert _leaves(core)
 
 
-def another_address_of_the_same_start_keeps_a_server_leaving() -> None:
+def another_address_of_the_same_incarnation_keeps_a_server_leaving() -> None:
     """Guards against leaving that is forgotten with an address."""
     core = Core()
     _list(core)
@@ -54,30 +54,30 @@
     assert _leaves(core)
 
 
-def a_peer_told_of_a_start_before_does_not_take_the_next_one_out() -> None:
-    """Guards against late news that keeps a reborn server from service."""
+def leaving_of_an_earlier_incarnation_does_not_affect_the_next_one() -> None:
+    """Guards against late updates that keep a restarted server unused."""
     core = Core()
     _list(core)
-    _list(core, incarnation=STARTED_AGAIN)
-    core.tell(server_inputs.ServerLeaving, "x", STARTED)
+    _list(core, incarnation=NEXT_INCARNATION)
+    core.tell(server_inputs.ServerLeaving, "x", INCARNATION)
     assert not _leaves(core)
 
 
-def a_peer_told_before_the_entry_is_listed_is_believed() -> None:
-    """Guards against news of a server that is lost before its row is there."""
+def leaving_reported_before_the_entry_is_listed_counts() -> None:
+    """Guards against updates that are lost if they precede the entry."""
     core = Core()
-    core.tell(server_inputs.ServerLeaving, "x", STARTED)
+    core.tell(server_inputs.ServerLeaving, "x", INCARNATION)
     _list(core)
     assert _leaves(core)
 
 
-def news_of_leaving_name_the_start_that_leaves() -> None:
-    """Guards against news that take the next start of a server for this one."""
-    told = pending.PendingNews(leaving={"x": STARTED})
-    later = pending.PendingNews(leaving={"x": STARTED_AGAIN})
-    message = wire.NewsWriter().write(told.followed_by(later), now_ms=0)
+def updates_on_leaving_name_the_incarnation_that_leaves() -> None:
+    """Guards against updates that mix up two incarnations of a server."""
+    earlier = pending.PendingNews(leaving={"x": INCARNATION})
+    later = pending.PendingNews(leaving={"x": NEXT_INCARNATION})
+    message = wire.NewsWriter().write(earlier.followed_by(later), now_ms=0)
     (leaving,) = message.leaving
-    assert (leaving.server_id, leaving.incarnation) == ("x", STARTED_AGAIN)
+    assert (leaving.server_id, leaving.incarnation) == ("x", NEXT_INCARNATION)
 
 
 def _rest(core: Core, server: str, rest_ms: int = 3_000, **fields) -> None:
@@ -91,31 +91,31 @@
         _rest(core, server, rest_ms)
 
 
-def a_server_that_rests_gets_nothing_until_then() -> None:
-    """Guards against a rest that ends with an earlier one, or too soon."""
+def a_resting_server_gets_nothing_until_its_rest_ends() -> None:
+    """Guards against a rest that a later, shorter one cuts short."""
     core = Core()
-    rested_ms = core.now_ms + 3_000
+    rest_until_ms = core.now_ms + 3_000
     _rest(core, "s1", 3_000)
     core.now_ms += 500
     _rest(core, "s1", 1_000)
-    used = set()
+    used_servers = set()
     for number in range(25):
         core.now_ms += 100
         core.tell(inputs.Tick)
         core.arrive("release", f"r{number}")
-        used.add(core.dispatch().server_id)
+        used_servers.add(core.dispatch().server_id)
         core.answer(core.dispatch())
-        if core.now_ms < rested_ms:
-            assert used == {"s2"}, core.now_ms
+        if core.now_ms < rest_until_ms:
+            assert used_servers == {"s2"}, core.now_ms
     core.wait(200)
     for number in range(8):
         core.arrive("release", f"after{number}")
-        used.add(core.dispatch().server_id)
-    assert used == {"s1", "s2"}
+        used_servers.add(core.dispatch().server_id)
+    assert used_servers == {"s1", "s2"}
 
 
 def a_rest_is_no_failure_of_a_server() -> None:
-    """Guards against an honest decline that ejects its server."""
+    """Guards against a server that is ejected for declining a call."""
     core = Core()
     core.arrive("release")
     sent = core.dispatch()
@@ -131,7 +131,7 @@
 
 
 def a_rest_holds_while_its_entry_is_away() -> None:
-    """Guards against a rest that is forgotten with a row of the list."""
+    """Guards against a rest that is forgotten with a server's entry."""
     core = Core()
     _list(core)
     _rest(core, "x")
@@ -140,30 +140,30 @@
     assert core.world.servers["x"].rest_until_ms == core.now_ms + 3_000
 
 
-def a_server_that_starts_again_has_asked_for_nothing() -> None:
-    """Guards against a start that gets no work for what the one before said."""
+def a_new_incarnation_inherits_neither_rest_nor_leaving() -> None:
+    """Guards against a restarted server that gets no work."""
     core = Core()
     _list(core)
     _rest(core, "x", 600_000)
-    core.tell(server_inputs.ServerLeaving, "x", STARTED)
-    _list(core, incarnation=STARTED_AGAIN)
+    core.tell(server_inputs.ServerLeaving, "x", INCARNATION)
+    _list(core, incarnation=NEXT_INCARNATION)
     row = core.world.servers["x"]
     assert (row.rest_until_ms, row.leaving) == (0, False)
-    _rest(core, "x", incarnation=STARTED)
+    _rest(core, "x", incarnation=INCARNATION)
     assert row.rest_until_ms == 0
 
 
-def what_a_later_start_said_holds_once_it_is_listed() -> None:
-    """Guards against a word that the list's late entry takes back."""
+def leaving_of_a_later_incarnation_counts_once_it_is_listed() -> None:
+    """Guards against leaving that is undone by an entry that comes late."""
     core = Core()
     _list(core)
-    core.tell(server_inputs.ServerLeaving, "x", STARTED_AGAIN)
-    _list(core, incarnation=STARTED_AGAIN)
+    core.tell(server_inputs.ServerLeaving, "x", NEXT_INCARNATION)
+    _list(core, incarnation=NEXT_INCARNATION)
     assert _leaves(core)
 
 
-def a_request_waits_for_a_rest_that_ends_in_its_time() -> None:
-    """Guards against callers sent away for a rest that is nearly over."""
+def a_request_waits_for_a_rest_that_ends_before_its_deadline() -> None:
+    """Guards against callers refused for a rest that is nearly over."""
     core = Core()
     _rest_all(core, 1_000)
     core.arrive("release", deadline_ms=3_000)
@@ -174,7 +174,7 @@
 
 
 def a_rest_that_is_made_longer_ends_the_wait() -> None:
-    """Guards against requests held until their deadline for nothing."""
+    """Guards against requests queued until their deadline in vain."""
     core = Core()
     _rest_all(core, 1_000)
     core.arrive("release", deadline_ms=2_000)
@@ -184,7 +184,7 @@
 
 
 def no_more_wait_for_a_rest_than_the_servers_take() -> None:
-    """Guards against a herd that fills the servers as their rest ends."""
+    """Guards against too many requests at the moment when a rest ends."""
     core = Core()
     _rest_all(core, 1_000)
     refused = 0
@@ -194,44 +194,46 @@
     assert refused == 100 - 2 * 16
 
 
-def callers_return_spread_after_the_least_rest() -> None:
-    """Guards against callers that wait in vain, or come back all at once."""
+def retry_times_are_spread_after_the_shortest_rest() -> None:
+    """Guards against callers that retry too early, or all at once."""
     core = Core()
     _rest(core, "s1", 9_000)
     _rest(core, "s2", 4_000)
-    returns_ms = []
+    retry_times_ms = []
     for number in range(50):
         core.arrive("release", f"r{number}", deadline_ms=3_000)
         refused = core.refusal()
         assert refused.outcome is effects.Outcome.NOT_RUN
-        returns_ms.append(refused.retry_after_ms)
-    assert min(returns_ms) >= 4_000 and max(returns_ms) < 4_500
-    assert max(returns_ms) - min(returns_ms) > 250
+        retry_times_ms.append(refused.retry_after_ms)
+    assert min(retry_times_ms) >= 4_000 and max(retry_times_ms) < 4_500
+    assert max(retry_times_ms) - min(retry_times_ms) > 250
 
 
 def no_retry_is_spent_where_all_servers_rest() -> None:
-    """Guards against a retry budget used up by tries that are hopeless."""
+    """Guards against a retry budget used up by retries that must fail."""
     core = Core()
     core.arrive("release", deadline_ms=3_000)
     sent = core.dispatch()
-    before = core.world.target_budgets[routed_core.SERVICE].tokens
+    tokens_before = core.world.target_budgets[routed_core.SERVICE].tokens
     _rest_all(core, 9_000)
     core.fail(sent, DECLINED, REFUSED)
     assert core.refusal().retry_after_ms >= 9_000
-    assert core.world.target_budgets[routed_core.SERVICE].tokens == before
+    assert (
+        core.world.target_budgets[routed_core.SERVICE].tokens == tokens_before
+    )
 
 
-def a_rest_says_nothing_of_how_fast_turns_come() -> None:
-    """Guards against estimates by which all that would wait is refused."""
+def a_rest_does_not_count_in_the_dispatch_interval() -> None:
+    """Guards against estimated waits for which every request is refused."""
     core = Core()
     _rest_all(core, 1_000)
     core.arrive("release", deadline_ms=3_000)
     core.wait(1_050)
-    (turn,) = core.world.dispatch_pacing.values()
-    assert turn.smoothed_ms == 0
+    (interval,) = core.world.dispatch_pacing.values()
+    assert interval.smoothed_ms == 0
 
 
-def what_is_kept_of_servers_is_bounded() -> None:
+def notices_kept_of_servers_are_bounded() -> None:
     """Guards against memory that grows with each server that leaves."""
     core = Core()
     for number in range(availability.MAX_NOTICES + 10):
@@ -243,28 +245,28 @@
     assert not core.world.resting_servers
 
 
-def _read(status: int = 503, **told: str) -> signals.ServerSignals:
-    named = [
+def _read(status: int = 503, **header_values: str) -> signals.ServerSignals:
+    headers = [
         work.Header(name.replace("_", "-"), value)
-        for name, value in told.items()
+        for name, value in header_values.items()
     ]
-    reply = connection.Reply(status=status, headers=named)
+    reply = connection.Reply(status=status, headers=headers)
     return servers.ServerFormat(lambda target: target).signals(reply)
 
 
 def each_way_to_ask_for_rest_is_read() -> None:
-    """Guards against a wish for rest that only one form of it tells."""
-    good = {"3": 3_000, "0.25": 250, " 2 ": 2_000, "0": 0, "99999999": DAY_MS}
-    for text, rest_ms in good.items():
+    """Guards against a Retry-After form that is not read."""
+    valid = {"3": 3_000, "0.25": 250, " 2 ": 2_000, "0": 0, "99999999": DAY_MS}
+    for text, rest_ms in valid.items():
         assert _read(Retry_After=text).rest == Ok(rest_ms), text
-    until, made = (
+    until, sent = (
         "Fri, 04 Dec 2026 10:00:07 GMT",
         "Fri, 04 Dec 2026 10:00:02 GMT",
     )
-    assert _read(Retry_After=until, Date=made).rest == Ok(5_000)
-    assert _read(Retry_After=made, Date=until).rest == Ok(0)
-    beyond = "Fri, 04 Dec 99999 10:00:07 GMT"
-    assert isinstance(_read(Retry_After=beyond, Date=made).rest, Err)
+    assert _read(Retry_After=until, Date=sent).rest == Ok(5_000)
+    assert _read(Retry_After=sent, Date=until).rest == Ok(0)
+    invalid_date = "Fri, 04 Dec 99999 10:00:07 GMT"
+    assert isinstance(_read(Retry_After=invalid_date, Date=sent).rest, Err)
     for text in ("", "-1", "nan", "soon", "1e9", "3 s", until):
         assert isinstance(_read(Retry_After=text).rest, Err), text
     assert _read().rest == Ok(None)
@@ -277,7 +279,7 @@
 
 
 def each_spelling_of_leaving_is_read() -> None:
-    """Guards against a word under a name that is not looked for."""
+    """Guards against a header that is overlooked for its spelling."""
     for name in (
         "Server_Leaving",
         "server_leaving",
@@ -290,19 +292,19 @@
 
 
 def a_rest_that_cannot_be_read_is_a_short_one() -> None:
-    """Guards against a wish for rest that is passed over for its form."""
+    """Guards against a requested rest that is ignored for its format."""
     listener = signals.Listener(clock=ManualClock(5))
-    told = []
-    listener.submit = told.append
+    submitted = []
+    listener.submit = submitted.append
     sender = signals.Sender(server_id="s1", incarnation="s1@3")
     listener.heard(sender, _read(Retry_After="soon"), may_lift_limit=False)
-    (rest,) = told
+    (rest,) = submitted
     assert (rest.server_id, rest.incarnation) == ("s1", "s1@3")
     assert rest.rest_ms == signals.UNREADABLE_REST_MS
 
 
-def what_was_not_sent_is_placed_anew_and_costs_nothing() -> None:
-    """Guards against a retry spent, or a call ended, for what was not sent."""
+def a_withheld_request_is_placed_again_at_no_cost() -> None:
+    """Guards against a retry spent, or a call ended, for an unsent attempt."""
     core = Core()
     for name in ("release", "confirm"):
         core.arrive(name, name)
@@ -320,18 +322,18 @@
         core.wait(3_000)
 
 
-def a_word_that_names_no_start_ends_with_the_one_it_met() -> None:
-    """Guards against leaving that outlives every start of a server."""
+def a_notice_without_an_incarnation_applies_to_one_alone() -> None:
+    """Guards against leaving that outlives the restarts of a server."""
     core = Core()
     core.tell(server_inputs.ServerLeaving, "x")
     _list(core)
     assert _leaves(core)
-    _list(core, incarnation=STARTED_AGAIN)
+    _list(core, incarnation=NEXT_INCARNATION)
     assert not _leaves(core)
 
 
-def a_server_whose_starts_have_no_names_comes_back_with_its_entry() -> None:
-    """Guards against one word that keeps a server from service for good."""
+def a_server_without_incarnation_ids_comes_back_with_its_entry() -> None:
+    """Guards against one notice that keeps a server unused for good."""
     core = Core()
     _list(core, incarnation="")
     core.tell(server_inputs.ServerLeaving, "x")
@@ -341,8 +343,8 @@
     assert not _leaves(core)
 
 
-def who_arrives_as_a_rest_ends_is_not_refused_for_the_wait() -> None:
-    """Guards against a rest taken for the time that a turn takes."""
+def a_request_that_arrives_as_a_rest_ends_is_not_refused() -> None:
+    """Guards against a rest that counts as the interval of dispatches."""
     core = Core()
     _rest_all(core, 1_000)
     for number in range(5):
@@ -353,7 +355,7 @@
 
 
 def a_report_of_a_draining_server_says_that_it_leaves() -> None:
-    """Guards against a state in reports that nobody reads."""
+    """Guards against a state in load reports that is not read."""
     wire_format = servers.ServerFormat(lambda target: target)
     states = {'"draining"': True, '"ready"': False, "7": False, "null": False}
     for state, is_leaving in states.items():
--- a/tests/cases/quarantines.py
+++ b/tests/cases/quarantines.py
@@ -1,4 +1,4 @@
-"""Which requests are in quarantine, decided by the core."""
+"""Which requests the core puts in quarantine."""
 
 from __future__ import annotations
 
@@ -11,8 +11,9 @@
 CONNECT = inputs.FailurePhase.CONNECT
 ENDED = inputs.FailureCause.ENDED
 SERVERS = 8
-# Shorter than the time in which a server's end explains a closed connection.
-SOON_MS = 50
+# Shorter than the window in which a server's end makes a closed connection a
+# crash.
+SHORT_WAIT_MS = 50
 
 
 def _core(**fields) -> routed_core.Core:
@@ -20,25 +21,25 @@
 
 
 def _crash(core: routed_core.Core, name: str = "short", *, content="f") -> None:
-    """Sends a request whose server ends under it."""
+    """Sends a request during which its server crashes."""
     core.arrive(name, f"r{core.now_ms}", fingerprint=content)
     sent = core.dispatch()
     core.fail(sent, SENT)
-    made = core.tell(
+    produced = core.tell(
         server_inputs.ProbeAnswered, sent.server_id, alive=False, ended=True
     )
     core.tell_named(
         server_inputs.ServerListed, server_id=sent.server_id, gone=True
     )
-    core.made = made
+    core.made = produced
     core.now_ms += 1
 
 
-def _told(core: routed_core.Core, kind: str = "crashes") -> tuple:
+def _announced(core: routed_core.Core, kind: str = "crashes") -> tuple:
     return tuple(
         item
-        for told in core.find(effects.TellCrashes)
-        for item in getattr(told, kind)
+        for effect in core.find(effects.TellCrashes)
+        for item in getattr(effect, kind)
     )
 
 
@@ -61,21 +62,21 @@
     cores = [_core() for _ in range(4)]
     crashes = []
     for number, core in enumerate(cores[:3]):
-        for ended in range(1, number + 1):
-            core.tell(server_inputs.ServerLeaving, f"e{ended}")
+        for crashed in range(1, number + 1):
+            core.tell(server_inputs.ServerLeaving, f"e{crashed}")
         _crash(core)
-        crashes.extend(_told(core))
+        crashes.extend(_announced(core))
     assert len({crash.start for crash in crashes}) == 3, crashes
     for core in cores:
         core.tell(inputs.CrashesTold, tuple(crashes))
         assert _is_refused(core)
 
 
-def news_of_crashes_in_any_order_leads_to_one_quarantine() -> None:
-    """Guards against views that depend on the order in which news arrives."""
+def crash_reports_in_any_order_lead_to_one_quarantine() -> None:
+    """Guards against views that depend on the order of crash reports."""
     for seed in range(200):
         rng = random.Random(seed)
-        news = [
+        reports = [
             quarantine.Crash(
                 content=f"c{rng.randrange(4)}",
                 start=f"s{rng.randrange(6)}",
@@ -87,23 +88,23 @@
         views = []
         for _ in range(3):
             known = quarantine.Quarantine()
-            heard = news + rng.sample(news, 5)
-            rng.shuffle(heard)
-            for crash in heard:
+            received = reports + rng.sample(reports, 5)
+            rng.shuffle(received)
+            for crash in received:
                 known.add(crash)
             views.append(known)
         assert len({known.digest() for known in views}) == 1, seed
         expected = {
             content
-            for content in {crash.content for crash in news}
-            if len({c.start for c in news if c.content == content})
+            for content in {crash.content for crash in reports}
+            if len({c.start for c in reports if c.content == content})
             >= quarantine.CRASHES_TO_QUARANTINE
         }
         assert len(views[0]) == len(expected), seed
 
 
 def a_lost_answer_is_no_crash() -> None:
-    """Guards against a quarantine by connections that broke alone."""
+    """Guards against a quarantine for broken connections without a crash."""
     core = _core()
     for number in range(6):
         core.arrive("short", f"r{number}", fingerprint="f")
@@ -115,13 +116,13 @@
             alive=True,
             incarnation=sent.stamp.incarnation,
         )
-        assert not _told(core), number
+        assert not _announced(core), number
         core.wait(3_000)
     assert not _is_refused(core)
 
 
 def an_end_long_after_a_broken_connection_is_no_crash() -> None:
-    """Guards against connections that broke before a planned shutdown."""
+    """Guards against counting a planned shutdown after a broken connection."""
     core = _core()
     for number in range(4):
         core.arrive("short", f"r{number}", fingerprint="f")
@@ -131,11 +132,11 @@
         core.tell_named(
             server_inputs.ServerListed, server_id=sent.server_id, gone=True
         )
-        assert not _told(core)
+        assert not _announced(core)
 
 
 def a_server_that_leaves_has_not_crashed() -> None:
-    """Guards against requests that a planned shutdown cut."""
+    """Guards against counting requests that a planned shutdown cuts off."""
     core = _core()
     for number in range(4):
         core.arrive("short", f"r{number}", fingerprint="f")
@@ -145,12 +146,12 @@
         core.tell_named(
             server_inputs.ServerListed, server_id=sent.server_id, gone=True
         )
-        assert not _told(core)
+        assert not _announced(core)
     assert not _is_refused(core)
 
 
-def a_third_crash_is_not_followed_by_a_retry_of_ours() -> None:
-    """Guards against a retry that is faster than the news of a server's end."""
+def a_third_crash_is_not_followed_by_a_retry() -> None:
+    """Guards against a retry before the end of the server is known."""
     core = _core()
     for _ in range(2):
         _crash(core)
@@ -160,38 +161,40 @@
     assert core.refusal().status == 502
 
 
-def a_run_that_ends_clears_what_ran_beside_a_crash() -> None:
-    """Guards against harmless requests refused for what ran beside them."""
+def a_completed_run_clears_a_request_that_ran_beside_a_crash() -> None:
+    """Guards against refusing requests that ran beside one that crashes."""
     core = _core()
     _crash(core)
     _crash(core)
     assert not _is_refused(core)
-    assert [done.content for done in _told(core, "completions")] == ["desk/f"]
+    assert [
+        completion.content for completion in _announced(core, "completions")
+    ] == ["desk/f"]
     _crash(core)
     assert not _is_refused(core)
 
 
-def a_run_that_ends_at_any_daemon_lifts_a_quarantine() -> None:
-    """Guards against a quarantine that stays though the request is harmless."""
+def a_run_completed_at_any_daemon_lifts_a_quarantine() -> None:
+    """Guards against a lasting quarantine of a harmless request."""
     core, other = _core(), _core()
     core.arrive("long", "begun", fingerprint="f")
-    begun = core.dispatch()
-    core.open(begun)
-    core.frames(begun, 1)
+    started = core.dispatch()
+    core.open(started)
+    core.frames(started, 1)
     for _ in range(3):
         _crash(core)
     assert _is_refused(core)
     other.tell(inputs.CrashesTold, core.world.quarantine.crashes_to_exchange())
     assert _is_refused(other)
-    core.frames(begun, 2, end=True)
-    completions = _told(core, "completions")
+    core.frames(started, 2, end=True)
+    completions = _announced(core, "completions")
     assert completions
     other.tell(inputs.CrashesTold, (), completions)
     assert not _is_refused(core)
     assert not _is_refused(other)
 
 
-def others_are_served_while_one_request_is_in_quarantine() -> None:
+def other_requests_are_served_while_one_is_in_quarantine() -> None:
     """Guards against a quarantine by path or body alone."""
     core = _core()
     for _ in range(3):
@@ -201,8 +204,8 @@
     assert not _is_refused(core, "open", token_sha256="")
 
 
-def what_runs_elsewhere_is_stopped_by_a_quarantine() -> None:
-    """Guards against a fourth server that ends by what was on its way."""
+def a_quarantine_stops_attempts_in_progress() -> None:
+    """Guards against a fourth server that crashes on an earlier attempt."""
     core = _core()
     for name, request in (("short", "stream"), ("confirm", "once")):
         core.arrive(name, request, fingerprint="f")
@@ -220,8 +223,8 @@
     assert "once" in core.world.requests
 
 
-def what_waits_is_refused_by_a_quarantine() -> None:
-    """Guards against a held-back request that is sent in its turn."""
+def a_quarantine_refuses_queued_requests() -> None:
+    """Guards against dispatching a queued request that is in quarantine."""
     core = _core(hold_ms=0, slots=1)
     for name in list(core.world.servers):
         core.tell_named(
@@ -244,7 +247,7 @@
         for n in range(3)
     )
     core.tell(inputs.CrashesTold, crashes)
-    core.wait(SOON_MS)
+    core.wait(SHORT_WAIT_MS)
     refused = core.refusal()
     assert (refused.status, refused.outcome) == (
         503,
@@ -253,7 +256,7 @@
 
 
 def a_quarantine_ends_and_a_further_crash_doubles_it() -> None:
-    """Guards against a request refused for ever, or let through each time."""
+    """Guards against refusing a request forever, or accepting it each time."""
     core = _core()
     for _ in range(3):
         _crash(core)
@@ -263,15 +266,15 @@
     assert _is_refused(core)
     core.now_ms += quarantine.QUARANTINE_MS
     core.confirm()
-    core.wait(SOON_MS)
+    core.wait(SHORT_WAIT_MS)
     assert _is_refused(core)
     core.now_ms += quarantine.QUARANTINE_MS
     core.confirm()
     assert not _is_refused(core)
 
 
-def a_server_that_falls_silent_under_requests_counts() -> None:
-    """Guards against servers that a request takes with no closed connection."""
+def a_server_that_stops_responding_to_a_request_counts() -> None:
+    """Guards against crashes missed where no connection is closed."""
     core = _core()
     for number in range(3):
         core.arrive("short", f"r{number}", fingerprint="f")
@@ -281,12 +284,12 @@
         core.tell_named(
             server_inputs.ServerListed, server_id=sent.server_id, gone=True
         )
-        assert _told(core), number
+        assert _announced(core), number
     assert _is_refused(core)
 
 
-def starts_of_one_server_count_each() -> None:
-    """Guards against a server that restarts under its id counted once."""
+def each_incarnation_of_one_server_counts() -> None:
+    """Guards against counting a server that restarts under its id once."""
     core = _core()
     names = [f"e{number}" for number in range(2, SERVERS + 1)]
     for name in names:
@@ -301,8 +304,8 @@
     assert _is_refused(core)
 
 
-def an_older_completed_run_takes_back_no_newer_one() -> None:
-    """Guards against crashes that come back by late news of an old run."""
+def an_older_completed_run_does_not_replace_a_newer_one() -> None:
+    """Guards against crashes that count again after a late report."""
     known = quarantine.Quarantine()
 
     def crash(start: str, at_ms: int) -> bool:
@@ -319,8 +322,8 @@
     assert not crash("s3", 50)
 
 
-def news_that_is_lost_is_made_up_for() -> None:
-    """Guards against daemons that never hear of a crash told once."""
+def an_exchange_makes_up_for_lost_crash_reports() -> None:
+    """Guards against daemons that miss a crash that is reported once."""
     known = [quarantine.Quarantine() for _ in range(2)]
     for number in range(5):
         known[number % 2].add(
@@ -329,15 +332,15 @@
             )
         )
     assert known[0].digest() != known[1].digest()
-    for told, heard in (known, reversed(known)):
-        for crash in told.crashes_to_exchange():
-            heard.add(crash)
+    for sender, receiver in (known, reversed(known)):
+        for crash in sender.crashes_to_exchange():
+            receiver.add(crash)
     assert known[0].digest() == known[1].digest() != 0
     assert [len(view) for view in known] == [1, 1]
 
 
 def crashes_remembered_are_bounded() -> None:
-    """Guards against callers that fill the memory with ever new requests."""
+    """Guards against callers that fill memory with ever new requests."""
     known = quarantine.Quarantine()
     for number in range(quarantine.MAX_CONTENTS + 500):
         for start in range(3 if number < 10 else 1):
--- a/tests/cases/registry.py
+++ b/tests/cases/registry.py
@@ -23,7 +23,7 @@
     "freshness",
     "adapter",
     "entries",
-    "paces",
+    "prefill_costs",
     "logs",
     "peers",
     "starts",
--- a/tests/cases/repeats.py
+++ b/tests/cases/repeats.py
@@ -1,4 +1,4 @@
-"""How often requests are repeated, over all daemons and for one caller."""
+"""How often requests are repeated, by all daemons and for one caller."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def restarts_in_series_grant_no_further_bursts() -> None:
-    """Guards against a full part of the burst at each start of a daemon."""
+    """Guards against a full share of the burst at each start of a daemon."""
     for seed in range(3):
         fleet = repeat_fleets.Fleet(seed=seed, daemons=63)
         fleet.play(12_000)
@@ -26,8 +26,8 @@
         assert len(fleet.repeats_ms) > fleet.load.slack, seed
 
 
-def daemons_that_start_alone_own_no_whole_burst() -> None:
-    """Guards against parts reckoned for the few that a newcomer knows."""
+def daemons_that_start_alone_get_no_whole_burst() -> None:
+    """Guards against shares computed from the few peers known at first."""
     for seed in range(3):
         load = repeat_fleets.Load(slack=52.0, requests_per_s=300.0)
         fleet = repeat_fleets.Fleet(seed=seed, daemons=24, load=load)
@@ -35,12 +35,12 @@
         assert fleet.excess() <= 0, (seed, fleet.excess())
 
 
-def daemons_that_join_part_and_are_replaced_keep_to_the_budget() -> None:
-    """Guards against parts that add up to more while views differ."""
+def daemons_that_join_partition_and_are_replaced_keep_to_the_budget() -> None:
+    """Guards against shares that exceed the budget while views differ."""
     for seed in range(6):
         fleet = repeat_fleets.Fleet(seed=seed, daemons=24)
         fleet.play(11_000)
-        newest = 24
+        next_address = 24
         for _ in range(8):
             change = fleet.rng.choice(("kill", "part", "join", "replace"))
             match change:
@@ -50,17 +50,17 @@
                 case "part":
                     fleet.part(fleet.rng.choice((1, 2, 3)))
                 case "join":
-                    fleet.start(newest)
-                    newest += 1
+                    fleet.start(next_address)
+                    next_address += 1
                 case "replace":
-                    fleet.replace(min(fleet.running), newest)
-                    newest += 1
+                    fleet.replace(min(fleet.running), next_address)
+                    next_address += 1
             fleet.play(fleet.rng.choice((300, 1_500, 4_000)))
         assert fleet.excess() <= 0, (seed, fleet.excess())
 
 
 def a_stream_that_stops_again_and_again_runs_on_two_servers() -> None:
-    """Guards against a resumed stream that isn't counted as one more run."""
+    """Guards against a resumed stream that isn't counted as another run."""
     core = routed_core.Core(servers=6, frame_gap_ms=SILENT_MS)
     core.arrive("long", "r", deadline_ms=20_000)
     sent = core.dispatch()
@@ -68,34 +68,34 @@
     for number in range(1, 6):
         core.open(sent)
         core.frames(sent, number)
-        again = [
-            made
-            for made in core.wait(SILENT_MS + 100)
-            if isinstance(made, effects.Dispatch)
+        retries = [
+            effect
+            for effect in core.wait(SILENT_MS + 100)
+            if isinstance(effect, effects.Dispatch)
         ]
-        if not again:
+        if not retries:
             break
-        (sent,) = again
+        (sent,) = retries
         ran.append(sent.server_id)
     assert len(ran) == 2, ran
 
 
 def a_call_without_an_answer_runs_on_two_servers() -> None:
-    """Guards against a call moved for its server's silence and not counted."""
+    """Guards against a retry after a server's silence that isn't counted."""
     core = routed_core.Core(servers=6, answer_patience_ms=SILENT_MS)
     core.arrive("release", "r", deadline_ms=20_000)
     ran = [core.dispatch().server_id]
     for _ in range(4):
         ran.extend(
-            made.server_id
-            for made in core.wait(SILENT_MS + 100)
-            if isinstance(made, effects.Dispatch)
+            effect.server_id
+            for effect in core.wait(SILENT_MS + 100)
+            if isinstance(effect, effects.Dispatch)
         )
     assert len(ran) == 2, ran
 
 
-def a_server_that_ends_again_under_its_name_counts_again() -> None:
-    """Guards against crashes taken for one where starts have no name."""
+def a_server_that_crashes_again_under_its_id_counts_again() -> None:
+    """Guards against counting crashes once where no incarnation is given."""
     core = routed_core.Core(servers=1)
     refused = False
     crashes = 0
@@ -116,8 +116,8 @@
     assert refused and crashes == 3, crashes
 
 
-def a_crash_heard_of_before_it_is_seen_counts_once() -> None:
-    """Guards against a start renamed while its connections still close."""
+def a_crash_reported_by_a_peer_before_it_is_seen_counts_once() -> None:
+    """Guards against a new incarnation id while connections still close."""
     first, late = (routed_core.Core(servers=1) for _ in range(2))
     sent = {}
     for core in (first, late):
@@ -125,19 +125,19 @@
         sent[core] = core.dispatch()
     first.fail(sent[first], SENT)
     first.tell(server_inputs.ProbeAnswered, "s1", alive=False, ended=True)
-    (told,) = first.find(effects.TellCrashes)
-    late.tell(inputs.CrashesTold, told.crashes)
+    (announced,) = first.find(effects.TellCrashes)
+    late.tell(inputs.CrashesTold, announced.crashes)
     late.fail(sent[late], SENT)
     late.tell(server_inputs.ProbeAnswered, "s1", alive=False, ended=True)
-    content = told.crashes[0].content
+    content = announced.crashes[0].content
     known = late.world.quarantine.crashes(content)
     assert len(known) == 1, known
 
 
 def one_crash_seen_by_many_daemons_counts_once() -> None:
-    """Guards against a quarantine by one crash that each daemon names anew."""
+    """Guards against a quarantine by one crash with an id for each daemon."""
     cores = [routed_core.Core(servers=2) for _ in range(5)]
-    told = collections.deque()
+    announced = collections.deque()
     for number, core in enumerate(cores):
         core.now_ms += 40 * number
         core.arrive("release", "r", fingerprint="f")
@@ -146,10 +146,10 @@
         core.tell(
             server_inputs.ProbeAnswered, sent.server_id, alive=False, ended=True
         )
-        for made in core.find(effects.TellCrashes):
-            told.extend(made.crashes)
+        for effect in core.find(effects.TellCrashes):
+            announced.extend(effect.crashes)
     for core in cores:
-        core.tell(inputs.CrashesTold, tuple(told))
+        core.tell(inputs.CrashesTold, tuple(announced))
         core.wait(3_000)
         core.arrive("release", "again", fingerprint="f")
         assert core.find(effects.Dispatch), core.made
--- a/tests/cases/routed.py
+++ b/tests/cases/routed.py
@@ -1,4 +1,4 @@
-"""Requests by routes: what may be sent again, and what callers are told."""
+"""Requests by routes: when they are sent again and how they are answered."""
 
 from __future__ import annotations
 
@@ -33,9 +33,9 @@
 def many_requests_without_keys_are_served() -> None:
     """Requests without keys are not limited together.
 
-    Symptom: a part of the requests without keys gets a 429.
+    Symptom: some of the requests without keys get a 429.
     Sequence: 300 of them arrive within a second.
-    Cause: all shared the limits that a new workspace's row has.
+    Cause: all shared the limits of a new workspace's row.
     """
     core = routed_core.Core()
     for number in range(300):
@@ -48,9 +48,9 @@
 def a_call_that_may_have_run_is_not_sent_again() -> None:
     """A call that may run once is never sent twice.
 
-    Symptom: a stall is confirmed twice.
+    Symptom: a booking is confirmed twice.
     Sequence: the connection breaks after the call was sent.
-    Cause: a lost answer taken for a call that did not run.
+    Cause: a call whose answer was lost was considered not run.
     """
     core = routed_core.Core()
     core.arrive("confirm")
@@ -61,11 +61,11 @@
 
 
 def a_declined_call_goes_to_another_server() -> None:
-    """A server's word that it did not run a call is believed.
+    """A call that a server declines is sent to another server.
 
     Symptom: callers are refused while other servers are free.
     Sequence: the first server answers that it is full.
-    Cause: a declined call taken for one that may have run.
+    Cause: a declined call was treated like one that may have run.
     """
     core = routed_core.Core()
     core.arrive("confirm")
@@ -75,11 +75,11 @@
 
 
 def all_declined_is_not_run() -> None:
-    """A refusal after declined attempts alone is 503, with a time to return.
+    """If all attempts were declined, the refusal is a 503 with a retry time.
 
     Symptom: callers give up on calls that could be repeated safely.
     Sequence: every server declines.
-    Cause: 502 said where 503 would be true.
+    Cause: the refusal was a 502, which leaves open whether the call ran.
     """
     core = routed_core.Core()
     core.arrive("confirm")
@@ -91,12 +91,12 @@
 
 
 def a_failure_answer_is_kept_while_another_server_is_tried() -> None:
-    """A repeatable call that failed is tried elsewhere, its answer kept.
+    """A failed repeatable call is retried; its failure answer is kept.
 
-    Symptom: callers get a server's error although the next would serve them;
-        or an error of our own in its place.
+    Symptom: callers get a server's error although the next server would
+        answer them, or the router's error instead of the server's.
     Sequence: the first server answers 500, the second declines.
-    Cause: an answer taken for final, or thrown away.
+    Cause: the failure answer was treated as final, or discarded.
     """
     core = routed_core.Core()
     core.arrive("release")
@@ -107,11 +107,11 @@
 
 
 def a_failure_answer_of_a_call_that_runs_once_is_final() -> None:
-    """A server's 500 says that the call has run.
+    """After a 500, a call that runs once may have run.
 
     Symptom: a call that may run once runs twice.
     Sequence: the server answers 500.
-    Cause: the failure taken for a reason to try elsewhere.
+    Cause: the failure led to a retry at another server.
     """
     core = routed_core.Core()
     core.arrive("confirm")
@@ -121,11 +121,11 @@
 
 
 def a_stream_goes_on_at_another_server() -> None:
-    """A resumable stream that breaks goes on after its last event.
+    """A resumable stream that breaks continues after its last event.
 
-    Symptom: events come twice, are missing, or the stream starts anew.
-    Sequence: events 2 and 3 came, then the connection broke.
-    Cause: the second server asked for the whole stream.
+    Symptom: events are duplicated or missing, or the stream starts again.
+    Sequence: events 2 and 3 arrive, then the connection breaks.
+    Cause: the second server was asked for the whole stream.
     """
     core = routed_core.Core()
     core.arrive("long")
@@ -145,11 +145,11 @@
 
 
 def a_stream_that_may_not_be_resumed_breaks() -> None:
-    """A stream that can't be resumed ends broken, never as if whole.
+    """A stream that can't be resumed ends as broken, not as complete.
 
     Symptom: an answer without its end looks complete.
     Sequence: the connection breaks after two events.
-    Cause: the end of a connection taken for the end of the stream.
+    Cause: the end of the connection counted as the end of the stream.
     """
     core = routed_core.Core()
     core.arrive("short")
@@ -161,12 +161,12 @@
     assert not core.find(effects.Dispatch)
 
 
-def a_silent_stream_of_the_other_kind_is_not_sent_again() -> None:
-    """Silence before the first event is no proof that nothing runs.
+def a_silent_stream_that_may_not_be_resumed_is_not_sent_again() -> None:
+    """A stream without a first event may still be running.
 
     Symptom: a stream that may run once runs at two servers.
     Sequence: no event comes for 2.5 s.
-    Cause: the rule for resumable streams used for all.
+    Cause: the rule for resumable streams was applied to all streams.
     """
     core = routed_core.Core(first_frame_ms=2_000)
     core.arrive("short")
@@ -175,12 +175,12 @@
 
 
 def a_resumable_stream_without_first_event_moves() -> None:
-    """A server that went dark costs a resumable stream two seconds.
+    """A resumable stream leaves a server that stopped responding after 2 s.
 
     Symptom: callers wait until their deadline for a server that crashed.
-    Sequence: the server goes dark before the first event.
-    Cause: a routed stream not known to be a stream, so that the patience for
-        whole answers, 120 s, was used.
+    Sequence: the server stops responding before the first event.
+    Cause: the routed stream was not recognized as a stream, so the timeout
+        for whole answers, 120 s, applied.
     """
     core = routed_core.Core(first_frame_ms=2_000)
     core.arrive("long")
@@ -189,12 +189,12 @@
     assert core.dispatch().server_id != first.server_id
 
 
-def the_route_s_time_ends_a_request() -> None:
-    """At the route's time a caller gets a final answer.
+def the_route_s_timeout_ends_a_request() -> None:
+    """At the route's timeout a caller gets a final answer.
 
     Symptom: callers hang on a server that does not answer.
-    Sequence: a call is sent, and nothing comes back for 3 s.
-    Cause: only the caller's own deadline was looked at.
+    Sequence: a call is sent, and nothing is received for 3 s.
+    Cause: only the caller's own deadline was checked.
     """
     core = routed_core.Core()
     core.arrive("confirm")
@@ -203,12 +203,12 @@
     assert core.find(effects.CancelAttempt)
 
 
-def a_key_taken_away_in_the_queue_is_not_served() -> None:
-    """A key is looked at again before its request is sent on.
+def a_key_revoked_while_its_request_is_queued_is_not_served() -> None:
+    """A key is checked again before its request is dispatched.
 
-    Symptom: a request runs after its key was taken away for good.
-    Sequence: a request waits; the key goes; the request's turn comes.
-    Cause: keys checked on arrival alone.
+    Symptom: a request runs after its key was revoked for good.
+    Sequence: a request is queued; its key is revoked; a server gets free.
+    Cause: keys were checked on arrival only.
     """
     core = routed_core.Core(servers=1, hold_ms=0)
     core.world.servers["e1"].draining_until_ms = core.now_ms + 400
@@ -228,9 +228,9 @@
 def keys_are_refused_once_nothing_confirms_them() -> None:
     """A daemon that can't reach the store stops serving keys.
 
-    Symptom: a key taken away is served by a daemon that is cut off.
-    Sequence: the last confirmation lapses; requests arrive.
-    Cause: the table taken for current without a word from the store.
+    Symptom: a daemon that is cut off serves a revoked key.
+    Sequence: the serving lease expires; requests arrive.
+    Cause: the table counted as current without confirmation by the store.
     """
     core = routed_core.Core()
     core.tell(inputs.RightToServe, core.now_ms + 100)
@@ -243,11 +243,11 @@
 
 
 def an_unsafe_call_outlives_its_caller() -> None:
-    """A call that may run once is not broken off when its caller leaves.
+    """A call that may run once is not cancelled when its caller leaves.
 
-    Symptom: work that can't be repeated is left half done.
+    Symptom: work that can't be repeated is left incomplete.
     Sequence: the caller closes its connection while the call runs.
-    Cause: all attempts cancelled alike.
+    Cause: the attempts of all calls were cancelled.
     """
     core = routed_core.Core()
     core.arrive("confirm")
@@ -259,79 +259,80 @@
 
 
 def retries_stay_within_their_budget() -> None:
-    """Retries of a service end where their budget does.
+    """Retries of a service stop when the retry budget is used up.
 
-    Symptom: failing servers get a multiple of the traffic.
+    Symptom: failing servers get a multiple of the usual traffic.
     Sequence: every call fails after it was sent.
-    Cause: each request allowed its attempts, whatever the others used.
+    Cause: each request had its attempts, whatever others had used.
     """
     core = routed_core.Core(servers=3, retry_ratio=0.1, retry_burst=5.0)
-    again = 0
+    retries = 0
     for number in range(100):
         core.arrive("release", f"r{number}")
         core.fail(core.dispatch(), CONNECT)
-        again += len(core.find(effects.Dispatch))
+        retries += len(core.find(effects.Dispatch))
         for sent in core.find(effects.Dispatch):
             core.answer(sent)
         for server in core.world.servers.values():
             server.ejected_until_ms = 0
-    assert 5 <= again <= 16, again
+    assert 5 <= retries <= 16, retries
 
 
 def a_fleet_shares_the_burst_of_retries() -> None:
-    """Nine daemons together have one burst.
+    """Nine daemons together have one retry burst.
 
     Symptom: more retries than the operators allow, summed over daemons.
     Sequence: nine daemons retry at one time.
-    Cause: each took the whole burst for its own.
+    Cause: each daemon used the whole burst.
     """
     core = routed_core.Core(servers=3, retry_ratio=0.0, retry_burst=18.0)
     core.tell(inputs.MembersChanged, tuple(f"d{n}" for n in range(9)))
-    again = 0
+    retries = 0
     for number in range(30):
         core.arrive("release", f"r{number}")
         core.fail(core.dispatch(), CONNECT)
-        again += len(core.find(effects.Dispatch))
+        retries += len(core.find(effects.Dispatch))
         for server in core.world.servers.values():
             server.ejected_until_ms = 0
-    assert again == 1, again
+    assert retries == 1, retries
 
 
-def a_short_urgent_request_passes_long_ones_that_are_held() -> None:
-    """A held prompt delays those of its rank and less urgent ones alone.
+def a_short_urgent_request_passes_long_ones_that_are_queued() -> None:
+    """A queued prompt delays only requests of its or a lower priority.
 
-    Behind one long prompt that waited for 100 ms and more, each request for
-    the model was held, also those that an engine would have begun at once.
+    Behind one long prompt that waited for 100 ms or more, every request for
+    the model was queued, also those that an engine would have started at
+    once.
     """
     core = routed_core.Core(servers=2, hold_ms=100, prefill_us_per_token=15)
     routes = (
         routed_core.route("long", routed_core.ENGINES, streaming=True),
         routed_core.route("short", routed_core.ENGINES, streaming=True),
     )
-    ranked = tuple(
-        dataclasses.replace(route, priority=rank)
-        for route, rank in zip(routes, (1, 0), strict=True)
+    prioritized = tuple(
+        dataclasses.replace(route, priority=priority)
+        for route, priority in zip(routes, (1, 0), strict=True)
     )
-    core.tell(inputs.TableChanged, routed_core.table(2, routes=ranked))
+    core.tell(inputs.TableChanged, routed_core.table(2, routes=prioritized))
     for number in range(8):
         prompt = (work.Level(number, 10_000),)
         core.arrive("long", f"long{number}", levels=prompt)
-    held = [e.name for e in core.find(effects.Event)]
-    assert "queued" in held, held
+    event_names = [e.name for e in core.find(effects.Event)]
+    assert "queued" in event_names, event_names
     core.arrive("short", "short", levels=(work.Level(100, 300),))
     assert core.dispatch().request_id == "short"
     core.arrive("long", "last", levels=(work.Level(101, 300),))
     assert not core.find(effects.Dispatch)
 
 
-def a_model_holds_no_more_than_its_limit_over_all_ranks() -> None:
-    """Requests held in several ranks count together against max_queue."""
+def a_model_queues_no_more_than_its_limit_over_all_priorities() -> None:
+    """Queued requests of all priorities count together for max_queue."""
     core = routed_core.Core(servers=1, hold_ms=0, prefill_us_per_token=15)
     routes = tuple(
         routed_core.route(
-            name, routed_core.ENGINES, streaming=True, priority=rank
+            name, routed_core.ENGINES, streaming=True, priority=priority
         )
-        for name, rank in (("long", 1), ("short", 0))
+        for name, priority in (("long", 1), ("short", 0))
     )
     table = routed_core.table(2, routes=routes)
     row = table.models[routed_core.ENGINES]
@@ -344,11 +345,11 @@
     assert core.world.queued_count() == 3, core.world.queued_count()
 
 
-def a_busy_service_is_not_asked_for_each_slow_answer() -> None:
-    """Answers that take as long as usual are no sign of a dead server.
+def a_busy_service_is_not_probed_for_each_slow_answer() -> None:
+    """Answers that take as long as usual cause no probe.
 
-    With a queue of 400 ms each server was asked by each daemon for each call,
-    and the questions stood in the same queue.
+    With a queue of 400 ms, each daemon probed each server for each call, and
+    the probes waited in the same queue.
     """
     core = routed_core.Core(servers=2)
     for number in range(40):
@@ -359,17 +360,17 @@
     core.arrive("release", "slow")
     slow = core.dispatch()
     assert not [e for e in core.wait(900) if isinstance(e, effects.Probe)]
-    asked = [e for e in core.wait(600) if isinstance(e, effects.Probe)]
-    assert [probe.server_id for probe in asked] == [slow.server_id]
+    probes = [e for e in core.wait(600) if isinstance(e, effects.Probe)]
+    assert [probe.server_id for probe in probes] == [slow.server_id]
 
 
-def a_dark_server_is_noticed_within_half_a_second() -> None:
-    """Silence of a server that owes an answer is looked into at once.
+def a_server_that_stops_responding_is_noticed_within_half_a_second() -> None:
+    """A server that is silent while requests are in flight is probed at once.
 
     Symptom: for seconds, a third of all requests is lost at a server that
-        went dark; every daemon learns of it by its own losses.
-    Sequence: a server goes dark with a long prompt and a short one; a probe
-        brings nothing.
+        stopped responding; every daemon notices by its own losses only.
+    Sequence: a server stops responding to a long prompt and a short one; a
+        probe fails.
     Cause: only a silence of 2 s before the first event counted.
     """
     core = routed_core.Core()
@@ -392,13 +393,14 @@
     assert core.dispatch().server_id != first.server_id
 
 
-def what_has_no_limit_is_not_counted() -> None:
-    """Workspaces without limits are no news between daemons.
+def demand_without_a_limit_is_not_counted() -> None:
+    """Daemons exchange no demand of workspaces without limits.
 
-    Symptom: two fifths of what daemons tell each other is demand of workspaces
-        that no limit holds for.
+    Symptom: two fifths of what daemons send each other is demand of
+        workspaces without limits.
     Sequence: requests come and go on a table without limits.
-    Cause: every workspace's demand counted, whether or not anybody splits it.
+    Cause: demand was counted for every workspace, even where no limit is
+        shared out by it.
     """
     core = routed_core.Core()
     core.arrive("long", "r1")
@@ -408,19 +410,19 @@
     assert not [cell for cell in cells if not cell.startswith("model/")], cells
 
 
-def many_daemons_ask_a_silent_server_in_turn() -> None:
-    """A server that takes its time is not asked by everybody.
+def many_daemons_probe_a_silent_server_in_turn() -> None:
+    """A slow server is not probed by every daemon.
 
-    Symptom: engines answer as many questions for a sign of life as requests.
+    Symptom: engines answer as many probes as requests.
     Sequence: sixty daemons each wait half a second for a long prompt at an
-        engine; the last one in order hears of a peer's doubt.
-    Cause: every daemon asked after the same short silence.
+        engine; the last one in probe order receives a peer's suspicion.
+    Cause: every daemon probed after the same short silence.
     """
     core = routed_core.Core(servers=1)
-    names = tuple(sorted(["d", *(f"d{n}" for n in range(59))]))
-    core.tell(inputs.MembersChanged, names)
+    daemons = tuple(sorted(["d", *(f"d{n}" for n in range(59))]))
+    core.tell(inputs.MembersChanged, daemons)
     core.arrive("long", "r1")
-    order = assignment.probe_order("e1", names)
+    order = assignment.probe_order("e1", daemons)
     core.world.daemon = order[0]
     assert [p.server_id for p in core.wait(350) if _is_probe(p)] == ["e1"]
     core.world.servers["e1"].last_probe_ms = -10_000
@@ -434,13 +436,13 @@
     return isinstance(effect, effects.Probe)
 
 
-def a_peer_s_doubt_is_a_question_not_an_answer() -> None:
-    """One daemon with a broken path takes no server from the others.
+def a_peer_s_suspicion_causes_a_probe_only() -> None:
+    """A daemon with a broken path takes no server away from the others.
 
     Symptom: a server that works gets no requests from any daemon.
-    Sequence: a daemon that is cut off from a server says so; the server
-        answers here.
-    Cause: another's doubt taken for one's own.
+    Sequence: a daemon that is cut off from a server reports it; the server
+        responds to this daemon.
+    Cause: a peer's suspicion was treated like a failed probe.
     """
     core = routed_core.Core(servers=1)
     core.tell(server_inputs.ServerDoubted, "e1")
@@ -451,11 +453,11 @@
 
 
 def a_busy_server_that_answers_keeps_its_requests() -> None:
-    """A long prompt in which nothing is sent is no reason to move.
+    """A request stays with a silent server that answers a probe.
 
     Symptom: long prompts are computed twice.
-    Sequence: nothing comes for 350 ms; the server answers a probe.
-    Cause: silence alone taken for death.
+    Sequence: nothing is received for 350 ms; the server answers a probe.
+    Cause: a server counted as lost for its silence alone.
     """
     core = routed_core.Core()
     core.arrive("long")
@@ -466,13 +468,14 @@
     assert not core.find(effects.CancelAttempt)
 
 
-def requests_in_line_stay_with_a_server_that_lives() -> None:
-    """Under full load a first event may take longer than a lost one would.
+def queued_requests_stay_with_a_server_that_responds() -> None:
+    """Under full load, a first event may take longer than its timeout.
 
-    Symptom: with two of five servers dark, those that are left are paused in
-        the worst seconds, and prompts that waited there are computed twice.
+    Symptom: with two of five servers down, the remaining ones are ejected
+        when load is highest, and prompts queued there are computed twice.
     Sequence: two prompts wait for 2.5 s at a server that answers others.
-    Cause: every late first event taken for a request that the server lost.
+    Cause: a late first event always counted as a request that the server
+        lost.
     """
     core = routed_core.Core(servers=1, first_frame_ms=2_000)
     core.arrive("short", "other")
@@ -487,12 +490,12 @@
 
 
 def a_request_that_was_overtaken_moves() -> None:
-    """A server that has begun later requests has lost an earlier one.
+    """A server that has started a later request has lost the earlier one.
 
     Symptom: a caller waits until its deadline for a request that hangs.
-    Sequence: two prompts are sent to each of two servers; one server begins
-        the later one alone.
-    Cause: a server that lives taken for one that still comes to it.
+    Sequence: two prompts are sent to each of two servers; one server starts
+        the later one only.
+    Cause: a request stayed with its server as long as the server responded.
     """
     core = routed_core.Core(servers=1, first_frame_ms=2_000)
     core.arrive("long", "r1")
@@ -512,12 +515,12 @@
 
 
 def a_refusal_that_says_not_run_is_true() -> None:
-    """Over many schedules, not run is said only where nothing ran.
+    """Over many schedules, not_run is reported only where nothing ran.
 
     Symptom: a caller repeats a call that has run.
     Sequence: attempts fail, are declined, time out and lose their callers in
         any order.
-    Cause: any that forgets that an attempt may have run.
+    Cause: any path that forgets that an attempt may have run.
     """
     for seed in range(SCHEDULES):
         _one_schedule(random.Random(seed))
@@ -528,23 +531,23 @@
     name = rng.choice(("confirm", "release", "long", "short"))
     core.arrive(name)
     may_have_run = 0
-    once = name in ("confirm", "short")
+    runs_once = name in ("confirm", "short")
     sent = core.find(effects.Dispatch)
     while sent:
         attempt = sent[-1]
         phase = rng.choice((SENT, DECLINED, CONNECT, None))
         if phase is None:
-            made = core.wait(rng.choice((100, 2_000, 7_000)))
+            new_effects = core.wait(rng.choice((100, 2_000, 7_000)))
             may_have_run += 1
         else:
             may_have_run += phase is SENT
             cause = REFUSED if phase is DECLINED else None
-            made = core.fail(attempt, phase, cause)
+            new_effects = core.fail(attempt, phase, cause)
         for refused in core.find(effects.Refuse):
             not_run = refused.status in (408, 421, 429, 503)
             assert not (not_run and may_have_run), (name, refused)
             assert (refused.outcome is NOT_RUN) == not_run, refused
-        sent = [e for e in made if isinstance(e, effects.Dispatch)]
-        assert not (once and may_have_run and sent), (name, sent)
+        sent = [e for e in new_effects if isinstance(e, effects.Dispatch)]
+        assert not (runs_once and may_have_run and sent), (name, sent)
         if phase is None and not sent:
             return
--- a/tests/cases/routed_core.py
+++ b/tests/cases/routed_core.py
@@ -1,4 +1,4 @@
-"""A core with a table of routes, fed by hand."""
+"""A router core with a table of routes, driven by a test."""
 
 from __future__ import annotations
 
@@ -11,11 +11,12 @@
 KEY = "key-of-desk"
 ENGINES = "assistant"
 SERVICE = "booking"
-ALLOWED_MS = 1_000_000
+# Higher than any count, rate or time in milliseconds of these tests.
+NO_LIMIT = 1_000_000
 
 
 def digest(key: str) -> str:
-    """Returns a key's digest, as the table holds it."""
+    """Returns the digest under which the table stores a key."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
@@ -57,7 +58,7 @@
     isolated: frozenset[str] = frozenset(),
 ) -> model.Table:
     """Returns a table with one model and one service."""
-    made = model.Table(
+    result = model.Table(
         version=version,
         forwarding=forwarding.Forwarding(
             routes=routes,
@@ -66,20 +67,22 @@
             isolated=isolated,
         ),
     )
-    made.models[ENGINES] = model.ModelRow(name=ENGINES, weights_version=weights)
-    made.services[SERVICE] = model.ServiceRow(
-        name=SERVICE, max_in_flight=ALLOWED_MS
+    result.models[ENGINES] = model.ModelRow(
+        name=ENGINES, weights_version=weights
     )
-    made.workspaces["desk"] = model.WorkspaceRow(
-        name="desk", max_in_flight=ALLOWED_MS, max_requests_per_s=ALLOWED_MS
+    result.services[SERVICE] = model.ServiceRow(
+        name=SERVICE, max_in_flight=NO_LIMIT
+    )
+    result.workspaces["desk"] = model.WorkspaceRow(
+        name="desk", max_in_flight=NO_LIMIT, max_requests_per_s=NO_LIMIT
     )
     for key in keys:
-        made.workspace_by_token[digest(key)] = "desk"
-    return made
+        result.workspace_by_token[digest(key)] = "desk"
+    return result
 
 
 class Core:
-    """A router with its time, and what it asked for last."""
+    """A router with a manual clock and the effects of its last step."""
 
     def __init__(
         self,
@@ -87,16 +90,16 @@
         servers: int = 2,
         record_to=None,
         started_at_ms: int | None = None,
-        **numbers,
+        **policy_fields,
     ) -> None:
-        numbers = {
+        policy_fields = {
             "budget_by_target": 1,
             "retry_burst": 50.0,
             "old_weights_limit_ms": 8_000,
-            **numbers,
+            **policy_fields,
         }
         self.router = router.Router.from_config(
-            daemon="d", policy=policy.Policy(**numbers)
+            daemon="d", policy=policy.Policy(**policy_fields)
         )
         self.recorder = None
         if record_to is not None:
@@ -104,7 +107,7 @@
         self.now_ms = 1_000 if started_at_ms is None else started_at_ms
         self.made: list[effects.Effect] = []
         if started_at_ms is None:
-            # What has just started owns no part of the retry budget yet.
+            # A daemon that has just started has no share of the retry budget.
             self.tell(inputs.Tick)
             self.now_ms += self.world.policy.retry_window_ms
         self.tell(inputs.TableChanged, table())
@@ -115,29 +118,29 @@
 
     @property
     def world(self):
-        """The core's tables."""
+        """The state of the core."""
         return self.router.world
 
     def tell(self, kind, *args, **fields) -> list[effects.Effect]:
-        """Hands an input over at the present time."""
+        """Processes an input at the current time; returns its effects."""
         return self._step(kind(self.now_ms, *args, **fields))
 
     def tell_named(self, kind, **fields) -> list[effects.Effect]:
-        """Hands over an input whose fields are all named."""
+        """Like `submit`, for an input whose fields are given by name."""
         return self._step(kind(at_ms=self.now_ms, **fields))
 
-    def _step(self, told) -> list[effects.Effect]:
-        self.made = self.router.step(told)
+    def _step(self, input_) -> list[effects.Effect]:
+        self.made = self.router.step(input_)
         if self.recorder is not None:
-            self.recorder.stepped(told, self.made)
+            self.recorder.stepped(input_, self.made)
         return self.made
 
-    def confirm(self, *, for_ms: int = ALLOWED_MS) -> None:
-        """Lets keys be served for a time."""
+    def confirm(self, *, for_ms: int = NO_LIMIT) -> None:
+        """Extends the serving lease, without which keys are refused."""
         self.tell(inputs.RightToServe, self.now_ms + for_ms)
 
     def list_server(self, name: str, target: str, **fields) -> None:
-        """Lists a server; engines with weights 1."""
+        """Lists a server, an engine with weights 1."""
         weights = "1" if target == ENGINES else ""
         self.tell_named(
             server_inputs.ServerListed,
@@ -153,51 +156,51 @@
         )
 
     def arrive(self, name: str, request: str = "r", **fields):
-        """Lets a request for `/name/` arrive."""
+        """Submits a request for `/name/`."""
         fields = {"token_sha256": digest(KEY), "deadline_ms": 6_000, **fields}
-        asked = work.Work(
+        work_item = work.Work(
             kind=work.WorkKind.PLAIN,
             target="",
             host="h",
             path=f"/{name}/x",
             **fields,
         )
-        return self.tell(inputs.RequestArrived, request, asked)
+        return self.tell(inputs.RequestArrived, request, work_item)
 
     def wait(self, ms: int) -> list[effects.Effect]:
-        """Lets time pass and runs upkeep; returns all that it made."""
-        made: list[effects.Effect] = []
+        """Advances the clock with ticks; returns all of their effects."""
+        collected: list[effects.Effect] = []
         for _ in range(max(1, ms // 50)):
             self.now_ms += 50
-            made.extend(self.tell(inputs.Tick))
-        self.made = made
-        return made
+            collected.extend(self.tell(inputs.Tick))
+        self.made = collected
+        return collected
 
     def find(self, kind):
-        """Returns the effects of a kind made last."""
+        """Returns the last effects that are of a type."""
         return [effect for effect in self.made if isinstance(effect, kind)]
 
     def dispatch(self) -> effects.Dispatch:
-        """Returns the one dispatch made last."""
+        """Returns the only dispatch among the last effects."""
         found = self.find(effects.Dispatch)
         assert len(found) == 1, self.made
         return found[0]
 
     def refusal(self) -> effects.Refuse:
-        """Returns the one refusal made last."""
+        """Returns the only refusal among the last effects."""
         found = self.find(effects.Refuse)
         assert len(found) == 1, self.made
         return found[0]
 
     def fail(self, sent: effects.Dispatch, phase, cause=None):
-        """Lets an attempt fail."""
+        """Reports that an attempt failed."""
         cause = cause or inputs.FailureCause.BROKEN
         return self.tell(
             inputs.AttemptFailed, sent.attempt_id, phase, cause, "test"
         )
 
     def answer(self, sent: effects.Dispatch, status: int = 200):
-        """Lets an attempt bring a whole answer."""
+        """Delivers the whole answer of an attempt."""
         return self.tell(
             inputs.AnswerArrived,
             sent.attempt_id,
@@ -207,7 +210,7 @@
         )
 
     def open(self, sent: effects.Dispatch):
-        """Lets the head of a stream come."""
+        """Delivers the head of a stream."""
         head = work.Head(200, (work.Header("sig", sent.server_id),))
         return self.tell(
             inputs.AttemptOpened,
@@ -218,11 +221,13 @@
         )
 
     def frames(self, sent: effects.Dispatch, *numbers: int, end: bool = False):
-        """Lets events of a stream come."""
-        made = [work.Frame(n, b"%d;" % n) for n in numbers]
+        """Delivers events of a stream."""
+        delivered = [work.Frame(n, b"%d;" % n) for n in numbers]
         if end:
-            made.append(work.Frame((numbers or (0,))[-1] + 1, b"", True))
-        return self.tell(inputs.FramesArrived, sent.attempt_id, tuple(made))
+            delivered.append(work.Frame((numbers or (0,))[-1] + 1, b"", True))
+        return self.tell(
+            inputs.FramesArrived, sent.attempt_id, tuple(delivered)
+        )
 
 
 __all__ = ["ENGINES", "KEY", "SERVICE", "Core", "digest", "route", "table"]
--- a/tests/cases/sourcing.py
+++ b/tests/cases/sourcing.py
@@ -1,4 +1,4 @@
-"""Where a long prompt goes, and where its cached levels come from."""
+"""Where long prompts are placed and where cached levels are copied from."""
 
 from __future__ import annotations
 
@@ -54,11 +54,11 @@
     )
 
 
-def a_prompt_seen_before_goes_where_it_is_held() -> None:
-    """A second question on a rulebook finds it cached.
+def a_prompt_seen_before_goes_where_it_is_cached() -> None:
+    """A second question on a rulebook goes where the rulebook is cached.
 
-    Symptom: every question computes the whole rulebook anew.
-    Sequence: two questions on one rulebook, a second apart, no load.
+    Symptom: the whole rulebook is computed again for every question.
+    Sequence: two questions on one rulebook, a second apart, without load.
     Cause: placement by load alone.
     """
     core = _core()
@@ -70,48 +70,49 @@
     assert second.kv_save_to == ""
 
 
-def a_busy_holder_is_copied_from() -> None:
-    """A holder with a long backlog lends its state to an idle server.
+def cached_state_is_copied_from_a_busy_server() -> None:
+    """An idle server copies the state of one with a long backlog.
 
-    Symptom: questions wait behind each other at one server, others idle.
-    Sequence: the holder has 500 ms of prompts before it.
-    Cause: the cache followed whatever the wait.
+    Symptom: questions queue at one server while others are idle.
+    Sequence: the server with the state has a backlog of 500 ms.
+    Cause: placement by cached state, regardless of the wait.
     """
     core = _core()
     first = _ask(core, "r1")
     core.now_ms += 1_000
-    holder = core.world.servers[first.server_id]
-    holder.backlog_until_ms[0] = core.now_ms + 500.0
+    busy_server = core.world.servers[first.server_id]
+    busy_server.backlog_until_ms[0] = core.now_ms + 500.0
     second = _ask(core, "r2")
     assert second.server_id != first.server_id
-    assert second.kv_fetch_from in (holder.address, STORE)
+    assert second.kv_fetch_from in (busy_server.address, STORE)
 
 
-def what_is_still_computed_is_not_copied() -> None:
-    """A copy is not asked of a server that has not computed the levels yet.
+def state_that_is_still_being_computed_is_not_copied() -> None:
+    """No copy is requested of a server that still computes the levels.
 
-    Symptom: shared levels computed twice at the same time.
-    Sequence: the second question comes 10 ms after the first.
-    Cause: levels taken for cached as soon as they were sent.
+    Symptom: shared levels are computed twice at the same time.
+    Sequence: the second question arrives 10 ms after the first.
+    Cause: levels counted as cached as soon as they were sent.
     """
     core = _core()
     first = _ask(core, "r1")
     core.now_ms += 10
     server = core.world.servers[first.server_id]
     request = core.world.requests["r1"]
-    held = cached_state.cached_tokens(
+    copyable_tokens = cached_state.cached_tokens(
         server, request, "1", ready_by_ms=core.now_ms
     )
-    assert held == 0
+    assert copyable_tokens == 0
     assert cached_state.cached_tokens(server, request, "1") == 16_000
 
 
-def a_store_is_named_for_what_may_have_been_lost() -> None:
-    """Long shared levels never depend on one belief.
+def a_store_is_named_for_levels_that_may_be_evicted() -> None:
+    """Long shared levels always have a second source.
 
-    Symptom: levels that were evicted a moment ago are computed again.
-    Sequence: a question goes to the server believed to hold its levels.
-    Cause: no source named where none seemed to be needed.
+    Symptom: levels that were just evicted are computed again.
+    Sequence: a question goes to the server that is believed to cache its
+        levels.
+    Cause: no source was named where none seemed necessary.
     """
     core = _core()
     first = _ask(core, "r1")
@@ -121,10 +122,10 @@
 
 
 def prompts_with_one_opening_spread_over_all_engines() -> None:
-    """The home of a prompt follows from all of its shared levels.
+    """The home server of a prompt depends on all of its shared levels.
 
-    By the first level alone, prompts that open with one of three instructions
-    had three homes among 56 engines; one was sent six times the mean.
+    By the first level alone, prompts that start with one of three instructions
+    had three home servers among 56 engines; one got six times the mean load.
     """
     engines = 20
     sent = collections.Counter()
@@ -138,14 +139,14 @@
     assert max(sent.values()) <= 3 * 400 / engines, sent
 
 
-def an_engine_with_few_free_slots_is_left_for_idle_ones() -> None:
+def idle_engines_are_preferred_to_one_with_few_free_slots() -> None:
     """A small cached part is not worth the wait at a nearly full engine.
 
-    Reports are a second old; seven of eight slots in use then are eight of
-    eight now and then, and a short request waits half a second for one.
+    Reports are a second old. Where they show seven of eight slots in use,
+    sometimes all eight are, and a short request waits half a second for one.
     """
     small = (work.Level(7, 55), work.Level(8, 37), work.Level(9, 300))
-    for running, is_left in ((1, False), (7, True)):
+    for running, goes_elsewhere in ((1, False), (7, True)):
         core = _core(servers=6)
         core.world.service_time_ms[routed_core.ENGINES] = 350.0
         core.arrive("short", "first", levels=small)
@@ -165,15 +166,16 @@
                 slots=8,
             )
         core.arrive("short", "again", levels=small)
-        left = core.dispatch().server_id != first.server_id
-        assert left is is_left, (running, left)
+        is_other = core.dispatch().server_id != first.server_id
+        assert is_other is goes_elsewhere, (running, is_other)
 
 
-def an_engine_that_comes_back_idle_is_not_sent_everything() -> None:
+def an_engine_that_comes_back_idle_does_not_get_all_requests() -> None:
     """Forty daemons with one report don't all choose the one idle engine.
 
-    Each sent its next requests to an engine that had just loaded new weights:
-    eight slots, and a wait of half a second behind what others had sent.
+    Each sent its next requests to an engine that had just loaded new weights.
+    It had eight slots; requests waited half a second behind those of other
+    daemons.
     """
     daemons, engines = 40, 20
     sent = collections.Counter()
@@ -199,10 +201,10 @@
 
 
 def each_part_is_kept_by_one_of_several_stores() -> None:
-    """Stores of cached state hold different parts, not the same ones.
+    """Stores of cached state keep different parts, not the same ones.
 
-    Each part was saved to every store in turn, by the requests after each
-    other; the stores together held no more than one of them.
+    Successive requests saved each part to every store in turn, so all stores
+    together kept no more than one of them.
     """
     core = _core_with_stores()
     used = collections.Counter()
@@ -223,8 +225,8 @@
     assert len(used) == STORES and min(used.values()) >= 10, used
 
 
-def a_daemon_that_heard_of_no_save_asks_the_store_that_has_it() -> None:
-    """Who saves a part and who looks for it name the same store."""
+def a_daemon_that_knows_of_no_save_fetches_from_the_same_store() -> None:
+    """Daemons that save a part and those that fetch it name one store."""
     for number in range(20):
         part = work.Level(1_000 + number, 13_000)
         sent = []
@@ -232,16 +234,16 @@
             core = _core_with_stores()
             core.arrive("long", "r", levels=(part, OWN))
             sent.append(core.dispatch())
-        saves, asks = sent
-        assert saves.kv_save_to == asks.kv_fetch_from != ""
+        saving, fetching = sent
+        assert saving.kv_save_to == fetching.kv_fetch_from != ""
 
 
 def a_store_that_does_not_answer_is_left_out() -> None:
-    """A dead store is neither asked nor given anything.
+    """An unresponsive store is used neither for fetches nor for saves.
 
-    Symptom: each long prompt waits some hundred milliseconds for nothing.
-    Sequence: the daemon that follows the store gets no answer and says so.
-    Cause: the store taken from the table alone.
+    Symptom: each long prompt waits some hundred milliseconds in vain.
+    Sequence: the daemon that follows the store gets no answer and reports it.
+    Cause: the store was used as long as the table listed it.
     """
     core = _core()
     core.tell(server_inputs.ServerDraining, "keep", core.now_ms + 3_000)
@@ -249,13 +251,12 @@
     assert (sent.kv_fetch_from, sent.kv_save_to) == ("", "")
 
 
-def levels_held_in_part_count_in_part() -> None:
+def partly_cached_levels_count_in_part() -> None:
     """Engines evict from a level's end, block by block.
 
-    Symptom: a server that holds a tenth of a rulebook is taken for its
-        holder.
+    Symptom: a server that caches a tenth of a rulebook counts as having all.
     Sequence: an eviction leaves 1,000 of 13,000 tokens.
-    Cause: a level known as held or not.
+    Cause: a level was recorded either as cached or as not.
     """
     core = _core()
     first = _ask(core, "r1")
@@ -267,34 +268,34 @@
     assert cached_state.cached_tokens(server, request, "1") == 1_000
 
 
-def small_levels_are_not_told_to_peers() -> None:
-    """News of cached levels is that of levels worth knowing.
+def small_levels_are_not_reported_to_peers() -> None:
+    """Peers get updates only on levels of some size.
 
-    Symptom: among sixty daemons a third of all bytes between failure domains
-        are news of levels that an engine computes in half a millisecond.
+    Symptom: among sixty daemons, a third of all bytes between failure domains
+        are updates on levels that an engine computes in half a millisecond.
     Sequence: an engine stores a rulebook and a greeting, evicts the greeting,
         then most of the rulebook, then the rest.
-    Cause: all events passed on alike.
+    Cause: all events were passed on.
     """
     digester = digests.Digester("e1")
-    told = digester.digest(
+    summary = digester.digest(
         _events((1, SHARED.key, 13_000), (2, 99, 55)), now_ms=1
     )
-    assert told.stored == (SHARED.key,)
-    assert told.tokens == (13_000,)
+    assert summary.stored == (SHARED.key,)
+    assert summary.tokens == (13_000,)
     assert digester.digest(_events((3, 99, 0)), now_ms=2) is None
-    told = digester.digest(_events((4, SHARED.key, 100)), now_ms=3)
-    assert (told.stored, told.removed) == ((), (SHARED.key,))
+    summary = digester.digest(_events((4, SHARED.key, 100)), now_ms=3)
+    assert (summary.stored, summary.removed) == ((), (SHARED.key,))
     assert digester.digest(_events((5, SHARED.key, 0)), now_ms=4) is None
     assert digester.sequence == 5
 
 
-def an_engine_that_tells_no_tokens_has_all_its_levels_told() -> None:
-    """The product's own engines tell keys alone; nothing is known as small.
+def all_levels_of_unknown_size_are_reported() -> None:
+    """The product's own engines report keys only, so no level is known small.
 
-    Symptom: placement by cached levels stops working on the own interface.
+    Symptom: placement by cached levels fails on the product's interface.
     Sequence: an engine stores a level of unknown size and evicts it.
-    Cause: no size taken for a small one.
+    Cause: an unknown size counted as a small one.
     """
     digester = digests.Digester("e1")
     assert digester.digest(_events((1, 7, 0, "stored")), now_ms=1).stored == (
@@ -303,12 +304,12 @@
     assert digester.digest(_events((2, 7, 0)), now_ms=2).removed == (7,)
 
 
-def a_small_level_before_a_large_one_is_no_gap() -> None:
-    """A prompt that opens with a greeting is found all the same.
+def an_unreported_small_level_does_not_hide_a_large_one() -> None:
+    """A prompt that starts with a greeting uses the cached rulebook after it.
 
-    Symptom: prompts whose first shared part is small are computed anew.
-    Sequence: nobody tells of the greeting, everybody of the rulebook behind.
-    Cause: the first level that is not known ends the search.
+    Symptom: prompts whose first shared part is small are computed again.
+    Sequence: engines report the rulebook, but not the greeting before it.
+    Cause: the first level that is not known ended the search.
     """
     core = _core()
     greeting = work.Level(key=10, tokens=50)
@@ -325,21 +326,21 @@
     assert cached_state.cached_tokens(server, request, "1") == 13_050
 
 
-def a_small_level_first_casts_no_doubt_on_its_holder() -> None:
-    """A prompt that opens with a greeting is copied from the nearest holder.
+def a_small_first_level_does_not_make_cached_state_look_old() -> None:
+    """A prompt that starts with a greeting is copied from the nearest server.
 
-    Symptom: such prompts come from the store, three times as slow, although
-        an engine has just computed them.
-    Sequence: an idle engine's neighbour and the store hold the rulebook
-        behind a greeting; the neighbour is busy.
-    Cause: when the rulebook was seen taken from the greeting, which nobody
-        tells of, so that it seemed to be long gone.
+    Symptom: such prompts are copied from the store, three times as slow,
+        although an engine has just computed them.
+    Sequence: an idle engine's neighbour and the store have cached the
+        rulebook after a greeting; the neighbour is busy.
+    Cause: the age of the rulebook was taken from the greeting, which engines
+        don't report, so that it seemed to be long evicted.
     """
     core = _core()
     greeting = work.Level(key=10, tokens=50)
     key = levels.key_for_weights(SHARED.key, "1")
-    for holder in ("e1", "keep"):
-        _digest(core, holder, stored=(key,), tokens=(13_000,))
+    for caching_server in ("e1", "keep"):
+        _digest(core, caching_server, stored=(key,), tokens=(13_000,))
     core.world.servers["e1"].backlog_until_ms[0] = core.now_ms + 500.0
     core.arrive("long", "r1", levels=(greeting, SHARED, OWN))
     sent = core.dispatch()
@@ -347,8 +348,8 @@
     assert sent.kv_fetch_from == core.world.servers["e1"].address
 
 
-def _events(*told: tuple) -> protocol.CacheEvents:
-    """Returns a piece of a stream of (number, key, tokens now, kind)."""
+def _events(*event_fields: tuple) -> protocol.CacheEvents:
+    """Returns events from (number, key, remaining tokens, optional kind)."""
     kinds = protocol.CacheEventKind
     return protocol.CacheEvents(
         incarnation="e1",
@@ -361,17 +362,17 @@
                 key,
                 tokens,
             )
-            for number, key, tokens, *kind in told
+            for number, key, tokens, *kind in event_fields
         ),
     )
 
 
-def a_store_that_starts_anew_is_empty() -> None:
-    """What a store held before its restart is not asked for.
+def a_store_that_restarts_is_empty() -> None:
+    """What a store kept before its restart is no longer expected there.
 
     Symptom: after a restart of the store nothing is saved to it again.
-    Sequence: the store holds a rulebook; its numbering begins anew.
-    Cause: the same name taken for the same contents.
+    Sequence: the store has a rulebook; its event numbers start again.
+    Cause: the same name counted as the same contents.
     """
     core = _core()
     _ask(core, "r1")
--- a/tests/cases/waiting.py
+++ b/tests/cases/waiting.py
@@ -1,4 +1,4 @@
-"""Requests held back while servers do less than is asked of them."""
+"""Requests that are queued while servers are overloaded."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 ENGINES = 2
 WORK_MS = 200
 STEP_MS = 10
-PATIENCE_MS = 2_000
+CALLER_TIMEOUT_MS = 2_000
 
 
 class Overload:
-    """One daemon of nine before two engines that others keep busy as well.
+    """One daemon of nine that share two overloaded engines.
 
-    Each engine takes a request of this daemon every 200 ms; by its slots it
-    could take 16 at a time.
+    Each engine completes a request of this daemon every 200 ms, although its
+    slots would admit 16 at a time.
     """
 
     def __init__(self, *, gap_ms: int, deadline_ms: int) -> None:
@@ -35,10 +35,10 @@
         self._busy_ms = {f"e{n}": 0 for n in range(1, ENGINES + 1)}
         self.arrived_ms: dict[str, int] = {}
         self.waited_ms: dict[str, int] = {}
-        self.begun = 0
+        self.started = 0
 
     def play(self, *, seconds: int) -> None:
-        """Lets requests arrive for a time."""
+        """Submits requests for some seconds, and plays the engines."""
         end_ms = self.core.now_ms + seconds * 1_000
         while self.core.now_ms < end_ms:
             self.core.now_ms += STEP_MS
@@ -49,19 +49,19 @@
             if self.core.now_ms % 100 < STEP_MS:
                 self._report()
             if self.core.now_ms % 50 < STEP_MS:
-                self._take(self.core.tell(inputs.Tick))
+                self._handle(self.core.tell(inputs.Tick))
 
     def _arrive(self) -> None:
         name = f"r{self.core.now_ms}"
         self.arrived_ms[name] = self.core.now_ms
-        self._take(
+        self._handle(
             self.core.arrive("long", name, deadline_ms=self._deadline_ms)
         )
 
     def _report(self) -> None:
         for server, busy_ms in self._busy_ms.items():
             left_ms = max(0, busy_ms - self.core.now_ms)
-            self._take(
+            self._handle(
                 self.core.tell_named(
                     server_inputs.LoadReported,
                     server_id=server,
@@ -76,18 +76,18 @@
             )
 
     def _end(self, sent: effects.Dispatch) -> None:
-        self._take(self.core.open(sent))
-        self.begun += 1
-        self._take(self.core.frames(sent, 1, end=True))
+        self._handle(self.core.open(sent))
+        self.started += 1
+        self._handle(self.core.frames(sent, 1, end=True))
 
-    def _take(self, made: list[effects.Effect]) -> None:
-        for effect in made:
+    def _handle(self, new_effects: list[effects.Effect]) -> None:
+        for effect in new_effects:
             if isinstance(effect, effects.Dispatch):
-                begins_ms = max(
+                starts_ms = max(
                     self._busy_ms[effect.server_id], self.core.now_ms
                 )
-                self._busy_ms[effect.server_id] = begins_ms + WORK_MS
-                ends_ms = begins_ms + WORK_MS
+                self._busy_ms[effect.server_id] = starts_ms + WORK_MS
+                ends_ms = starts_ms + WORK_MS
                 heapq.heappush(self._ends, (ends_ms, effect.request_id, effect))
             if isinstance(effect, effects.Refuse):
                 arrived_ms = self.arrived_ms[effect.request_id]
@@ -97,29 +97,29 @@
                 assert effect.retry_after_ms > 0
 
 
-def what_a_lasting_overload_leaves_no_room_for_is_refused_at_once() -> None:
-    """Guards against a queue in which every request waits until it is late."""
+def requests_beyond_capacity_are_refused_at_once() -> None:
+    """Guards against a queue in which all requests miss their deadline."""
     load = Overload(gap_ms=50, deadline_ms=6_000)
     load.play(seconds=30)
     assert load.waited_ms, "nothing was refused"
     late = [ms for ms in load.waited_ms.values() if ms > 500]
-    # Until the first turns are seen, some wait that should not have.
+    # Some are queued in vain until the first dispatch intervals are known.
     assert len(late) <= 0.1 * len(load.arrived_ms), (
         len(late),
         len(load.arrived_ms),
     )
-    assert load.begun >= 0.9 * 30 * ENGINES * 1_000 / WORK_MS, load.begun
+    assert load.started >= 0.9 * 30 * ENGINES * 1_000 / WORK_MS, load.started
 
 
-def a_stream_is_refused_where_its_caller_would_leave_before_it_begins() -> None:
+def a_stream_is_refused_if_its_caller_would_leave_before_it_starts() -> None:
     """Guards against work for callers that leave long before the deadline."""
     load = Overload(gap_ms=50, deadline_ms=6_000)
     load.play(seconds=30)
-    assert max(load.waited_ms.values()) <= PATIENCE_MS, load.waited_ms
+    assert max(load.waited_ms.values()) <= CALLER_TIMEOUT_MS, load.waited_ms
 
 
 def a_queue_that_was_empty_for_long_is_no_sign_of_slow_servers() -> None:
-    """Guards against a pause of the load that is taken for a long turn."""
+    """Guards against a pause in the load that counts as a slow dispatch."""
     load = Overload(gap_ms=50, deadline_ms=6_000)
     load.play(seconds=5)
     load.gap_ms = 250
--- a/tests/cases/weights.py
+++ b/tests/cases/weights.py
@@ -1,4 +1,4 @@
-"""Weights: which servers may serve, and how a roll-out goes on."""
+"""Weights: which servers may serve, and how a roll-out proceeds."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     from godwittack.table import model
 
 
-def _named(core: routed_core.Core, version: str) -> None:
+def _publish_version(core: routed_core.Core, version: str) -> None:
     core.tell(inputs.TableChanged, routed_core.table(2, weights=version))
 
 
@@ -33,15 +33,15 @@
 
 
 def a_server_back_with_replaced_weights_gets_no_work() -> None:
-    """Long after newer weights were named, older ones serve nobody.
+    """Weights that were replaced long ago serve no request.
 
     Symptom: answers by weights that were replaced 15 s ago.
-    Sequence: version 2 is named and loaded; a server that was dark all the
-        while comes back with version 1.
-    Cause: any listed server was as good as another.
+    Sequence: version 2 is published and loaded; a server that was unreachable
+        until then comes back with version 1.
+    Cause: any listed server was used.
     """
     core = routed_core.Core(servers=1)
-    _named(core, "2")
+    _publish_version(core, "2")
     _report(core, "e1", "2")
     core.wait(12_000)
     core.list_server("e2", routed_core.ENGINES, weights_version="1")
@@ -50,17 +50,17 @@
         assert core.dispatch().server_id == "e1"
 
 
-def each_naming_ages_older_weights_by_itself() -> None:
-    """A second naming does not make the first one's weights young again.
+def each_publication_ages_older_weights_separately() -> None:
+    """A second publication does not reset the age of older weights.
 
-    Symptom: a request begins on weights that were replaced 12 s ago.
-    Sequence: version 2 is named; a roll-out loses its lead half way; version
-        3 is named 7 s later; a server still has version 1.
-    Cause: the time of the last naming taken for the time since when any other
-        version is old.
+    Symptom: a request starts on weights that were replaced 12 s ago.
+    Sequence: version 2 is published; the roll-out loses its lead halfway;
+        version 3 is published 7 s later; a server still has version 1.
+    Cause: the age of all other versions was counted from the last
+        publication.
     """
     core = routed_core.Core(servers=1)
-    _named(core, "2")
+    _publish_version(core, "2")
     core.wait(7_000)
     core.tell(inputs.TableChanged, routed_core.table(3, weights="3"))
     core.wait(900)
@@ -78,59 +78,59 @@
 
 
 def older_weights_serve_until_they_are_too_old() -> None:
-    """Just after a naming, servers go on with what they have.
+    """Just after a publication, servers continue with their weights.
 
-    Symptom: all requests are refused while a roll-out goes on.
-    Sequence: version 2 is named; no server has it yet.
-    Cause: only servers with the newest weights counted.
+    Symptom: all requests are refused during a roll-out.
+    Sequence: version 2 is published; no server has it yet.
+    Cause: only servers with the newest weights were used.
     """
     core = routed_core.Core()
-    _named(core, "2")
+    _publish_version(core, "2")
     core.wait(1_000)
     core.arrive("long")
     assert core.dispatch().stamp.weights_version == "1"
 
 
 def a_late_report_does_not_bring_old_weights_back() -> None:
-    """A report made before a load is not believed after it.
+    """A report from before a load is ignored after it.
 
-    Symptom: requests declined for the wrong weights, and the same load
+    Symptom: requests are declined for the wrong weights, and the same load is
         ordered twice.
-    Sequence: the list tells of version 2; a report made 100 ms before it
-        still says 1.
-    Cause: whatever came last was believed.
+    Sequence: the list has version 2; a report made 100 ms earlier still has
+        version 1.
+    Cause: whatever arrived last was used.
     """
     core = routed_core.Core(servers=1)
-    _named(core, "2")
+    _publish_version(core, "2")
     core.list_server("e1", routed_core.ENGINES, weights_version="2")
     _report(core, "e1", "1")
     assert core.world.servers["e1"].weights_version == "2"
 
 
 def new_weights_end_a_drain() -> None:
-    """A server that has loaded takes work at once.
+    """A server that has loaded new weights gets requests at once.
 
-    Symptom: each server stands idle for three seconds after its load.
+    Symptom: each server is idle for three seconds after its load.
     Sequence: a server is drained, loads, and reports the new version.
-    Cause: a drain lapsed by its time alone.
+    Cause: a drain ended only when its time expired.
     """
     core = routed_core.Core(servers=1)
-    _named(core, "2")
+    _publish_version(core, "2")
     core.tell(server_inputs.ServerDraining, "e1", core.now_ms + 3_000)
     _report(core, "e1", "2")
     core.arrive("long")
     assert core.dispatch().server_id == "e1"
 
 
-def scopes_differ_by_version_and_isolation() -> None:
-    """Cached state is shared under one version, and by no isolated workspace.
+def cache_scopes_differ_by_version_and_isolation() -> None:
+    """Cached state is shared within one version, except if isolated.
 
-    Symptom: an answer built on state of older weights, or of a workspace
-        that shares with nobody.
+    Symptom: an answer uses cached state of older weights, or of an isolated
+        workspace.
     Sequence: requests before and after a load, with and without isolation.
-    Cause: stores drop nothing when new weights come.
+    Cause: stores drop nothing when new weights are loaded.
     """
-    seen = set()
+    scopes = set()
     for version in ("1", "2"):
         for isolated in (frozenset(), frozenset({"desk"})):
             core = routed_core.Core(servers=0)
@@ -140,45 +140,45 @@
             )
             core.list_server("e1", "assistant", weights_version=version)
             core.arrive("long")
-            seen.add(core.dispatch().cache_scope)
-    assert len(seen) == 4, seen
+            scopes.add(core.dispatch().cache_scope)
+    assert len(scopes) == 4, scopes
 
 
 def a_refused_order_frees_its_place() -> None:
-    """A server that takes no order does not hold up the others.
+    """A server that refuses an order does not delay the others.
 
-    Symptom: a roll-out stands still for seconds beside a dark server.
+    Symptom: a roll-out stops for seconds because of an unresponsive server.
     Sequence: the order to the first of three servers is refused.
-    Cause: an order that was not taken counted as a load under way.
+    Cause: a refused order counted as a load in progress.
     """
     rolling = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
-    behind = [
+    outdated = [
         rollout.Replica(server_id=name, weights_version="1", busy=3)
         for name in ("a", "b", "c", "d")
     ]
-    rolling.decide(desired_version="2", replicas=behind, now_ms=0)
+    rolling.decide(desired_version="2", replicas=outdated, now_ms=0)
     ordered = rolling.decide(
-        desired_version="2", replicas=behind, now_ms=100
+        desired_version="2", replicas=outdated, now_ms=100
     ).load
     assert ordered == ("a", "b"), ordered
     for name in ordered:
         rolling.record_order(name, now_ms=100)
     rolling.record_refusal("a", now_ms=100)
     drained = rolling.decide(
-        desired_version="2", replicas=behind, now_ms=200
+        desired_version="2", replicas=outdated, now_ms=200
     ).draining
     assert drained == ("b", "c"), drained
 
 
-def no_server_left_is_refused_at_once() -> None:
-    """Where all servers are too old, callers are told so at once.
+def requests_without_a_usable_server_are_refused_at_once() -> None:
+    """If the weights of all servers are too old, requests are refused.
 
-    Symptom: callers wait for an answer that can't come.
-    Sequence: version 2 was named long ago; the only server has version 1.
-    Cause: a request held for a server that takes none.
+    Symptom: callers wait for an answer that can't be given.
+    Sequence: version 2 was published long ago; the only server has version 1.
+    Cause: a request was queued for a server that gets none.
     """
     core = routed_core.Core(servers=1)
-    _named(core, "2")
+    _publish_version(core, "2")
     core.wait(12_000)
     core.arrive("long")
     assert core.refusal().status == 503
@@ -186,14 +186,14 @@
 
 
 def a_server_that_crashes_while_it_loads_frees_its_place() -> None:
-    """A server that answers nothing any more is not waited for.
+    """A roll-out does not wait for a server that stopped responding.
 
-    Symptom: new weights are first ordered 3.9 s after they were named.
-    Sequence: under pressure one server at a time is ordered; it crashes, and
-        its entry lapses four seconds later; newer weights are named.
-    Cause: its load waited for until the limit of a load.
+    Symptom: new weights are first ordered 3.9 s after their publication.
+    Sequence: under load one server at a time is ordered; it crashes, and its
+        entry expires four seconds later; newer weights are published.
+    Cause: its load counted as in progress until the time limit of a load.
     """
-    planned = rollout.Rollout(
+    rolling = rollout.Rollout(
         policy=rollout.RolloutPolicy(order_after_ms=100, load_limit_ms=4_000)
     )
 
@@ -207,7 +207,7 @@
             ),
             rollout.Replica(server_id="e2", weights_version="1", busy=1),
         ]
-        return planned.decide(
+        return rolling.decide(
             desired_version="2",
             replicas=replicas,
             now_ms=now_ms,
@@ -215,39 +215,39 @@
         )
 
     assert decide(0).load == ("e1",)
-    planned.record_order("e1", now_ms=0)
+    rolling.record_order("e1", now_ms=0)
     assert decide(500).draining == ("e1",)
     assert decide(600, reachable=False).draining == ("e2",)
     assert decide(750, reachable=False).load == ("e2",)
 
 
-class _Running:
-    """Stands for the runtime and its clock: the core is told at once."""
+class _DirectRuntime:
+    """A runtime and its clock that pass inputs to the core directly."""
 
-    def __init__(self, fed: routed_core.Core) -> None:
-        self.core = fed.router
+    def __init__(self, driver: routed_core.Core) -> None:
+        self.core = driver.router
         self.clock = self
-        self._fed = fed
+        self._driver = driver
 
     def now_ms(self) -> int:
-        """Returns the time of the core that is fed."""
-        return self._fed.now_ms
+        """Returns the manual time of the core."""
+        return self._driver.now_ms
 
-    def submit(self, told: inputs.Input) -> None:
-        """Hands an input over."""
-        self.core.step(told)
+    def submit(self, input_: inputs.Input) -> None:
+        """Processes an input at once."""
+        self.core.step(input_)
 
 
-class _Followed:
-    """A core with one engine whose tables come as the store is followed."""
+class _StoreReader:
+    """A daemon with one engine that reads its tables from the store."""
 
     def __init__(self) -> None:
         self.core = routed_core.Core(servers=1)
         self.keeper = feed_table.FeedTableKeeper(
-            runtime=_Running(self.core),
+            runtime=_DirectRuntime(self.core),
             peers=None,
             serving_lease=store_lease.StoreServingLease(
-                bound_ms=routed_core.ALLOWED_MS
+                bound_ms=routed_core.NO_LIMIT
             ),
             members=None,
             table_freshness=freshness.Freshness(topic=freshness.Topic.TABLE),
@@ -258,13 +258,13 @@
         self.keeper.table_freshness.record_version(1)
 
     def read(self, table: model.Table | None = None) -> None:
-        """Lets an answer of the store come, with a newer table or without."""
+        """Applies an answer of the store, with a newer table or without."""
         if table is not None:
             assert self.keeper.adopt(table)
         self.keeper.table_freshness.record_confirmation(self.core.now_ms)
 
     def read_for(self, ms: int) -> None:
-        """Lets time pass, with an answer of the store each second."""
+        """Advances the clock, with an answer of the store each second."""
         for _ in range(ms // 1_000):
             self.core.wait(1_000)
             self.read()
@@ -272,22 +272,23 @@
             self.core.wait(ms % 1_000)
 
     def serves(self, request: str) -> bool:
-        """Returns whether the engine gets work."""
+        """Returns whether a new request is sent to an engine."""
         self.core.arrive("long", request)
         return bool(self.core.find(effects.Dispatch))
 
 
-def late_news_of_a_naming_makes_no_weights_young() -> None:
-    """A daemon that hears late of new weights counts from before they were.
+def a_late_table_does_not_make_old_weights_look_recent() -> None:
+    """The age of old weights counts from before a table that arrives late.
 
-    A daemon was suspended for five seconds, and weights were named meanwhile.
-    It sent work to servers with the old ones for eight seconds after it had
-    heard of the new: thirteen after they were named, where the limit is
-    eight. The age was counted from when the table came. It is counted from
-    the store's last word that the table before was the newest; its word on
-    the new one, and a change of routes that follows, date nothing.
+    A daemon was suspended for five seconds; new weights were published
+    meanwhile. It sent requests to servers with the old weights for eight
+    seconds after it received the table: thirteen after the publication, where
+    the limit is eight. The age was counted from the receipt of the table. Now
+    it counts from the store's last confirmation that the previous table was
+    the newest; neither a confirmation of the new table nor a later change of
+    routes changes it.
     """
-    daemon = _Followed()
+    daemon = _StoreReader()
     daemon.read()
     daemon.core.wait(5_000)
     daemon.read(routed_core.table(2, weights="2"))
@@ -301,15 +302,15 @@
     assert not daemon.serves("r2")
 
 
-def namings_heard_of_together_are_of_one_age() -> None:
-    """Of two namings in one table, the one not seen dates nothing later.
+def publications_received_in_one_table_have_one_age() -> None:
+    """Of two publications in one table, the unseen one counts as no later.
 
-    The store's readers were away for three seconds, and versions 2 and 3 were
-    named meanwhile; one table brought both. A server with version 2 and one
-    with version 1 may both have had replaced weights since just after the
-    last word on the table before.
+    The store's readers were disconnected for three seconds; versions 2 and 3
+    were published meanwhile, and one table brought both. The weights of a
+    server with version 2 and of one with version 1 may both have been replaced
+    just after the last confirmation of the previous table.
     """
-    daemon = _Followed()
+    daemon = _StoreReader()
     daemon.read()
     daemon.core.wait(3_000)
     daemon.read(routed_core.table(3, weights="3"))
@@ -323,34 +324,35 @@
     assert not daemon.serves("r4")
 
 
-def news_after_a_long_silence_leaves_a_quarter_of_the_limit() -> None:
-    """A daemon that knows no better takes a naming for three quarters old.
+def a_table_after_a_long_outage_leaves_a_quarter_of_the_limit() -> None:
+    """Without a recent confirmation, a publication counts as 3/4 expired.
 
-    One was cut off for twenty seconds; another had its table from a peer and
-    no word of the store at all. Both counted the age of a naming from when
-    they heard of it, and used the old weights for eight seconds more. Dated by
-    the last word, or by none, all servers would be refused at once, also where
-    weights were named a moment ago; so they go on as a daemon that starts.
+    One daemon was cut off for twenty seconds; another had its table from a
+    peer and no confirmation by the store at all. Both counted the age of a
+    publication from its receipt, and used the old weights for eight seconds
+    more. Counted from the last confirmation, or without one, no server could
+    be used, even if the weights were published a moment ago; so both continue
+    like a daemon that starts.
     """
-    for heard_before in (True, False):
-        daemon = _Followed()
-        if heard_before:
+    for is_confirmed in (True, False):
+        daemon = _StoreReader()
+        if is_confirmed:
             daemon.read()
         daemon.core.wait(20_000)
         daemon.read(routed_core.table(2, weights="2"))
         daemon.read_for(1_900)
         assert daemon.serves("r1")
         daemon.core.wait(200)
-        assert not daemon.serves("r2"), heard_before
+        assert not daemon.serves("r2"), is_confirmed
 
 
-def a_calm_daemon_dates_a_naming_a_second_early_at_most() -> None:
+def a_connected_daemon_dates_a_publication_a_second_early_at_most() -> None:
     """With an answer of the store each second, most of the limit is left.
 
-    Dated by an older word than the last, a naming would take servers out of
-    use while the roll-out still has time.
+    Counted from an older confirmation than the last, a publication would take
+    servers out of use while the roll-out still has time.
     """
-    daemon = _Followed()
+    daemon = _StoreReader()
     daemon.read_for(20_000)
     daemon.core.wait(950)
     daemon.read(routed_core.table(2, weights="2"))
--- a/tests/features/crashing.feature
+++ b/tests/features/crashing.feature
@@ -1,12 +1,12 @@
-Feature: A request that crashes servers is sent to no fourth one
+Feature: A request that crashes three servers is not sent to a fourth
 
   Scenario: Real processes, one crash at each of three daemons
     When the case "a request that crashes servers is quarantined everywhere" of "crashing" is played
 
-  Scenario: Real processes, a daemon that starts after the crashes
-    When the case "a daemon that starts anew learns of quarantines" of "crashing" is played
+  Scenario: Real processes, a daemon that restarts after the crashes
+    When the case "a restarted daemon learns of quarantines" of "crashing" is played
 
-  Scenario: Real processes, a call of a plain service
+  Scenario: Real processes, calls of a plain service
     When the case "a call that crashes plain servers is quarantined" of "crashing" is played
 
   Scenario: Real processes, all daemons killed after the crashes
@@ -20,21 +20,21 @@
     Examples: decisions of the core
       | group | case |
       | quarantines | one crash at each of three daemons is enough |
-      | quarantines | news of crashes in any order leads to one quarantine |
+      | quarantines | crash reports in any order lead to one quarantine |
       | quarantines | a lost answer is no crash |
       | quarantines | an end long after a broken connection is no crash |
       | quarantines | a server that leaves has not crashed |
-      | quarantines | a third crash is not followed by a retry of ours |
-      | quarantines | a run that ends clears what ran beside a crash |
-      | quarantines | a run that ends at any daemon lifts a quarantine |
-      | quarantines | others are served while one request is in quarantine |
-      | quarantines | what runs elsewhere is stopped by a quarantine |
-      | quarantines | what waits is refused by a quarantine |
+      | quarantines | a third crash is not followed by a retry |
+      | quarantines | a completed run clears a request that ran beside a crash |
+      | quarantines | a run completed at any daemon lifts a quarantine |
+      | quarantines | other requests are served while one is in quarantine |
+      | quarantines | a quarantine stops attempts in progress |
+      | quarantines | a quarantine refuses queued requests |
       | quarantines | a quarantine ends and a further crash doubles it |
-      | quarantines | a server that falls silent under requests counts |
-      | quarantines | starts of one server count each |
-      | quarantines | an older completed run takes back no newer one |
-      | quarantines | news that is lost is made up for |
+      | quarantines | a server that stops responding to a request counts |
+      | quarantines | each incarnation of one server counts |
+      | quarantines | an older completed run does not replace a newer one |
+      | quarantines | an exchange makes up for lost crash reports |
       | quarantines | crashes remembered are bounded |
       | crash_rows | rows that cannot be read are passed over |
       | crash_rows | a store that is down is asked again |
--- a/tests/features/platform.feature
+++ b/tests/features/platform.feature
@@ -15,24 +15,24 @@
       | routed | a failure answer of a call that runs once is final |
       | routed | a stream goes on at another server |
       | routed | a stream that may not be resumed breaks |
-      | routed | a silent stream of the other kind is not sent again |
+      | routed | a silent stream that may not be resumed is not sent again |
       | routed | a resumable stream without first event moves |
-      | routed | the route's time ends a request |
-      | routed | a key taken away in the queue is not served |
+      | routed | the route's timeout ends a request |
+      | routed | a key revoked while its request is queued is not served |
       | routed | keys are refused once nothing confirms them |
       | routed | an unsafe call outlives its caller |
       | routed | retries stay within their budget |
       | routed | a fleet shares the burst of retries |
-      | routed | a dark server is noticed within half a second |
-      | routed | a busy service is not asked for each slow answer |
-      | routed | a short urgent request passes long ones that are held |
-      | routed | a model holds no more than its limit over all ranks |
-      | routed | what has no limit is not counted |
-      | routed | many daemons ask a silent server in turn |
-      | routed | a peer's doubt is a question not an answer |
+      | routed | a server that stops responding is noticed within half a second |
+      | routed | a busy service is not probed for each slow answer |
+      | routed | a short urgent request passes long ones that are queued |
+      | routed | a model queues no more than its limit over all priorities |
+      | routed | demand without a limit is not counted |
+      | routed | many daemons probe a silent server in turn |
+      | routed | a peer's suspicion causes a probe only |
       | routed | a busy server that answers keeps its requests |
       | routed | a refusal that says not run is true |
-      | routed | requests in line stay with a server that lives |
+      | routed | queued requests stay with a server that responds |
       | routed | a request that was overtaken moves |
 
     Examples: peers
@@ -80,30 +80,30 @@
       | entries | reports and events bear the start |
       | entries | an engine that tells no weights gets no work |
 
-    Examples: pace of engines
-      | group | case |
-      | paces | a pace is learnt within seconds |
-      | paces | one cached prompt does not make engines look fast |
-      | paces | a crowd does not make engines look slow |
-      | paces | few samples change nothing |
-      | paces | queues look as long as they are |
-      | paces | prompts are told by the time they take |
+    Examples: prefill cost of engines
+      | group         | case |
+      | prefill_costs | the prefill cost is learnt within seconds |
+      | prefill_costs | one cached prompt does not make engines look fast |
+      | prefill_costs | queueing does not make engines look slow |
+      | prefill_costs | few samples change nothing |
+      | prefill_costs | queue estimates use the learnt prefill cost |
+      | prefill_costs | prompts are announced by their computing time |
 
     Examples: weights
       | group   | case |
       | weights | a server back with replaced weights gets no work |
-      | weights | each naming ages older weights by itself |
+      | weights | each publication ages older weights separately |
       | weights | older weights serve until they are too old |
       | weights | a late report does not bring old weights back |
       | weights | new weights end a drain |
-      | weights | scopes differ by version and isolation |
+      | weights | cache scopes differ by version and isolation |
       | weights | a refused order frees its place |
-      | weights | no server left is refused at once |
+      | weights | requests without a usable server are refused at once |
       | weights | a server that crashes while it loads frees its place |
-      | weights | late news of a naming makes no weights young |
-      | weights | namings heard of together are of one age |
-      | weights | news after a long silence leaves a quarter of the limit |
-      | weights | a calm daemon dates a naming a second early at most |
+      | weights | a late table does not make old weights look recent |
+      | weights | publications received in one table have one age |
+      | weights | a table after a long outage leaves a quarter of the limit |
+      | weights | a connected daemon dates a publication a second early at most |
 
     Examples: a server's bytes
       | group | case |
@@ -194,22 +194,22 @@
 
     Examples: long prompts and their cached levels
       | group | case |
-      | sourcing | a prompt seen before goes where it is held |
-      | sourcing | a busy holder is copied from |
-      | sourcing | what is still computed is not copied |
-      | sourcing | a store is named for what may have been lost |
+      | sourcing | a prompt seen before goes where it is cached |
+      | sourcing | cached state is copied from a busy server |
+      | sourcing | state that is still being computed is not copied |
+      | sourcing | a store is named for levels that may be evicted |
       | sourcing | a store that does not answer is left out |
-      | sourcing | levels held in part count in part |
-      | sourcing | small levels are not told to peers |
-      | sourcing | an engine that tells no tokens has all its levels told |
-      | sourcing | a small level before a large one is no gap |
-      | sourcing | a small level first casts no doubt on its holder |
-      | sourcing | a store that starts anew is empty |
+      | sourcing | partly cached levels count in part |
+      | sourcing | small levels are not reported to peers |
+      | sourcing | all levels of unknown size are reported |
+      | sourcing | an unreported small level does not hide a large one |
+      | sourcing | a small first level does not make cached state look old |
+      | sourcing | a store that restarts is empty |
       | sourcing | prompts with one opening spread over all engines |
-      | sourcing | an engine that comes back idle is not sent everything |
-      | sourcing | an engine with few free slots is left for idle ones |
+      | sourcing | an engine that comes back idle does not get all requests |
+      | sourcing | idle engines are preferred to one with few free slots |
       | sourcing | each part is kept by one of several stores |
-      | sourcing | a daemon that heard of no save asks the store that has it |
+      | sourcing | a daemon that knows of no save fetches from the same store |
 
     Examples: bounds of roll-outs
       | group          | case |
--- a/tests/features/waiting.feature
+++ b/tests/features/waiting.feature
@@ -1,12 +1,12 @@
-Feature: Requests are held back only where their turn comes in time
+Feature: Requests are queued only if they can be served in time
 
   Scenario Outline: <case>
     # Each case names the failure that it guards against; see
     # tests/cases/waiting.py.
     When the case "<case>" of "<group>" is played
 
-    Examples: load that lasts
+    Examples: lasting load
       | group | case |
-      | waiting | what a lasting overload leaves no room for is refused at once |
-      | waiting | a stream is refused where its caller would leave before it begins |
+      | waiting | requests beyond capacity are refused at once |
+      | waiting | a stream is refused if its caller would leave before it starts |
       | waiting | a queue that was empty for long is no sign of slow servers |
