--- a/tests/cases/availability.py
+++ b/tests/cases/availability.py
@@ -39,8 +39,8 @@
     """Guards against leaving that is forgotten with a server's entry."""
     core = Core()
     _list(core)
-    core.tell(server_inputs.ServerLeaving, "x")
-    core.tell_named(server_inputs.ServerListed, server_id="x", gone=True)
+    core.submit(server_inputs.ServerLeaving, "x")
+    core.submit_named(server_inputs.ServerListed, server_id="x", gone=True)
     _list(core)
     assert _leaves(core)
 
@@ -49,7 +49,7 @@
     """Guards against leaving that is forgotten with an address."""
     core = Core()
     _list(core)
-    core.tell(server_inputs.ServerLeaving, "x")
+    core.submit(server_inputs.ServerLeaving, "x")
     _list(core, address="10.0.0.9:2")
     assert _leaves(core)
 
@@ -59,14 +59,14 @@
     core = Core()
     _list(core)
     _list(core, incarnation=NEXT_INCARNATION)
-    core.tell(server_inputs.ServerLeaving, "x", INCARNATION)
+    core.submit(server_inputs.ServerLeaving, "x", INCARNATION)
     assert not _leaves(core)
 
 
 def leaving_reported_before_the_entry_is_listed_counts() -> None:
     """Guards against updates that are lost if they precede the entry."""
     core = Core()
-    core.tell(server_inputs.ServerLeaving, "x", INCARNATION)
+    core.submit(server_inputs.ServerLeaving, "x", INCARNATION)
     _list(core)
     assert _leaves(core)
 
@@ -81,7 +81,7 @@
 
 
 def _rest(core: Core, server: str, rest_ms: int = 3_000, **fields) -> None:
-    core.tell_named(
+    core.submit_named(
         server_inputs.RestAsked, server_id=server, rest_ms=rest_ms, **fields
     )
 
@@ -101,7 +101,7 @@
     used_servers = set()
     for number in range(25):
         core.now_ms += 100
-        core.tell(inputs.Tick)
+        core.submit(inputs.Tick)
         core.arrive("release", f"r{number}")
         used_servers.add(core.dispatch().server_id)
         core.answer(core.dispatch())
@@ -135,7 +135,7 @@
     core = Core()
     _list(core)
     _rest(core, "x")
-    core.tell_named(server_inputs.ServerListed, server_id="x", gone=True)
+    core.submit_named(server_inputs.ServerListed, server_id="x", gone=True)
     _list(core)
     assert core.world.servers["x"].rest_until_ms == core.now_ms + 3_000
 
@@ -145,7 +145,7 @@
     core = Core()
     _list(core)
     _rest(core, "x", 600_000)
-    core.tell(server_inputs.ServerLeaving, "x", INCARNATION)
+    core.submit(server_inputs.ServerLeaving, "x", INCARNATION)
     _list(core, incarnation=NEXT_INCARNATION)
     row = core.world.servers["x"]
     assert (row.rest_until_ms, row.leaving) == (0, False)
@@ -157,7 +157,7 @@
     """Guards against leaving that is undone by an entry that comes late."""
     core = Core()
     _list(core)
-    core.tell(server_inputs.ServerLeaving, "x", NEXT_INCARNATION)
+    core.submit(server_inputs.ServerLeaving, "x", NEXT_INCARNATION)
     _list(core, incarnation=NEXT_INCARNATION)
     assert _leaves(core)
 
@@ -237,7 +237,7 @@
     """Guards against memory that grows with each server that leaves."""
     core = Core()
     for number in range(availability.MAX_NOTICES + 10):
-        core.tell(server_inputs.ServerLeaving, f"gone{number}", "")
+        core.submit(server_inputs.ServerLeaving, f"gone{number}", "")
     _rest(core, "s1")
     assert len(core.world.availability_notices) == availability.MAX_NOTICES
     core.wait(3_100)
@@ -325,7 +325,7 @@
 def a_notice_without_an_incarnation_applies_to_one_alone() -> None:
     """Guards against leaving that outlives the restarts of a server."""
     core = Core()
-    core.tell(server_inputs.ServerLeaving, "x")
+    core.submit(server_inputs.ServerLeaving, "x")
     _list(core)
     assert _leaves(core)
     _list(core, incarnation=NEXT_INCARNATION)
@@ -336,9 +336,9 @@
     """Guards against one notice that keeps a server unused for good."""
     core = Core()
     _list(core, incarnation="")
-    core.tell(server_inputs.ServerLeaving, "x")
+    core.submit(server_inputs.ServerLeaving, "x")
     assert _leaves(core)
-    core.tell_named(server_inputs.ServerListed, server_id="x", gone=True)
+    core.submit_named(server_inputs.ServerListed, server_id="x", gone=True)
     _list(core, incarnation="")
     assert not _leaves(core)
 
@@ -351,7 +351,7 @@
         core.arrive("release", f"r{number}", deadline_ms=3_000)
     core.now_ms += 1_000
     core.arrive("release", "after", deadline_ms=3_000)
-    assert len(core.find(effects.Dispatch)) == 6, core.made
+    assert len(core.find(effects.Dispatch)) == 6, core.last_effects
 
 
 def a_report_of_a_draining_server_says_that_it_leaves() -> None:
--- a/tests/cases/connections.py
+++ b/tests/cases/connections.py
@@ -139,7 +139,7 @@
         open_at_once = backend.pool.open
 
         async def open_slowly(address: str):
-            core.tell_named(
+            core.submit_named(
                 server_inputs.RestAsked, server_id="i-1", rest_ms=1_000
             )
             return await open_at_once(address)
@@ -154,7 +154,7 @@
         core.now_ms += 1_000
         backend.pool.open = open_at_once
         assert (await backend.send("r2")).answered.body == b"1"
-        core.tell(server_inputs.ServerLeaving, "i-1")
+        core.submit(server_inputs.ServerLeaving, "i-1")
         await backend.send("r3")
         assert len(server.requests) == 1
 
--- a/tests/cases/entries.py
+++ b/tests/cases/entries.py
@@ -226,7 +226,7 @@
 
 
 def _loaded(core: routed_core.Core, born_ms: int, **fields) -> None:
-    core.tell_named(
+    core.submit_named(
         server_inputs.LoadReported,
         server_id="e1",
         incarnation=incarnation.make_name("e1", born_ms),
@@ -243,7 +243,7 @@
 
 
 def _digest(core: routed_core.Core, born_ms: int, *keys: int) -> None:
-    core.tell_named(
+    core.submit_named(
         server_inputs.CacheDigest,
         server_id="e1",
         incarnation=incarnation.make_name("e1", born_ms),
@@ -323,7 +323,7 @@
     core.arrive("long", "r1")
     sent = core.dispatch()
     _listed(core, 2_000)
-    core.tell(
+    core.submit(
         inputs.AttemptOpened,
         sent.attempt_id,
         sent.attempt_id,
--- a/tests/cases/fleet_bounds.py
+++ b/tests/cases/fleet_bounds.py
@@ -62,13 +62,13 @@
     however many it had accepted.
     """
     core = routed_core.Core(servers=3, retry_ratio=0.15, retry_burst=166.0)
-    core.tell(inputs.MembersChanged, tuple(f"d{n}" for n in range(DAEMONS)))
+    core.submit(inputs.MembersChanged, tuple(f"d{n}" for n in range(DAEMONS)))
     for number in range(100):
         core.arrive("release", f"good{number}")
         core.answer(core.dispatch())
     core.arrive("release", "declined")
     core.fail(core.dispatch(), inputs.FailurePhase.CONNECT)
-    assert core.find(effects.Dispatch), core.made
+    assert core.find(effects.Dispatch), core.last_effects
 
 
 def retries_of_a_fleet_stay_within_their_budget() -> None:
@@ -162,7 +162,7 @@
 
 
 def _report(core, server_id: str) -> None:
-    core.tell_named(
+    core.submit_named(
         server_inputs.LoadReported,
         server_id=server_id,
         incarnation=server_id,
@@ -181,7 +181,7 @@
     Sixty daemons asked each of twenty dark engines every 1, 2, 4 s.
     """
     core = routed_core.Core(servers=1)
-    core.tell(inputs.MembersChanged, tuple(f"d{n}" for n in range(60)))
+    core.submit(inputs.MembersChanged, tuple(f"d{n}" for n in range(60)))
     _report(core, "e1")
     core.arrive("short", "lost")
     core.fail(core.dispatch(), inputs.FailurePhase.CONNECT)
@@ -198,7 +198,7 @@
 def a_daemon_without_reports_asks_an_ejected_engine_itself() -> None:
     """A daemon outside the serving set doesn't wait for news it won't get."""
     core = routed_core.Core(servers=1)
-    core.tell(inputs.MembersChanged, tuple(f"d{n}" for n in range(60)))
+    core.submit(inputs.MembersChanged, tuple(f"d{n}" for n in range(60)))
     core.arrive("short", "lost")
     core.fail(core.dispatch(), inputs.FailurePhase.CONNECT)
     dark = core.world.servers["e1"]
--- a/tests/cases/quarantines.py
+++ b/tests/cases/quarantines.py
@@ -25,13 +25,13 @@
     core.arrive(name, f"r{core.now_ms}", fingerprint=content)
     sent = core.dispatch()
     core.fail(sent, SENT)
-    produced = core.tell(
+    produced = core.submit(
         server_inputs.ProbeAnswered, sent.server_id, alive=False, ended=True
     )
-    core.tell_named(
+    core.submit_named(
         server_inputs.ServerListed, server_id=sent.server_id, gone=True
     )
-    core.made = produced
+    core.last_effects = produced
     core.now_ms += 1
 
 
@@ -63,12 +63,12 @@
     crashes = []
     for number, core in enumerate(cores[:3]):
         for crashed in range(1, number + 1):
-            core.tell(server_inputs.ServerLeaving, f"e{crashed}")
+            core.submit(server_inputs.ServerLeaving, f"e{crashed}")
         _crash(core)
         crashes.extend(_announced(core))
     assert len({crash.start for crash in crashes}) == 3, crashes
     for core in cores:
-        core.tell(inputs.CrashesTold, tuple(crashes))
+        core.submit(inputs.CrashesTold, tuple(crashes))
         assert _is_refused(core)
 
 
@@ -110,7 +110,7 @@
         core.arrive("short", f"r{number}", fingerprint="f")
         sent = core.dispatch()
         core.fail(sent, SENT)
-        core.tell(
+        core.submit(
             server_inputs.ProbeAnswered,
             sent.server_id,
             alive=True,
@@ -129,7 +129,7 @@
         sent = core.dispatch()
         core.fail(sent, SENT)
         core.wait(7_000)
-        core.tell_named(
+        core.submit_named(
             server_inputs.ServerListed, server_id=sent.server_id, gone=True
         )
         assert not _announced(core)
@@ -141,9 +141,9 @@
     for number in range(4):
         core.arrive("short", f"r{number}", fingerprint="f")
         sent = core.dispatch()
-        core.tell(server_inputs.ServerLeaving, sent.server_id)
+        core.submit(server_inputs.ServerLeaving, sent.server_id)
         core.fail(sent, SENT)
-        core.tell_named(
+        core.submit_named(
             server_inputs.ServerListed, server_id=sent.server_id, gone=True
         )
         assert not _announced(core)
@@ -157,7 +157,7 @@
         _crash(core)
     core.arrive("release", "r", fingerprint="f")
     core.fail(core.dispatch(), SENT)
-    assert not core.find(effects.Dispatch), core.made
+    assert not core.find(effects.Dispatch), core.last_effects
     assert core.refusal().status == 502
 
 
@@ -184,12 +184,14 @@
     for _ in range(3):
         _crash(core)
     assert _is_refused(core)
-    other.tell(inputs.CrashesTold, core.world.quarantine.crashes_to_exchange())
+    other.submit(
+        inputs.CrashesTold, core.world.quarantine.crashes_to_exchange()
+    )
     assert _is_refused(other)
     core.frames(started, 2, end=True)
     completions = _announced(core, "completions")
     assert completions
-    other.tell(inputs.CrashesTold, (), completions)
+    other.submit(inputs.CrashesTold, (), completions)
     assert not _is_refused(core)
     assert not _is_refused(other)
 
@@ -215,7 +217,7 @@
         )
         for n in range(3)
     )
-    core.tell(inputs.CrashesTold, crashes)
+    core.submit(inputs.CrashesTold, crashes)
     assert len(core.find(effects.CancelAttempt)) == 1
     refused = core.refusal()
     assert (refused.request_id, refused.status) == ("stream", 502)
@@ -227,7 +229,7 @@
     """Guards against dispatching a queued request that is in quarantine."""
     core = _core(hold_ms=0, slots=1)
     for name in list(core.world.servers):
-        core.tell_named(
+        core.submit_named(
             server_inputs.LoadReported,
             server_id=name,
             incarnation=name,
@@ -239,14 +241,14 @@
             slots=1,
         )
     core.arrive("long", "held", fingerprint="f")
-    assert not core.find(effects.Dispatch), core.made
+    assert not core.find(effects.Dispatch), core.last_effects
     crashes = tuple(
         quarantine.Crash(
             content="desk/f", start=f"s{n}", reporter="x", at_ms=core.now_ms
         )
         for n in range(3)
     )
-    core.tell(inputs.CrashesTold, crashes)
+    core.submit(inputs.CrashesTold, crashes)
     core.wait(SHORT_WAIT_MS)
     refused = core.refusal()
     assert (refused.status, refused.outcome) == (
@@ -265,11 +267,11 @@
     _crash(core)
     assert _is_refused(core)
     core.now_ms += quarantine.QUARANTINE_MS
-    core.confirm()
+    core.renew_serving_lease()
     core.wait(SHORT_WAIT_MS)
     assert _is_refused(core)
     core.now_ms += quarantine.QUARANTINE_MS
-    core.confirm()
+    core.renew_serving_lease()
     assert not _is_refused(core)
 
 
@@ -279,9 +281,9 @@
     for number in range(3):
         core.arrive("short", f"r{number}", fingerprint="f")
         sent = core.dispatch()
-        core.tell(server_inputs.ProbeAnswered, sent.server_id, alive=False)
+        core.submit(server_inputs.ProbeAnswered, sent.server_id, alive=False)
         core.wait(4_000)
-        core.tell_named(
+        core.submit_named(
             server_inputs.ServerListed, server_id=sent.server_id, gone=True
         )
         assert _announced(core), number
@@ -293,7 +295,7 @@
     core = _core()
     names = [f"e{number}" for number in range(2, SERVERS + 1)]
     for name in names:
-        core.tell_named(server_inputs.ServerListed, server_id=name, gone=True)
+        core.submit_named(server_inputs.ServerListed, server_id=name, gone=True)
     for number in range(3):
         core.list_server(
             "e1", routed_core.ENGINES, incarnation=f"e1@{number + 1}"
--- a/tests/cases/rate_limits.py
+++ b/tests/cases/rate_limits.py
@@ -93,7 +93,7 @@
 
 
 def _echo_limit(core, server, per_s, **fields) -> None:
-    core.tell_named(
+    core.submit_named(
         server_inputs.RateLimitEchoed,
         server_id=server,
         limit_per_s=per_s,
@@ -150,23 +150,23 @@
     assert second.server_id != first.server_id
     core.answer(second)
     core.arrive("release", "next")
-    assert not core.find(effects.Dispatch), core.made
+    assert not core.find(effects.Dispatch), core.last_effects
 
 
 def a_daemon_keeps_to_a_limit_received_from_a_peer() -> None:
     """Guards against daemons without a recent answer of the server."""
     core = routed_core.Core()
-    core.tell(inputs.MembersChanged, tuple(f"d{n}" for n in range(40)))
+    core.submit(inputs.MembersChanged, tuple(f"d{n}" for n in range(40)))
     peer_limit = {
         "server_id": "s1",
         "incarnation": "s1",
         "limit_per_s": 4.0,
         "age_ms": 20,
     }
-    core.tell_named(server_inputs.RateLimitTold, **peer_limit)
+    core.submit_named(server_inputs.RateLimitTold, **peer_limit)
     assert not core.find(effects.TellRateLimit)
     assert _sent_to(core, "release", 100).count("s1") <= 1
-    core.tell_named(
+    core.submit_named(
         server_inputs.RateLimitTold, **{**peer_limit, "limit_per_s": None}
     )
     assert _sent_to(core, "release", 100).count("s1") > 20
@@ -183,7 +183,7 @@
     assert core.find(effects.TellRateLimit)[0].limit_per_s is None
     core.now_ms += 100
     late = {"server_id": "s1", "limit_per_s": 4.0, "age_ms": 150}
-    core.tell_named(server_inputs.RateLimitTold, incarnation="s1", **late)
+    core.submit_named(server_inputs.RateLimitTold, incarnation="s1", **late)
     assert core.world.servers["s1"].rate_limit is None
 
 
@@ -195,7 +195,7 @@
     core.list_server("e9", routed_core.ENGINES, incarnation="e9@2")
     assert core.world.servers["e9"].rate_limit is None
     core.now_ms += 10
-    core.tell_named(
+    core.submit_named(
         server_inputs.RateLimitTold,
         server_id="e9",
         incarnation="e9@1",
@@ -220,10 +220,10 @@
     """Guards against shares of a limit that nobody uses."""
     core = routed_core.Core()
     everyone = tuple(sorted([f"d{n}" for n in range(200)] + ["d"]))
-    core.tell(inputs.MembersChanged, everyone, ("d", "d1"))
+    core.submit(inputs.MembersChanged, everyone, ("d", "d1"))
     _echo_limit(core, "s1", 4.0)
     assert core.world.servers["s1"].rate_limit.share_per_s == 2.0
-    core.tell(inputs.MembersChanged, everyone, ("d1", "d2"))
+    core.submit(inputs.MembersChanged, everyone, ("d1", "d2"))
     assert core.world.servers["s1"].rate_limit.share_per_s == 0.0
     assert "s1" not in _sent_to(core, "release", 50)
 
@@ -231,13 +231,13 @@
 def a_daemon_that_has_met_no_peer_has_no_share() -> None:
     """Guards against new daemons that each use the whole limit."""
     core = routed_core.Core()
-    core.tell(inputs.MembersChanged, ("d",), ("d",), 4)
+    core.submit(inputs.MembersChanged, ("d",), ("d",), 4)
     _echo_limit(core, "s1", 4.0)
     assert core.world.servers["s1"].rate_limit.share_per_s == 0.0
-    core.tell(inputs.MembersChanged, ("d", "d1"), ("d", "d1"), 4)
+    core.submit(inputs.MembersChanged, ("d", "d1"), ("d", "d1"), 4)
     assert core.world.servers["s1"].rate_limit.share_per_s == 2.0
     # The other daemons are gone: the remaining one has the whole limit.
-    core.tell(inputs.MembersChanged, ("d",), ("d",), 4)
+    core.submit(inputs.MembersChanged, ("d",), ("d",), 4)
     assert core.world.servers["s1"].rate_limit.share_per_s == 4.0
 
 
--- a/tests/cases/repeats.py
+++ b/tests/cases/repeats.py
@@ -108,11 +108,11 @@
         crashes += 1
         core.fail(found[0], SENT)
         server_id = found[0].server_id
-        core.tell(
+        core.submit(
             server_inputs.ProbeAnswered, server_id, alive=False, ended=True
         )
         core.wait(2_000)
-        core.tell(server_inputs.ProbeAnswered, server_id, alive=True)
+        core.submit(server_inputs.ProbeAnswered, server_id, alive=True)
     assert refused and crashes == 3, crashes
 
 
@@ -124,11 +124,11 @@
         core.arrive("release", "r", fingerprint="f")
         sent[core] = core.dispatch()
     first.fail(sent[first], SENT)
-    first.tell(server_inputs.ProbeAnswered, "s1", alive=False, ended=True)
+    first.submit(server_inputs.ProbeAnswered, "s1", alive=False, ended=True)
     (announced,) = first.find(effects.TellCrashes)
-    late.tell(inputs.CrashesTold, announced.crashes)
+    late.submit(inputs.CrashesTold, announced.crashes)
     late.fail(sent[late], SENT)
-    late.tell(server_inputs.ProbeAnswered, "s1", alive=False, ended=True)
+    late.submit(server_inputs.ProbeAnswered, "s1", alive=False, ended=True)
     content = announced.crashes[0].content
     known = late.world.quarantine.crashes(content)
     assert len(known) == 1, known
@@ -143,13 +143,13 @@
         core.arrive("release", "r", fingerprint="f")
         sent = core.dispatch()
         core.fail(sent, SENT)
-        core.tell(
+        core.submit(
             server_inputs.ProbeAnswered, sent.server_id, alive=False, ended=True
         )
         for effect in core.find(effects.TellCrashes):
             announced.extend(effect.crashes)
     for core in cores:
-        core.tell(inputs.CrashesTold, tuple(announced))
+        core.submit(inputs.CrashesTold, tuple(announced))
         core.wait(3_000)
         core.arrive("release", "again", fingerprint="f")
-        assert core.find(effects.Dispatch), core.made
+        assert core.find(effects.Dispatch), core.last_effects
--- a/tests/cases/routed.py
+++ b/tests/cases/routed.py
@@ -27,7 +27,7 @@
     core = routed_core.Core()
     core.arrive("open", token_sha256="")
     core.answer(core.dispatch())
-    assert core.find(effects.Reply), core.made
+    assert core.find(effects.Reply), core.last_effects
 
 
 def many_requests_without_keys_are_served() -> None:
@@ -41,7 +41,7 @@
     for number in range(300):
         core.now_ms += 3
         core.arrive("open", f"r{number}", token_sha256="")
-        assert not core.find(effects.Refuse), core.made
+        assert not core.find(effects.Refuse), core.last_effects
         core.answer(core.dispatch())
 
 
@@ -55,7 +55,7 @@
     core = routed_core.Core()
     core.arrive("confirm")
     core.fail(core.dispatch(), SENT)
-    assert not core.find(effects.Dispatch), core.made
+    assert not core.find(effects.Dispatch), core.last_effects
     assert core.refusal().status == 502
     assert core.refusal().outcome is effects.Outcome.UNKNOWN
 
@@ -103,7 +103,9 @@
     core.answer(core.dispatch(), status=500)
     core.fail(core.dispatch(), DECLINED, REFUSED)
     replies = core.find(effects.Reply)
-    assert [reply.answer.status for reply in replies] == [500], core.made
+    assert [reply.answer.status for reply in replies] == [500], (
+        core.last_effects
+    )
 
 
 def a_failure_answer_of_a_call_that_runs_once_is_final() -> None:
@@ -116,7 +118,7 @@
     core = routed_core.Core()
     core.arrive("confirm")
     core.answer(core.dispatch(), status=500)
-    assert not core.find(effects.Dispatch), core.made
+    assert not core.find(effects.Dispatch), core.last_effects
     assert core.find(effects.Reply)
 
 
@@ -157,7 +159,7 @@
     core.open(sent)
     core.frames(sent, 1, 2)
     core.fail(sent, SENT)
-    assert core.find(effects.BreakStream), core.made
+    assert core.find(effects.BreakStream), core.last_effects
     assert not core.find(effects.Dispatch)
 
 
@@ -171,7 +173,7 @@
     core = routed_core.Core(first_frame_ms=2_000)
     core.arrive("short")
     core.wait(2_500)
-    assert not core.find(effects.Dispatch), core.made
+    assert not core.find(effects.Dispatch), core.last_effects
 
 
 def a_resumable_stream_without_first_event_moves() -> None:
@@ -217,11 +219,11 @@
     core.world.servers["e1"].draining_until_ms = 0
     core.world.servers["e1"].backlog_until_ms[0] = core.now_ms + 1_000
     core.arrive("long", "r2")
-    assert not core.find(effects.Dispatch), core.made
-    core.tell(inputs.TableChanged, routed_core.table(2, keys=()))
+    assert not core.find(effects.Dispatch), core.last_effects
+    core.submit(inputs.TableChanged, routed_core.table(2, keys=()))
     core.world.servers["e1"].backlog_until_ms.clear()
     core.wait(50)
-    assert not core.find(effects.Dispatch), core.made
+    assert not core.find(effects.Dispatch), core.last_effects
     assert core.refusal().status == 401
 
 
@@ -233,7 +235,7 @@
     Cause: the table counted as current without confirmation by the store.
     """
     core = routed_core.Core()
-    core.tell(inputs.RightToServe, core.now_ms + 100)
+    core.submit(inputs.RightToServe, core.now_ms + 100)
     core.now_ms += 101
     core.arrive("release")
     refused = core.refusal()
@@ -251,10 +253,10 @@
     """
     core = routed_core.Core()
     core.arrive("confirm")
-    core.tell(inputs.CallerGone, "r")
-    assert not core.find(effects.CancelAttempt), core.made
+    core.submit(inputs.CallerGone, "r")
+    assert not core.find(effects.CancelAttempt), core.last_effects
     core.arrive("long", "r2")
-    core.tell(inputs.CallerGone, "r2")
+    core.submit(inputs.CallerGone, "r2")
     assert core.find(effects.CancelAttempt)
 
 
@@ -286,7 +288,7 @@
     Cause: each daemon used the whole burst.
     """
     core = routed_core.Core(servers=3, retry_ratio=0.0, retry_burst=18.0)
-    core.tell(inputs.MembersChanged, tuple(f"d{n}" for n in range(9)))
+    core.submit(inputs.MembersChanged, tuple(f"d{n}" for n in range(9)))
     retries = 0
     for number in range(30):
         core.arrive("release", f"r{number}")
@@ -313,7 +315,7 @@
         dataclasses.replace(route, priority=priority)
         for route, priority in zip(routes, (1, 0), strict=True)
     )
-    core.tell(inputs.TableChanged, routed_core.table(2, routes=prioritized))
+    core.submit(inputs.TableChanged, routed_core.table(2, routes=prioritized))
     for number in range(8):
         prompt = (work.Level(number, 10_000),)
         core.arrive("long", f"long{number}", levels=prompt)
@@ -337,7 +339,7 @@
     table = routed_core.table(2, routes=routes)
     row = table.models[routed_core.ENGINES]
     table.models[routed_core.ENGINES] = dataclasses.replace(row, max_queue=3)
-    core.tell(inputs.TableChanged, table)
+    core.submit(inputs.TableChanged, table)
     for number in range(12):
         name = ("long", "short")[number % 2]
         prompt = (work.Level(number, 4_000),)
@@ -385,7 +387,7 @@
     core.wait(350)
     probes = core.find(effects.Probe)
     assert [probe.server_id for probe in probes] == [first.server_id]
-    core.tell(server_inputs.ProbeAnswered, first.server_id, False)
+    core.submit(server_inputs.ProbeAnswered, first.server_id, False)
     assert core.dispatch().server_id != first.server_id
     assert core.dispatch().request_id == "r1"
     assert core.find(effects.Doubt)
@@ -420,7 +422,7 @@
     """
     core = routed_core.Core(servers=1)
     daemons = tuple(sorted(["d", *(f"d{n}" for n in range(59))]))
-    core.tell(inputs.MembersChanged, daemons)
+    core.submit(inputs.MembersChanged, daemons)
     core.arrive("long", "r1")
     order = assignment.probe_order("e1", daemons)
     core.world.daemon = order[0]
@@ -428,7 +430,7 @@
     core.world.servers["e1"].last_probe_ms = -10_000
     core.world.daemon = order[-1]
     assert not [p for p in core.wait(400) if _is_probe(p)]
-    core.tell(server_inputs.ServerDoubted, "e1")
+    core.submit(server_inputs.ServerDoubted, "e1")
     assert core.find(effects.Probe)
 
 
@@ -445,9 +447,9 @@
     Cause: a peer's suspicion was treated like a failed probe.
     """
     core = routed_core.Core(servers=1)
-    core.tell(server_inputs.ServerDoubted, "e1")
+    core.submit(server_inputs.ServerDoubted, "e1")
     assert core.find(effects.Probe)
-    core.tell(server_inputs.ProbeAnswered, "e1", True)
+    core.submit(server_inputs.ProbeAnswered, "e1", True)
     core.arrive("long")
     assert core.dispatch().server_id == "e1"
 
@@ -463,8 +465,8 @@
     core.arrive("long")
     sent = core.dispatch()
     core.wait(350)
-    core.tell(server_inputs.ProbeAnswered, sent.server_id, True)
-    assert not core.find(effects.Dispatch), core.made
+    core.submit(server_inputs.ProbeAnswered, sent.server_id, True)
+    assert not core.find(effects.Dispatch), core.last_effects
     assert not core.find(effects.CancelAttempt)
 
 
@@ -485,7 +487,7 @@
     for _ in range(5):
         core.wait(500)
         core.open(other)
-        assert not core.find(effects.CancelAttempt), core.made
+        assert not core.find(effects.CancelAttempt), core.last_effects
     assert not core.world.servers["e1"].ejected_until_ms
 
 
--- a/tests/cases/routed_core.py
+++ b/tests/cases/routed_core.py
@@ -105,13 +105,13 @@
         if record_to is not None:
             self.recorder = record.Recorder(self.router, record_to)
         self.now_ms = 1_000 if started_at_ms is None else started_at_ms
-        self.made: list[effects.Effect] = []
+        self.last_effects: list[effects.Effect] = []
         if started_at_ms is None:
             # A daemon that has just started has no share of the retry budget.
-            self.tell(inputs.Tick)
+            self.submit(inputs.Tick)
             self.now_ms += self.world.policy.retry_window_ms
-        self.tell(inputs.TableChanged, table())
-        self.confirm()
+        self.submit(inputs.TableChanged, table())
+        self.renew_serving_lease()
         for target, kind in ((ENGINES, "e"), (SERVICE, "s")):
             for number in range(1, servers + 1):
                 self.list_server(f"{kind}{number}", target)
@@ -121,28 +121,28 @@
         """The state of the core."""
         return self.router.world
 
-    def tell(self, kind, *args, **fields) -> list[effects.Effect]:
+    def submit(self, kind, *args, **fields) -> list[effects.Effect]:
         """Processes an input at the current time; returns its effects."""
         return self._step(kind(self.now_ms, *args, **fields))
 
-    def tell_named(self, kind, **fields) -> list[effects.Effect]:
+    def submit_named(self, kind, **fields) -> list[effects.Effect]:
         """Like `submit`, for an input whose fields are given by name."""
         return self._step(kind(at_ms=self.now_ms, **fields))
 
     def _step(self, input_) -> list[effects.Effect]:
-        self.made = self.router.step(input_)
+        self.last_effects = self.router.step(input_)
         if self.recorder is not None:
-            self.recorder.stepped(input_, self.made)
-        return self.made
+            self.recorder.stepped(input_, self.last_effects)
+        return self.last_effects
 
-    def confirm(self, *, for_ms: int = NO_LIMIT) -> None:
+    def renew_serving_lease(self, *, for_ms: int = NO_LIMIT) -> None:
         """Extends the serving lease, without which keys are refused."""
-        self.tell(inputs.RightToServe, self.now_ms + for_ms)
+        self.submit(inputs.RightToServe, self.now_ms + for_ms)
 
     def list_server(self, name: str, target: str, **fields) -> None:
         """Lists a server, an engine with weights 1."""
         weights = "1" if target == ENGINES else ""
-        self.tell_named(
+        self.submit_named(
             server_inputs.ServerListed,
             server_id=name,
             target=target,
@@ -165,43 +165,45 @@
             path=f"/{name}/x",
             **fields,
         )
-        return self.tell(inputs.RequestArrived, request, work_item)
+        return self.submit(inputs.RequestArrived, request, work_item)
 
     def wait(self, ms: int) -> list[effects.Effect]:
         """Advances the clock with ticks; returns all of their effects."""
         collected: list[effects.Effect] = []
         for _ in range(max(1, ms // 50)):
             self.now_ms += 50
-            collected.extend(self.tell(inputs.Tick))
-        self.made = collected
+            collected.extend(self.submit(inputs.Tick))
+        self.last_effects = collected
         return collected
 
     def find(self, kind):
         """Returns the last effects that are of a type."""
-        return [effect for effect in self.made if isinstance(effect, kind)]
+        return [
+            effect for effect in self.last_effects if isinstance(effect, kind)
+        ]
 
     def dispatch(self) -> effects.Dispatch:
         """Returns the only dispatch among the last effects."""
         found = self.find(effects.Dispatch)
-        assert len(found) == 1, self.made
+        assert len(found) == 1, self.last_effects
         return found[0]
 
     def refusal(self) -> effects.Refuse:
         """Returns the only refusal among the last effects."""
         found = self.find(effects.Refuse)
-        assert len(found) == 1, self.made
+        assert len(found) == 1, self.last_effects
         return found[0]
 
     def fail(self, sent: effects.Dispatch, phase, cause=None):
         """Reports that an attempt failed."""
         cause = cause or inputs.FailureCause.BROKEN
-        return self.tell(
+        return self.submit(
             inputs.AttemptFailed, sent.attempt_id, phase, cause, "test"
         )
 
     def answer(self, sent: effects.Dispatch, status: int = 200):
         """Delivers the whole answer of an attempt."""
-        return self.tell(
+        return self.submit(
             inputs.AnswerArrived,
             sent.attempt_id,
             sent.attempt_id,
@@ -212,7 +214,7 @@
     def open(self, sent: effects.Dispatch):
         """Delivers the head of a stream."""
         head = work.Head(200, (work.Header("sig", sent.server_id),))
-        return self.tell(
+        return self.submit(
             inputs.AttemptOpened,
             sent.attempt_id,
             sent.attempt_id,
@@ -225,7 +227,7 @@
         delivered = [work.Frame(n, b"%d;" % n) for n in numbers]
         if end:
             delivered.append(work.Frame((numbers or (0,))[-1] + 1, b"", True))
-        return self.tell(
+        return self.submit(
             inputs.FramesArrived, sent.attempt_id, tuple(delivered)
         )
 
--- a/tests/cases/sourcing.py
+++ b/tests/cases/sourcing.py
@@ -20,7 +20,7 @@
 def _core(*, servers: int = 3) -> routed_core.Core:
     core = routed_core.Core(servers=servers, prefill_us_per_token=7)
     store = forwarding.KvStore(name="keep", address=STORE)
-    core.tell(inputs.TableChanged, routed_core.table(2, kv_stores=(store,)))
+    core.submit(inputs.TableChanged, routed_core.table(2, kv_stores=(store,)))
     core.list_server(
         "keep", cached_state.STORE_TARGET, address=STORE, weights_version=""
     )
@@ -45,7 +45,7 @@
 
 
 def _digest(core: routed_core.Core, server: str, **fields) -> None:
-    core.tell_named(
+    core.submit_named(
         server_inputs.CacheDigest,
         server_id=server,
         incarnation=server,
@@ -154,7 +154,7 @@
         core.open(first)
         core.frames(first, 1, end=True)
         for name in core.world.servers_by_target[routed_core.ENGINES]:
-            core.tell_named(
+            core.submit_named(
                 server_inputs.LoadReported,
                 server_id=name,
                 incarnation=name,
@@ -183,7 +183,7 @@
         core = _core(servers=engines)
         core.world.service_time_ms[routed_core.ENGINES] = 350.0
         for number in range(1, engines + 1):
-            core.tell_named(
+            core.submit_named(
                 server_inputs.LoadReported,
                 server_id=f"e{number}",
                 incarnation=f"e{number}",
@@ -246,7 +246,7 @@
     Cause: the store was used as long as the table listed it.
     """
     core = _core()
-    core.tell(server_inputs.ServerDraining, "keep", core.now_ms + 3_000)
+    core.submit(server_inputs.ServerDraining, "keep", core.now_ms + 3_000)
     sent = _ask(core, "r1")
     assert (sent.kv_fetch_from, sent.kv_save_to) == ("", "")
 
--- a/tests/cases/waiting.py
+++ b/tests/cases/waiting.py
@@ -26,7 +26,7 @@
             routed_core.ROUTES[0], aim_ms=300, gap_aim_ms=250
         )
         self.core = routed_core.Core(servers=ENGINES)
-        self.core.tell(
+        self.core.submit(
             inputs.TableChanged, routed_core.table(2, routes=(route,))
         )
         self.gap_ms = gap_ms
@@ -49,7 +49,7 @@
             if self.core.now_ms % 100 < STEP_MS:
                 self._report()
             if self.core.now_ms % 50 < STEP_MS:
-                self._handle(self.core.tell(inputs.Tick))
+                self._handle(self.core.submit(inputs.Tick))
 
     def _arrive(self) -> None:
         name = f"r{self.core.now_ms}"
@@ -62,7 +62,7 @@
         for server, busy_ms in self._busy_ms.items():
             left_ms = max(0, busy_ms - self.core.now_ms)
             self._handle(
-                self.core.tell_named(
+                self.core.submit_named(
                     server_inputs.LoadReported,
                     server_id=server,
                     incarnation=server,
@@ -126,6 +126,6 @@
     load.core.now_ms += 60_000
     load.play(seconds=5)
     load.waited_ms.clear()
-    load.core.confirm()
+    load.core.renew_serving_lease()
     load.play(seconds=10)
     assert not load.waited_ms, load.waited_ms
--- a/tests/cases/weights.py
+++ b/tests/cases/weights.py
@@ -15,11 +15,11 @@
 
 
 def _publish_version(core: routed_core.Core, version: str) -> None:
-    core.tell(inputs.TableChanged, routed_core.table(2, weights=version))
+    core.submit(inputs.TableChanged, routed_core.table(2, weights=version))
 
 
 def _report(core: routed_core.Core, server: str, version: str) -> None:
-    core.tell_named(
+    core.submit_named(
         server_inputs.LoadReported,
         server_id=server,
         incarnation=server,
@@ -62,7 +62,7 @@
     core = routed_core.Core(servers=1)
     _publish_version(core, "2")
     core.wait(7_000)
-    core.tell(inputs.TableChanged, routed_core.table(3, weights="3"))
+    core.submit(inputs.TableChanged, routed_core.table(3, weights="3"))
     core.wait(900)
     core.arrive("long", "r1")
     assert core.dispatch().server_id == "e1"
@@ -116,7 +116,7 @@
     """
     core = routed_core.Core(servers=1)
     _publish_version(core, "2")
-    core.tell(server_inputs.ServerDraining, "e1", core.now_ms + 3_000)
+    core.submit(server_inputs.ServerDraining, "e1", core.now_ms + 3_000)
     _report(core, "e1", "2")
     core.arrive("long")
     assert core.dispatch().server_id == "e1"
@@ -134,7 +134,7 @@
     for version in ("1", "2"):
         for isolated in (frozenset(), frozenset({"desk"})):
             core = routed_core.Core(servers=0)
-            core.tell(
+            core.submit(
                 inputs.TableChanged,
                 routed_core.table(2, weights=version, isolated=isolated),
             )
--- a/tests/sim/repeat_fleets.py
+++ b/tests/sim/repeat_fleets.py
@@ -42,7 +42,7 @@
 
     def hear(self, live: tuple[str, ...], known: int) -> None:
         """Takes in a view."""
-        self.core.tell(inputs.MembersChanged, live, (), known)
+        self.core.submit(inputs.MembersChanged, live, (), known)
 
 
 class Fleet:
