--- a/tests/cases/availability.py
+++ b/tests/cases/availability.py
@@ -80,24 +80,26 @@
     assert (leaving.server_id, leaving.incarnation) == ("x", NEXT_INCARNATION)
 
 
-def _rest(core: Core, server: str, rest_ms: int = 3_000, **fields) -> None:
+def _request_rest(
+    core: Core, server: str, rest_ms: int = 3_000, **fields
+) -> None:
     core.submit_named(
         server_inputs.RestAsked, server_id=server, rest_ms=rest_ms, **fields
     )
 
 
-def _rest_all(core: Core, rest_ms: int) -> None:
+def _request_rest_of_all(core: Core, rest_ms: int) -> None:
     for server in ("s1", "s2"):
-        _rest(core, server, rest_ms)
+        _request_rest(core, server, rest_ms)
 
 
 def a_resting_server_gets_nothing_until_its_rest_ends() -> None:
     """Guards against a rest that a later, shorter one cuts short."""
     core = Core()
     rest_until_ms = core.now_ms + 3_000
-    _rest(core, "s1", 3_000)
+    _request_rest(core, "s1", 3_000)
     core.now_ms += 500
-    _rest(core, "s1", 1_000)
+    _request_rest(core, "s1", 1_000)
     used_servers = set()
     for number in range(25):
         core.now_ms += 100
@@ -119,7 +121,7 @@
     core = Core()
     core.arrive("release")
     sent = core.dispatch()
-    _rest(core, sent.server_id)
+    _request_rest(core, sent.server_id)
     core.fail(sent, DECLINED, REFUSED)
     row = core.world.servers[sent.server_id]
     assert (
@@ -134,7 +136,7 @@
     """Guards against a rest that is forgotten with a server's entry."""
     core = Core()
     _list(core)
-    _rest(core, "x")
+    _request_rest(core, "x")
     core.submit_named(server_inputs.ServerListed, server_id="x", gone=True)
     _list(core)
     assert core.world.servers["x"].rest_until_ms == core.now_ms + 3_000
@@ -144,12 +146,12 @@
     """Guards against a restarted server that gets no work."""
     core = Core()
     _list(core)
-    _rest(core, "x", 600_000)
+    _request_rest(core, "x", 600_000)
     core.submit(server_inputs.ServerLeaving, "x", INCARNATION)
     _list(core, incarnation=NEXT_INCARNATION)
     row = core.world.servers["x"]
     assert (row.rest_until_ms, row.leaving) == (0, False)
-    _rest(core, "x", incarnation=INCARNATION)
+    _request_rest(core, "x", incarnation=INCARNATION)
     assert row.rest_until_ms == 0
 
 
@@ -165,7 +167,7 @@
 def a_request_waits_for_a_rest_that_ends_before_its_deadline() -> None:
     """Guards against callers refused for a rest that is nearly over."""
     core = Core()
-    _rest_all(core, 1_000)
+    _request_rest_of_all(core, 1_000)
     core.arrive("release", deadline_ms=3_000)
     assert not core.find(effects.Refuse) and not core.find(effects.Dispatch)
     assert not [e for e in core.wait(900) if isinstance(e, effects.Dispatch)]
@@ -176,17 +178,17 @@
 def a_rest_that_is_made_longer_ends_the_wait() -> None:
     """Guards against requests queued until their deadline in vain."""
     core = Core()
-    _rest_all(core, 1_000)
+    _request_rest_of_all(core, 1_000)
     core.arrive("release", deadline_ms=2_000)
-    _rest_all(core, 5_000)
+    _request_rest_of_all(core, 5_000)
     core.wait(50)
     assert core.refusal().retry_after_ms >= 4_900
 
 
-def no_more_wait_for_a_rest_than_the_servers_take() -> None:
+def no_more_requests_wait_for_a_rest_than_the_servers_have_slots() -> None:
     """Guards against too many requests at the moment when a rest ends."""
     core = Core()
-    _rest_all(core, 1_000)
+    _request_rest_of_all(core, 1_000)
     refused = 0
     for number in range(100):
         core.arrive("release", f"r{number}", deadline_ms=3_000)
@@ -197,8 +199,8 @@
 def retry_times_are_spread_after_the_shortest_rest() -> None:
     """Guards against callers that retry too early, or all at once."""
     core = Core()
-    _rest(core, "s1", 9_000)
-    _rest(core, "s2", 4_000)
+    _request_rest(core, "s1", 9_000)
+    _request_rest(core, "s2", 4_000)
     retry_times_ms = []
     for number in range(50):
         core.arrive("release", f"r{number}", deadline_ms=3_000)
@@ -215,7 +217,7 @@
     core.arrive("release", deadline_ms=3_000)
     sent = core.dispatch()
     tokens_before = core.world.target_budgets[routed_core.SERVICE].tokens
-    _rest_all(core, 9_000)
+    _request_rest_of_all(core, 9_000)
     core.fail(sent, DECLINED, REFUSED)
     assert core.refusal().retry_after_ms >= 9_000
     assert (
@@ -224,9 +226,9 @@
 
 
 def a_rest_does_not_count_in_the_dispatch_interval() -> None:
-    """Guards against estimated waits for which every request is refused."""
+    """Guards against estimated waits so long that all requests are refused."""
     core = Core()
-    _rest_all(core, 1_000)
+    _request_rest_of_all(core, 1_000)
     core.arrive("release", deadline_ms=3_000)
     core.wait(1_050)
     (interval,) = core.world.dispatch_pacing.values()
@@ -238,7 +240,7 @@
     core = Core()
     for number in range(availability.MAX_NOTICES + 10):
         core.submit(server_inputs.ServerLeaving, f"gone{number}", "")
-    _rest(core, "s1")
+    _request_rest(core, "s1")
     assert len(core.world.availability_notices) == availability.MAX_NOTICES
     core.wait(3_100)
     assert "s1" not in core.world.availability_notices
@@ -254,7 +256,7 @@
     return servers.ServerFormat(lambda target: target).signals(reply)
 
 
-def each_way_to_ask_for_rest_is_read() -> None:
+def each_form_of_a_requested_rest_is_read() -> None:
     """Guards against a Retry-After form that is not read."""
     valid = {"3": 3_000, "0.25": 250, " 2 ": 2_000, "0": 0, "99999999": DAY_MS}
     for text, rest_ms in valid.items():
@@ -310,7 +312,7 @@
         core.arrive(name, name)
         first = core.dispatch()
         tokens = core.world.target_budgets[routed_core.SERVICE].tokens
-        _rest(core, first.server_id)
+        _request_rest(core, first.server_id)
         core.fail(first, inputs.FailurePhase.CONNECT, WITHHELD)
         second = core.dispatch()
         assert second.server_id != first.server_id
@@ -344,9 +346,9 @@
 
 
 def a_request_that_arrives_as_a_rest_ends_is_not_refused() -> None:
-    """Guards against a rest that counts as the interval of dispatches."""
+    """Guards against counting a rest as an interval between dispatches."""
     core = Core()
-    _rest_all(core, 1_000)
+    _request_rest_of_all(core, 1_000)
     for number in range(5):
         core.arrive("release", f"r{number}", deadline_ms=3_000)
     core.now_ms += 1_000
@@ -354,7 +356,7 @@
     assert len(core.find(effects.Dispatch)) == 6, core.last_effects
 
 
-def a_report_of_a_draining_server_says_that_it_leaves() -> None:
+def a_report_of_a_draining_server_counts_as_leaving() -> None:
     """Guards against a state in load reports that is not read."""
     wire_format = servers.ServerFormat(lambda target: target)
     states = {'"draining"': True, '"ready"': False, "7": False, "null": False}
--- a/tests/cases/one_lead.py
+++ b/tests/cases/one_lead.py
@@ -105,7 +105,7 @@
         self.table = fakes.TableFake(random.Random(1))
         self.runtime = Runtime(self.clock, servers=servers)
         self.runtime.held.now_ms = self.clock.now_ms()
-        self.runtime.held.tell(
+        self.runtime.held.submit(
             inputs.TableChanged, routed_core.table(2, weights="2")
         )
         me = view.Member(
--- a/tests/cases/prefill_costs.py
+++ b/tests/cases/prefill_costs.py
@@ -43,9 +43,9 @@
         now_ms += rng.expovariate(REQUESTS_PER_S * load) * 1000
         tokens = min(40_000, round(rng.lognormvariate(7.4, 1.1)))
         took_ms = engine.first_token_ms(now_ms, tokens)
-        for seen in [p for p in pending if p[0] <= now_ms]:
-            pending.remove(seen)
-            estimate.add_sample(tokens=seen[1], took_ms=seen[2])
+        for sample in [p for p in pending if p[0] <= now_ms]:
+            pending.remove(sample)
+            estimate.add_sample(tokens=sample[1], took_ms=sample[2])
         if rng.random() >= unseen:
             pending.append((now_ms + took_ms, tokens, took_ms))
     return estimate.us_per_token
--- a/tests/cases/quarantines.py
+++ b/tests/cases/quarantines.py
@@ -275,7 +275,7 @@
     assert not _is_refused(core)
 
 
-def a_server_that_stops_responding_to_a_request_counts() -> None:
+def a_server_that_stops_responding_to_requests_counts_as_crashed() -> None:
     """Guards against crashes missed where no connection is closed."""
     core = _core()
     for number in range(3):
--- a/tests/cases/rate_limits.py
+++ b/tests/cases/rate_limits.py
@@ -255,18 +255,7 @@
         assert read(text) == Ok(value), text
     assert read("4.7", name="X-GODWITTACK-Server-limit") == Ok(4.7)
     assert read("3", "3") == Ok(3.0)
-    invalid = (
-        "",
-        "-1",
-        "nan",
-        "NaN",
-        "inf",
-        "1e309",
-        "4,7",
-        "4.7.1",
-        ".",
-        "+4",
-    )
-    for text in (*invalid, "9" * 400, "\u0664", "4 7"):
+    bad = ("", "-1", "nan", "NaN", "inf", "1e309", "4,7", "4.7.1", ".", "+4")
+    for text in (*bad, "9" * 400, "\u0664", "4 7"):
         assert isinstance(read(text), Err), text
     assert isinstance(read("3", "4"), Err)
--- a/tests/cases/routed.py
+++ b/tests/cases/routed.py
@@ -74,7 +74,7 @@
     assert core.dispatch().server_id != first.server_id
 
 
-def all_declined_is_not_run() -> None:
+def a_call_declined_by_all_servers_is_reported_as_not_run() -> None:
     """If all attempts were declined, the refusal is a 503 with a retry time.
 
     Symptom: callers give up on calls that could be repeated safely.
@@ -109,7 +109,7 @@
 
 
 def a_failure_answer_of_a_call_that_runs_once_is_final() -> None:
-    """After a 500, a call that runs once may have run.
+    """After a 500, a call that may run only once is not sent again.
 
     Symptom: a call that may run once runs twice.
     Sequence: the server answers 500.
@@ -122,7 +122,7 @@
     assert core.find(effects.Reply)
 
 
-def a_stream_goes_on_at_another_server() -> None:
+def a_stream_continues_at_another_server() -> None:
     """A resumable stream that breaks continues after its last event.
 
     Symptom: events are duplicated or missing, or the stream starts again.
@@ -177,7 +177,7 @@
 
 
 def a_resumable_stream_without_first_event_moves() -> None:
-    """A resumable stream leaves a server that stopped responding after 2 s.
+    """After 2 s without a first event, a resumable stream is sent elsewhere.
 
     Symptom: callers wait until their deadline for a server that crashed.
     Sequence: the server stops responding before the first event.
@@ -209,7 +209,7 @@
     """A key is checked again before its request is dispatched.
 
     Symptom: a request runs after its key was revoked for good.
-    Sequence: a request is queued; its key is revoked; a server gets free.
+    Sequence: a request is queued; its key is revoked; a server becomes free.
     Cause: keys were checked on arrival only.
     """
     core = routed_core.Core(servers=1, hold_ms=0)
@@ -227,7 +227,7 @@
     assert core.refusal().status == 401
 
 
-def keys_are_refused_once_nothing_confirms_them() -> None:
+def keys_are_refused_once_the_serving_lease_expires() -> None:
     """A daemon that can't reach the store stops serving keys.
 
     Symptom: a daemon that is cut off serves a revoked key.
@@ -300,7 +300,7 @@
 
 
 def a_short_urgent_request_passes_long_ones_that_are_queued() -> None:
-    """A queued prompt delays only requests of its or a lower priority.
+    """A queued prompt delays only requests of its own or a lower priority.
 
     Behind one long prompt that waited for 100 ms or more, every request for
     the model was queued, also those that an engine would have started at
@@ -401,8 +401,8 @@
     Symptom: two fifths of what daemons send each other is demand of
         workspaces without limits.
     Sequence: requests come and go on a table without limits.
-    Cause: demand was counted for every workspace, even where no limit is
-        shared out by it.
+    Cause: demand was counted for every workspace, even where it
+        determines no share of a limit.
     """
     core = routed_core.Core()
     core.arrive("long", "r1")
--- a/tests/cases/sourcing.py
+++ b/tests/cases/sourcing.py
@@ -39,12 +39,12 @@
     return core
 
 
-def _ask(core: routed_core.Core, name: str) -> effects.Dispatch:
+def _dispatch_prompt(core: routed_core.Core, name: str) -> effects.Dispatch:
     core.arrive("long", name, levels=(SHARED, OWN))
     return core.dispatch()
 
 
-def _digest(core: routed_core.Core, server: str, **fields) -> None:
+def _report_cache(core: routed_core.Core, server: str, **fields) -> None:
     core.submit_named(
         server_inputs.CacheDigest,
         server_id=server,
@@ -62,10 +62,10 @@
     Cause: placement by load alone.
     """
     core = _core()
-    first = _ask(core, "r1")
+    first = _dispatch_prompt(core, "r1")
     assert first.kv_save_to == STORE
     core.now_ms += 1_000
-    second = _ask(core, "r2")
+    second = _dispatch_prompt(core, "r2")
     assert second.server_id == first.server_id
     assert second.kv_save_to == ""
 
@@ -78,11 +78,11 @@
     Cause: placement by cached state, regardless of the wait.
     """
     core = _core()
-    first = _ask(core, "r1")
+    first = _dispatch_prompt(core, "r1")
     core.now_ms += 1_000
     busy_server = core.world.servers[first.server_id]
     busy_server.backlog_until_ms[0] = core.now_ms + 500.0
-    second = _ask(core, "r2")
+    second = _dispatch_prompt(core, "r2")
     assert second.server_id != first.server_id
     assert second.kv_fetch_from in (busy_server.address, STORE)
 
@@ -95,7 +95,7 @@
     Cause: levels counted as cached as soon as they were sent.
     """
     core = _core()
-    first = _ask(core, "r1")
+    first = _dispatch_prompt(core, "r1")
     core.now_ms += 10
     server = core.world.servers[first.server_id]
     request = core.world.requests["r1"]
@@ -115,9 +115,9 @@
     Cause: no source was named where none seemed necessary.
     """
     core = _core()
-    first = _ask(core, "r1")
+    first = _dispatch_prompt(core, "r1")
     core.now_ms += 1_000
-    assert _ask(core, "r2").kv_fetch_from != ""
+    assert _dispatch_prompt(core, "r2").kv_fetch_from != ""
     assert first.kv_fetch_from == STORE
 
 
@@ -247,7 +247,7 @@
     """
     core = _core()
     core.submit(server_inputs.ServerDraining, "keep", core.now_ms + 3_000)
-    sent = _ask(core, "r1")
+    sent = _dispatch_prompt(core, "r1")
     assert (sent.kv_fetch_from, sent.kv_save_to) == ("", "")
 
 
@@ -259,17 +259,17 @@
     Cause: a level was recorded either as cached or as not.
     """
     core = _core()
-    first = _ask(core, "r1")
+    first = _dispatch_prompt(core, "r1")
     core.now_ms += 1_000
     key = levels.key_for_weights(SHARED.key, "1")
-    _digest(core, first.server_id, stored=(key,), tokens=(1_000,))
+    _report_cache(core, first.server_id, stored=(key,), tokens=(1_000,))
     server = core.world.servers[first.server_id]
     request = core.world.requests["r1"]
     assert cached_state.cached_tokens(server, request, "1") == 1_000
 
 
 def small_levels_are_not_reported_to_peers() -> None:
-    """Peers get updates only on levels of some size.
+    """Peers get updates only on levels above a minimum size.
 
     Symptom: among sixty daemons, a third of all bytes between failure domains
         are updates on levels that an engine computes in half a millisecond.
@@ -291,7 +291,7 @@
 
 
 def all_levels_of_unknown_size_are_reported() -> None:
-    """The product's own engines report keys only, so no level is known small.
+    """The product's engines report keys only, so no level is known as small.
 
     Symptom: placement by cached levels fails on the product's interface.
     Sequence: an engine stores a level of unknown size and evicts it.
@@ -321,7 +321,7 @@
         if name != first.server_id
     )
     key = levels.key_for_weights(SHARED.key, "1")
-    _digest(core, other, stored=(key,), tokens=(13_000,))
+    _report_cache(core, other, stored=(key,), tokens=(13_000,))
     server, request = core.world.servers[other], core.world.requests["r1"]
     assert cached_state.cached_tokens(server, request, "1") == 13_050
 
@@ -340,7 +340,7 @@
     greeting = work.Level(key=10, tokens=50)
     key = levels.key_for_weights(SHARED.key, "1")
     for caching_server in ("e1", "keep"):
-        _digest(core, caching_server, stored=(key,), tokens=(13_000,))
+        _report_cache(core, caching_server, stored=(key,), tokens=(13_000,))
     core.world.servers["e1"].backlog_until_ms[0] = core.now_ms + 500.0
     core.arrive("long", "r1", levels=(greeting, SHARED, OWN))
     sent = core.dispatch()
@@ -375,8 +375,8 @@
     Cause: the same name counted as the same contents.
     """
     core = _core()
-    _ask(core, "r1")
+    _dispatch_prompt(core, "r1")
     core.now_ms += 2_000
-    assert _ask(core, "r2").kv_save_to == ""
-    _digest(core, "keep", cleared=True)
-    assert _ask(core, "r3").kv_save_to == STORE
+    assert _dispatch_prompt(core, "r2").kv_save_to == ""
+    _report_cache(core, "keep", cleared=True)
+    assert _dispatch_prompt(core, "r3").kv_save_to == STORE
--- a/tests/cases/waiting.py
+++ b/tests/cases/waiting.py
@@ -32,7 +32,7 @@
         self.gap_ms = gap_ms
         self._deadline_ms = deadline_ms
         self._ends: list[tuple[int, str, effects.Dispatch]] = []
-        self._busy_ms = {f"e{n}": 0 for n in range(1, ENGINES + 1)}
+        self._busy_until_ms = {f"e{n}": 0 for n in range(1, ENGINES + 1)}
         self.arrived_ms: dict[str, int] = {}
         self.waited_ms: dict[str, int] = {}
         self.started = 0
@@ -59,8 +59,8 @@
         )
 
     def _report(self) -> None:
-        for server, busy_ms in self._busy_ms.items():
-            left_ms = max(0, busy_ms - self.core.now_ms)
+        for server, busy_until_ms in self._busy_until_ms.items():
+            left_ms = max(0, busy_until_ms - self.core.now_ms)
             self._handle(
                 self.core.submit_named(
                     server_inputs.LoadReported,
@@ -84,9 +84,9 @@
         for effect in new_effects:
             if isinstance(effect, effects.Dispatch):
                 starts_ms = max(
-                    self._busy_ms[effect.server_id], self.core.now_ms
+                    self._busy_until_ms[effect.server_id], self.core.now_ms
                 )
-                self._busy_ms[effect.server_id] = starts_ms + WORK_MS
+                self._busy_until_ms[effect.server_id] = starts_ms + WORK_MS
                 ends_ms = starts_ms + WORK_MS
                 heapq.heappush(self._ends, (ends_ms, effect.request_id, effect))
             if isinstance(effect, effects.Refuse):
--- a/tests/cases/withdrawing.py
+++ b/tests/cases/withdrawing.py
@@ -15,35 +15,35 @@
     return session
 
 
-async def _leave(plan: repeats.Plan) -> None:
+async def _check_leaving(plan: repeats.Plan) -> None:
     session = await _play(plan)
     assert session.heard, session.faults
 
 
-async def _rest(plan: repeats.Plan) -> None:
+async def _check_rest(plan: repeats.Plan) -> None:
     session = await _play(plan)
     assert session.rests > DAEMONS, session.rests
     assert session.statuses["200"] > sum(session.statuses.values()) / 2
 
 
-async def servers_that_say_that_they_leave_get_nothing_more() -> None:
+async def servers_that_report_leaving_get_nothing_more() -> None:
     """Guards against leaving that is read from the instance list only."""
-    await _leave(signals.LEAVING)
+    await _check_leaving(signals.LEAVING)
 
 
 async def a_silent_store_does_not_hide_that_servers_leave() -> None:
     """Guards against leaving that is read from the store only."""
-    await _leave(signals.LEAVING_UNSEEN)
+    await _check_leaving(signals.LEAVING_UNSEEN)
 
 
 async def an_entry_that_comes_back_does_not_undo_leaving() -> None:
     """Guards against leaving that is forgotten with a server's entry."""
-    await _leave(signals.LAPSING)
+    await _check_leaving(signals.LAPSING)
 
 
 async def servers_that_request_a_rest_get_it() -> None:
     """Guards against requests to a server during its rest."""
-    await _rest(signals.RESTING)
+    await _check_rest(signals.RESTING)
 
 
 async def a_service_whose_servers_all_request_a_rest_gets_it() -> None:
--- a/tests/features/crashing.feature
+++ b/tests/features/crashing.feature
@@ -31,7 +31,7 @@
       | quarantines | a quarantine stops attempts in progress |
       | quarantines | a quarantine refuses queued requests |
       | quarantines | a quarantine ends and a further crash doubles it |
-      | quarantines | a server that stops responding to a request counts |
+      | quarantines | a server that stops responding to requests counts as crashed |
       | quarantines | each incarnation of one server counts |
       | quarantines | an older completed run does not replace a newer one |
       | quarantines | an exchange makes up for lost crash reports |
--- a/tests/features/platform.feature
+++ b/tests/features/platform.feature
@@ -10,16 +10,16 @@
       | routed | many requests without keys are served |
       | routed | a call that may have run is not sent again |
       | routed | a declined call goes to another server |
-      | routed | all declined is not run |
+      | routed | a call declined by all servers is reported as not run |
       | routed | a failure answer is kept while another server is tried |
       | routed | a failure answer of a call that runs once is final |
-      | routed | a stream goes on at another server |
+      | routed | a stream continues at another server |
       | routed | a stream that may not be resumed breaks |
       | routed | a silent stream that may not be resumed is not sent again |
       | routed | a resumable stream without first event moves |
       | routed | the route's timeout ends a request |
       | routed | a key revoked while its request is queued is not served |
-      | routed | keys are refused once nothing confirms them |
+      | routed | keys are refused once the serving lease expires |
       | routed | an unsafe call outlives its caller |
       | routed | retries stay within their budget |
       | routed | a fleet shares the burst of retries |
--- a/tests/features/withdrawing.feature
+++ b/tests/features/withdrawing.feature
@@ -1,7 +1,7 @@
 Feature: A server that leaves or requests a rest gets no unwanted requests
 
   Scenario: Real processes, servers that leave while they are listed as ready
-    When the case "servers that say that they leave get nothing more" of "withdrawing" is played
+    When the case "servers that report leaving get nothing more" of "withdrawing" is played
 
   Scenario: Real processes, servers that leave while the store is silent
     When the case "a silent store does not hide that servers leave" of "withdrawing" is played
@@ -37,16 +37,16 @@
       | leaving of a later incarnation counts once it is listed |
       | a request waits for a rest that ends before its deadline |
       | a rest that is made longer ends the wait |
-      | no more wait for a rest than the servers take |
+      | no more requests wait for a rest than the servers have slots |
       | retry times are spread after the shortest rest |
       | no retry is spent where all servers rest |
       | a rest does not count in the dispatch interval |
       | notices kept of servers are bounded |
-      | each way to ask for rest is read |
+      | each form of a requested rest is read |
       | each spelling of leaving is read |
       | a rest that cannot be read is a short one |
       | a withheld request is placed again at no cost |
       | a notice without an incarnation applies to one alone |
       | a request that arrives as a rest ends is not refused |
       | a server without incarnation ids comes back with its entry |
-      | a report of a draining server says that it leaves |
+      | a report of a draining server counts as leaving |
