--- a/src/godwittack/backend/routed.py
+++ b/src/godwittack/backend/routed.py
@@ -1,4 +1,4 @@
-"""Runs attempts on backend servers whose answers are handed on unchanged."""
+"""Runs attempts on backend servers whose answers are relayed unchanged."""
 
 from __future__ import annotations
 
@@ -22,26 +22,26 @@
     from godwittack.core import effects
 
 EVENT_STREAM = "text/event-stream"
-# Time in which a server that turns a connection away has reset it: a round
-# trip between failure domains of 2 ms, and 1 ms in which it accepts.
-TURNED_AWAY_MS = 4
+# Wait after opening a connection until a server that rejects it has reset it: a
+# round trip between failure domains takes 2 ms, and the accept 1 ms.
+RESET_WAIT_MS = 4
 
-
-# Names of kept connections beside those of callers' requests.
+# Names of pooled connections that are kept apart from those of callers'
+# requests.
 CONTROL_CONNECTION = "control"
 EVENTS_CONNECTION = "events/control"
 
 
-class TurnedAwayError(ConnectionResetError):
-    """The server accepted a connection and reset it unused."""
+class ConnectionRejectedError(ConnectionResetError):
+    """The server accepted a connection and reset it before it was used."""
 
 
 class WithheldError(Exception):
-    """The server wanted no work any more before anything was sent."""
+    """The server stopped accepting work before anything was sent."""
 
 
-class OutOfTimeError(Exception):
-    """The time for an answer was over before anything was sent."""
+class DeadlineExceededError(Exception):
+    """The deadline for an answer passed before anything was sent."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
@@ -50,8 +50,9 @@
 
     Attributes:
         head: Request line and headers, with the blank line.
-        step: What it does, for errors.
-        wait_ms: How long the server may hold it open.
+        step: Operation, for error messages.
+        wait_ms: How long the server may delay its answer, beyond the timeout
+            of control calls.
     """
 
     step: str
@@ -61,75 +62,79 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Answered:
-    """Answer to a control call, with what it says of its server."""
+class _ControlReply:
+    """Answer to a control call, with the signals of its server."""
 
     body: bytes
-    said: signals.ServerSignals
+    signals: signals.ServerSignals
 
 
 class ServerFormat(Protocol):
-    """How requests to servers are written, and their answers read."""
+    """Formats requests to servers and parses their answers."""
 
     def request_head(
-        self, dispatch: effects.Dispatch, call: protocol.Call, left_ms: int
+        self, dispatch: effects.Dispatch, call: protocol.Call, remaining_ms: int
     ) -> bytes:
         """Returns request line and headers of one attempt.
 
         Args:
             dispatch: The attempt.
-            call: What is asked.
-            left_ms: Time that is left for the answer; 0 for no limit.
+            call: The caller's request.
+            remaining_ms: Time left for the answer; 0 for no limit.
         """
 
-    def is_answer_to(
-        self, reply: connections.Reply, call: protocol.Call
-    ) -> bool:
+    def matches(self, reply: connections.Reply, call: protocol.Call) -> bool:
         """Returns whether an answer belongs to the call."""
 
-    def declined(
+    def decline_cause(
         self, reply: connections.Reply, server_id: str
     ) -> inputs.FailureCause | None:
         """Returns why the server did not run the request, None if it did."""
 
-    def signals(self, reply: connections.Reply) -> signals.ServerSignals:
-        """Returns all that an answer says of its server."""
+    def read_signals(self, reply: connections.Reply) -> signals.ServerSignals:
+        """Returns all that an answer reports about its server."""
 
     def load_call(self, address: str, server_id: str) -> ControlCall:
-        """Returns the call for a server's report of its state."""
+        """Returns the call that requests a server's load report."""
 
     def read_load(self, body: bytes, server_id: str) -> protocol.EngineLoad:
-        """Reads a report; raises ValueError for anything else."""
+        """Parses a load report; raises ValueError if it is invalid."""
 
     def events_call(
         self, address: str, server_id: str, after: int
     ) -> ControlCall:
-        """Returns the call for cache events."""
+        """Returns the call that requests cache events."""
 
     def read_events(self, body: bytes, server_id: str) -> protocol.CacheEvents:
-        """Reads cache events; raises ValueError for anything else."""
+        """Parses cache events; raises ValueError if they are invalid."""
 
     def order_call(self, address: str, order: protocol.Order) -> ControlCall:
-        """Returns the call for an order."""
+        """Returns the call that sends an order."""
 
 
 class RoutedBackend:
-    """Implements `BackendClient` over kept connections of our own."""
+    """Implements `BackendClient` over pooled `Connection` objects.
+
+    Attributes:
+        signal_reporter: Passes the signals in answers to the core.
+        may_send: Checked directly before a request is written; False fails
+            the attempt as not sent.
+    """
 
     def __init__(
         self,
         *,
         pool: pools.Pool,
-        wire: ServerFormat,
+        server_format: ServerFormat,
         clock: Clock,
         control_timeout_ms: int,
     ) -> None:
-        """Speaks `wire` over connections of `pool`."""
+        """Uses `server_format` over connections of `pool`."""
         self._pool = pool
-        self._wire = wire
+        self._format = server_format
         self._clock = clock
         self._control_timeout_ms = control_timeout_ms
-        self.listener = signals.Listener(clock=clock)
+        self.signal_reporter = signals.SignalReporter(clock=clock)
         self.may_send: Callable[[effects.Dispatch], bool]
         self.may_send = lambda dispatch: True
 
@@ -140,12 +145,12 @@
         sink: protocol.AttemptSink,
     ) -> None:
         """Runs one attempt to its end."""
-        used = None
+        connection = None
         if not dispatch.fresh_connection:
-            used = self._pool.take(dispatch.server_id)
-        if used is None:
+            connection = self._pool.acquire(dispatch.server_id)
+        if connection is None:
             try:
-                used = await self._open(dispatch)
+                connection = await self._open(dispatch)
             except OSError as error:
                 sink.failed(
                     inputs.FailurePhase.CONNECT,
@@ -153,17 +158,17 @@
                     str(error),
                 )
                 return
-        ended_well = False
+        is_finished = False
         try:
-            await self._exchange(used, dispatch, call, sink)
-            ended_well = True
+            await self._exchange(connection, dispatch, call, sink)
+            is_finished = True
         except WithheldError as error:
             sink.failed(
                 inputs.FailurePhase.CONNECT,
                 inputs.FailureCause.WITHHELD,
                 str(error),
             )
-        except OutOfTimeError as error:
+        except DeadlineExceededError as error:
             sink.failed(
                 inputs.FailurePhase.DECLINED,
                 inputs.FailureCause.REFUSED,
@@ -176,82 +181,84 @@
                 str(error),
             )
         finally:
-            # Also where the attempt was cancelled: the server stops the work
-            # of a caller whose connection closes.
-            if not ended_well:
-                used.close()
+            # A cancelled attempt closes its connection as well: the server
+            # then stops working on the request.
+            if not is_finished:
+                connection.close()
 
     async def _open(self, dispatch: effects.Dispatch) -> connections.Connection:
-        """Opens a connection, and lets its server turn it away.
+        """Opens a connection, and waits until the server may have reset it.
 
         A server with a long queue accepts connections and resets them. A call
-        that had been written to one may have run for all we know, and one
-        that may run once would end there; nothing written, it goes elsewhere.
+        written to such a connection may have run, so that one that may run
+        only once could not be retried; with nothing written, it can be sent to
+        another server.
 
         Raises:
-            TurnedAwayError: Accepted and reset before anything was sent.
-            OSError: Not opened.
+            ConnectionRejectedError: The server accepted the connection and
+                reset it before anything was sent.
+            OSError: The connection could not be opened.
         """
-        used = await self._pool.open(dispatch.address)
+        connection = await self._pool.open(dispatch.address)
         if not dispatch.fresh_connection:
-            return used
+            return connection
         try:
-            await asyncio.sleep(TURNED_AWAY_MS / 1000)
+            await asyncio.sleep(RESET_WAIT_MS / 1000)
         except asyncio.CancelledError:
-            used.close()
+            connection.close()
             raise
-        if not used.is_open:
-            used.close()
-            raise TurnedAwayError("reset before anything was sent")
-        return used
+        if not connection.is_open:
+            connection.close()
+            raise ConnectionRejectedError("reset before anything was sent")
+        return connection
 
     async def cancel(self, address: str, stream_id: str) -> None:
-        """Does nothing: a closed connection is what ends a server's work."""
+        """Does nothing: closing the connection ends the server's work."""
 
     async def load(
         self, address: str, *, server_id: str = ""
     ) -> Result[protocol.EngineLoad, protocol.BackendError]:
-        """Returns the server's own report."""
-        call = self._wire.load_call(address, server_id)
-        got = await self._control(
-            address, server_id, call, kept_as=CONTROL_CONNECTION
+        """Returns the server's load report."""
+        call = self._format.load_call(address, server_id)
+        result = await self._control(
+            address, server_id, call, connection_name=CONTROL_CONNECTION
         )
-        if isinstance(got, Err):
-            return got
-        answered = got.ok_value
+        if isinstance(result, Err):
+            return result
+        reply = result.ok_value
         try:
-            told = self._wire.read_load(answered.body, server_id)
+            load = self._format.read_load(reply.body, server_id)
         except ValueError as error:
             return _error(call.step, address, str(error))
-        is_leaving = told.leaving or answered.said.is_leaving
-        return Ok(dataclasses.replace(told, leaving=is_leaving))
+        is_leaving = load.leaving or reply.signals.is_leaving
+        return Ok(dataclasses.replace(load, leaving=is_leaving))
 
     poll_load = load
 
     async def cache_events(
         self, address: str, *, after: int, server_id: str = ""
     ) -> Result[protocol.CacheEvents, protocol.BackendError]:
-        """Waits for cache events."""
-        call = self._wire.events_call(address, server_id, after)
-        got = await self._control(
-            address, server_id, call, kept_as=EVENTS_CONNECTION
+        """Returns the cache events after a sequence number; waits for them."""
+        call = self._format.events_call(address, server_id, after)
+        result = await self._control(
+            address, server_id, call, connection_name=EVENTS_CONNECTION
         )
-        if isinstance(got, Err):
-            return got
+        if isinstance(result, Err):
+            return result
         try:
-            return Ok(self._wire.read_events(got.ok_value.body, server_id))
+            return Ok(self._format.read_events(result.ok_value.body, server_id))
         except ValueError as error:
             return _error(call.step, address, str(error))
 
     async def order(
         self, address: str, order: protocol.Order
     ) -> Result[None, protocol.BackendError]:
-        """Gives an order."""
-        call = self._wire.order_call(address, order)
-        got = await self._control(
-            address, order.server_id, call, kept_as=CONTROL_CONNECTION
+        """Sends an order."""
+        call = self._format.order_call(address, order)
+        result = await self._control(
+            address, order.server_id, call, connection_name=CONTROL_CONNECTION
         )
-        return got if isinstance(got, Err) else Ok(None)
+        return result if isinstance(result, Err) else Ok(None)
 
     async def export_kv(
         self, address: str, level_key: int
@@ -267,30 +274,32 @@
 
     async def _exchange(
         self,
-        used: connections.Connection,
+        connection: connections.Connection,
         dispatch: effects.Dispatch,
         call: protocol.Call,
         sink: protocol.AttemptSink,
     ) -> None:
-        left_ms = self._left_ms(dispatch)
+        remaining_ms = self._remaining_ms(dispatch)
         if not self.may_send(dispatch):
             raise WithheldError(f"{dispatch.server_id} wants no work any more")
-        used.send(self._wire.request_head(dispatch, call, left_ms), call.body)
-        reply = await used.read_head(
-            lambda reply: self._wire.is_answer_to(reply, call)
+        connection.send(
+            self._format.request_head(dispatch, call, remaining_ms), call.body
+        )
+        reply = await connection.read_head(
+            lambda reply: self._format.matches(reply, call)
         )
-        sender = signals.Sender(
+        origin = signals.SignalOrigin(
             server_id=dispatch.server_id,
             incarnation=dispatch.incarnation,
             request_id=dispatch.request_id,
         )
-        declined = self._wire.declined(reply, dispatch.server_id)
-        self._hear(
-            sender, reply, declined=declined, may_lift_limit=declined is None
+        declined = self._format.decline_cause(reply, dispatch.server_id)
+        self._report_signals(
+            origin, reply, declined=declined, may_lift_limit=declined is None
         )
         if declined is not None:
-            await used.read_body(reply)
-            self._pool.give_back(dispatch.server_id, used, reply)
+            await connection.read_body(reply)
+            self._pool.release(dispatch.server_id, connection, reply)
             sink.failed(
                 inputs.FailurePhase.DECLINED,
                 declined,
@@ -298,81 +307,93 @@
             )
             return
         if _is_stream(reply) and dispatch.stamp is not None:
-            await _relay(used, reply, dispatch, sink)
-            self._pool.give_back(dispatch.server_id, used, reply)
+            await _relay(connection, reply, dispatch, sink)
+            self._pool.release(dispatch.server_id, connection, reply)
             return
-        body = await used.read_body(reply)
-        self._pool.give_back(dispatch.server_id, used, reply)
+        body = await connection.read_body(reply)
+        self._pool.release(dispatch.server_id, connection, reply)
         answer = work.Answer(reply.status, _end_to_end(reply), body)
         sink.answer(dispatch.attempt_id, answer, dispatch.stamp)
 
-    def _left_ms(self, dispatch: effects.Dispatch) -> int:
+    def _remaining_ms(self, dispatch: effects.Dispatch) -> int:
         """Returns the time left for an answer; 0 for no limit.
 
         Raises:
-            OutOfTimeError: Opening the connection has taken what was left.
+            DeadlineExceededError: Opening the connection took all that was
+                left.
         """
         if not dispatch.ends_at_ms:
             return 0
-        left_ms = dispatch.ends_at_ms - self._clock.now_ms()
-        if left_ms <= 0:
-            raise OutOfTimeError("its time was over before it was sent")
-        return left_ms
+        remaining_ms = dispatch.ends_at_ms - self._clock.now_ms()
+        if remaining_ms <= 0:
+            raise DeadlineExceededError("its time was over before it was sent")
+        return remaining_ms
 
-    def _hear(
+    def _report_signals(
         self,
-        sender: signals.Sender,
+        origin: signals.SignalOrigin,
         reply: connections.Reply,
         *,
         declined: inputs.FailureCause | None,
         may_lift_limit: bool = False,
     ) -> signals.ServerSignals:
-        """Takes in what an answer says of its server.
+        """Passes the signals of an answer to the core, and returns them.
 
-        One by another process that has the address says nothing of the server
-        that was meant.
+        An answer of another process that now has the address is ignored: its
+        signals don't apply to the intended server.
         """
         if declined is inputs.FailureCause.OTHER_SERVER:
             return signals.ServerSignals()
-        said = self._wire.signals(reply)
-        self.listener.heard(sender, said, may_lift_limit=may_lift_limit)
-        return said
+        server_signals = self._format.read_signals(reply)
+        self.signal_reporter.report(
+            origin, server_signals, may_lift_limit=may_lift_limit
+        )
+        return server_signals
 
     async def _control(
-        self, address: str, server_id: str, call: ControlCall, *, kept_as: str
-    ) -> Result[_Answered, protocol.BackendError]:
-        # Not among the connections of callers' requests, where an answer to
-        # one of those may still come late.
-        key = f"{server_id}/{kept_as}"
-        used = None
+        self,
+        address: str,
+        server_id: str,
+        call: ControlCall,
+        *,
+        connection_name: str,
+    ) -> Result[_ControlReply, protocol.BackendError]:
+        # Kept apart from the connections of callers' requests, on which a late
+        # answer to one of those may still arrive.
+        key = f"{server_id}/{connection_name}"
+        connection = None
         limit_s = (self._control_timeout_ms + call.wait_ms) / 1000
         try:
             async with asyncio.timeout(limit_s):
-                used = self._pool.take(key) or await self._pool.open(address)
-                used.send(call.head, call.body)
-                reply = await used.read_head(lambda reply: True)
-                body = await used.read_body(reply)
+                connection = self._pool.acquire(key) or await self._pool.open(
+                    address
+                )
+                connection.send(call.head, call.body)
+                reply = await connection.read_head(lambda reply: True)
+                body = await connection.read_body(reply)
         except TimeoutError:
-            _close(used)
+            _close(connection)
             detail = "no answer in time"
-            return _error(call.step, address, detail, sent=used is not None)
+            return _error(
+                call.step, address, detail, may_have_run=connection is not None
+            )
         except (OSError, connections.ReplyError) as error:
-            _close(used)
+            _close(connection)
             return _error(
                 call.step,
                 address,
                 str(error),
-                sent=used is not None,
-                ended=isinstance(error, ConnectionRefusedError),
+                may_have_run=connection is not None,
+                connection_refused=isinstance(error, ConnectionRefusedError),
             )
         except asyncio.CancelledError:
-            _close(used)
+            _close(connection)
             raise
-        self._pool.give_back(key, used, reply)
-        said = self._hear(
-            signals.Sender(server_id=server_id),
+        self._pool.release(key, connection, reply)
+        server_signals = self._report_signals(
+            signals.SignalOrigin(server_id=server_id),
             reply,
-            declined=self._wire.declined(reply, server_id),
+            declined=self._format.decline_cause(reply, server_id),
         )
         if reply.status not in (200, 202):
             return _error(
@@ -381,12 +402,12 @@
                 f"status {reply.status}",
                 status=reply.status,
             )
-        return Ok(_Answered(body, said))
+        return Ok(_ControlReply(body, server_signals))
 
 
 def _connect_cause(error: OSError) -> inputs.FailureCause:
-    """Tells a live server without room from one that can't be reached."""
-    if isinstance(error, TurnedAwayError):
+    """Distinguishes a live but full server from an unreachable one."""
+    if isinstance(error, ConnectionRejectedError):
         return inputs.FailureCause.REFUSED
     if isinstance(error, ConnectionRefusedError):
         return inputs.FailureCause.ENDED
@@ -394,7 +415,7 @@
 
 
 async def _relay(
-    used: connections.Connection,
+    connection: connections.Connection,
     reply: connections.Reply,
     dispatch: effects.Dispatch,
     sink: protocol.AttemptSink,
@@ -402,12 +423,12 @@
     assert dispatch.stamp is not None
     head = work.Head(reply.status, _end_to_end(reply))
     sink.opened(dispatch.attempt_id, dispatch.stamp, head)
-    reader = sse.FrameReader(after=dispatch.after, done=b"")
-    while data := await used.read_some(reply):
+    reader = sse.FrameReader(after=dispatch.after, done_marker=b"")
+    while data := await connection.read_chunk(reply):
         frames = reader.feed(data)
         if frames:
             await sink.frames(frames)
-    await sink.frames((reader.end(),))
+    await sink.frames((reader.finish(),))
 
 
 def _is_stream(reply: connections.Reply) -> bool:
@@ -421,9 +442,9 @@
     )
 
 
-def _close(used: connections.Connection | None) -> None:
-    if used is not None:
-        used.close()
+def _close(connection: connections.Connection | None) -> None:
+    if connection is not None:
+        connection.close()
 
 
 def _error(
@@ -432,8 +453,8 @@
     detail: str,
     *,
     status: int = 0,
-    sent: bool = True,
-    ended: bool = False,
+    may_have_run: bool = True,
+    connection_refused: bool = False,
 ) -> Err[protocol.BackendError]:
     return Err(
         protocol.BackendError(
@@ -441,8 +462,8 @@
             peer=address,
             detail=detail,
             status=status,
-            sent=sent,
-            ended=ended,
+            may_have_run=may_have_run,
+            connection_refused=connection_refused,
         )
     )
 
--- a/src/godwittack/backend/unreadable.py
+++ b/src/godwittack/backend/unreadable.py
@@ -1,29 +1,29 @@
-"""Logs what servers say and can't be read, without repeating it."""
+"""Logs unreadable values from servers, without repeating them."""
 
 from __future__ import annotations
 
 from absl import logging
 
-# Servers whose last such text is remembered.
-MOST_SERVERS = 100
+# Servers whose last unreadable value is remembered.
+MAX_SERVERS = 100
 
 
 class UnreadableLog:
-    """Writes a line where a server's unreadable text is another than before."""
+    """Writes a line when a server's unreadable value differs from its last."""
 
     def __init__(self, event: str, **fields: int) -> None:
-        """Names its lines `event`, and ends each with `fields`."""
+        """Logs lines with event name `event`, each ending with `fields`."""
         self._event = event
         self._fields = "".join(f" {k}={v}" for k, v in fields.items())
-        self._told: dict[str, str] = {}
+        self._last_detail: dict[str, str] = {}
 
-    def note(self, server_id: str, detail: str) -> None:
-        """Takes in a text that can't be read."""
-        if self._told.get(server_id) == detail:
+    def log(self, server_id: str, detail: str) -> None:
+        """Logs `detail` unless it equals the server's last one."""
+        if self._last_detail.get(server_id) == detail:
             return
-        self._told[server_id] = detail
-        while len(self._told) > MOST_SERVERS:
-            del self._told[next(iter(self._told))]
+        self._last_detail[server_id] = detail
+        while len(self._last_detail) > MAX_SERVERS:
+            del self._last_detail[next(iter(self._last_detail))]
         logging.warning(
             "event=%s server=%s detail=%r%s",
             self._event,
--- a/src/godwittack/core/admission.py
+++ b/src/godwittack/core/admission.py
@@ -60,7 +60,7 @@
         request.timeout_at_ms = arrived_at_ms + requested.route.timeout_ms
         if requested.route.streaming:
             request.caller_timeout_at_ms = (
-                arrived_at_ms + requested.route.patience_ms
+                arrived_at_ms + requested.route.caller_timeout_ms
             )
     if not _check_limits(world, request, workspace):
         return
--- a/src/godwittack/core/routing.py
+++ b/src/godwittack/core/routing.py
@@ -59,7 +59,7 @@
     workspace_name = world.table.workspace_by_token.get(
         request.token_sha256, ""
     )
-    target = matched_route.target_of(arrival.request_id)
+    target = matched_route.select_target(arrival.request_id)
     is_model = target in forwarding.engines
     kind = work.WorkKind.GENERATION if is_model else work.WorkKind.PLAIN
     return RoutedRequest(
--- a/src/godwittack/daemon/base.py
+++ b/src/godwittack/daemon/base.py
@@ -17,14 +17,13 @@
 from godwittack.member import view
 from godwittack.metric import meters
 from godwittack.peer import datagram, exchange, server
-from godwittack.report import ledger
+from godwittack.report import counters
 
 if TYPE_CHECKING:
     from collections.abc import Coroutine
 
     from godwittack.config import settings as configs
-    from godwittack.daemon import news as newses
-    from godwittack.daemon import runtime, tables
+    from godwittack.daemon import peer_updates, runtime, tables
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
@@ -47,7 +46,7 @@
     clock: SystemClock
     rng: random.Random
     core: router.Router
-    counts: ledger.Ledger
+    counts: counters.EventCounters
     meters: meters.Meters
     members: view.View
     peers: exchange.PeerClient
@@ -56,7 +55,7 @@
     seeds: tuple[str, ...]
 
     @classmethod
-    def from_config(cls, loaded: configs.Loaded) -> Components:
+    def from_config(cls, loaded: configs.LoadedSettings) -> Components:
         """Builds the components of a process that has just started."""
         settings = loaded.settings
         clock = SystemClock()
@@ -76,7 +75,7 @@
             clock=clock,
             rng=rng,
             core=core,
-            counts=ledger.Ledger(daemon=me.member_id, clock=clock),
+            counts=counters.EventCounters(daemon=me.member_id, clock=clock),
             meters=process_meters,
             members=view.View(
                 me=me,
@@ -103,16 +102,16 @@
         *,
         daemon_runtime: runtime.Runtime,
         keeper: tables.TableKeeper,
-        news: newses.News,
+        news: peer_updates.PeerUpdates,
     ) -> gossip.Gossiper:
         """Returns a gossiper, which probes peers and spreads membership."""
         return gossip.Gossiper(
             members=self.members,
             runtime=daemon_runtime,
             keeper=keeper,
-            client=self.peers,
-            probes=self.probes,
-            news=news,
+            seed_client=self.peers,
+            member_client=self.probes,
+            updates=news,
             counts=self.counts,
             seeds=self.seeds,
         )
--- a/src/godwittack/daemon/dispatch_announcer.py
+++ b/src/godwittack/daemon/dispatch_announcer.py
@@ -11,7 +11,7 @@
     from collections.abc import Iterable
 
     from godwittack.core import effects
-    from godwittack.daemon import news as newses
+    from godwittack.daemon import peer_updates
     from godwittack.daemon import runtime as runtimes
     from godwittack.member import view
 
@@ -19,7 +19,7 @@
 class DatagramSender(Protocol):
     """Sends one message to many daemons without acknowledgement."""
 
-    def spread(self, peers: Iterable[str], news: peer_pb2.News) -> None:
+    def broadcast(self, peers: Iterable[str], news: peer_pb2.News) -> None:
         """Sends `news` once to each of these addresses."""
 
 
@@ -35,7 +35,7 @@
         self,
         *,
         members: view.View,
-        news: newses.News,
+        news: peer_updates.PeerUpdates,
         runtime: runtimes.Runtime,
         datagrams: DatagramSender,
     ) -> None:
@@ -58,7 +58,7 @@
                 )
             ]
         )
-        self._datagrams.spread(
+        self._datagrams.broadcast(
             (
                 member.peer_address
                 for member in self._news.audience(announcement.target)
--- a/src/godwittack/daemon/observer.py
+++ b/src/godwittack/daemon/observer.py
@@ -10,7 +10,7 @@
     from godwittack.core import effects
     from godwittack.daemon import log_sampling
     from godwittack.metric import meters
-    from godwittack.report import ledger
+    from godwittack.report import counters
 
 
 class Observer(Protocol):
@@ -26,7 +26,7 @@
     def __init__(
         self,
         *,
-        counts: ledger.Ledger,
+        counts: counters.EventCounters,
         event_meters: meters.Meters,
         log_sampler: log_sampling.RequestLogSampler | None = None,
     ) -> None:
@@ -43,7 +43,7 @@
 
     def record(self, event: effects.Event) -> None:
         """Counts, measures and logs one event."""
-        self._counts.event(event)
+        self._counts.record(event)
         self._meters.record_event(event)
         if self._log_sampler is None:
             logging.info("%s", format_line(event))
--- a/src/godwittack/daemon/process.py
+++ b/src/godwittack/daemon/process.py
@@ -12,7 +12,7 @@
 from godwittack import clock
 from godwittack.clock import loop_delay
 from godwittack.config import settings as configs
-from godwittack.config import trouble as troubles
+from godwittack.config import validation
 
 
 def run(path: str) -> Result[None, str]:
@@ -27,7 +27,7 @@
     Raises:
         OSError: An address is in use.
     """
-    validated = troubles.load_checked(path)
+    validated = validation.load_and_check(path)
     if isinstance(validated, Err):
         return validated
     loaded = validated.ok_value
@@ -41,7 +41,7 @@
     return Ok(None)
 
 
-def _run_on_platform(loaded: configs.Loaded) -> None:
+def _run_on_platform(loaded: configs.LoadedSettings) -> None:
     # Each interface imports only the modules it needs, to start faster.
     from godwittack.daemon import logs, platform_daemon
 
@@ -59,10 +59,10 @@
         writer.close()
 
 
-def _run_own_interface(path: str, loaded: configs.Loaded) -> None:
+def _run_own_interface(path: str, loaded: configs.LoadedSettings) -> None:
     from godwittack.daemon import serve
 
-    problem = troubles.platform_trouble(path, loaded)
+    problem = validation.platform_error(path, loaded)
     if problem:
         # A daemon must also start during an outage of the platform.
         print(f"{problem}; starting without it", file=sys.stderr)
--- a/src/godwittack/daemon/serve.py
+++ b/src/godwittack/daemon/serve.py
@@ -19,16 +19,16 @@
     change,
     lead,
     listing,
-    news,
     observer,
+    peer_updates,
     runtime,
+    server_watcher,
     tables,
-    watch,
 )
-from godwittack.entry import calls, operate, status, token
+from godwittack.entry import calls, operator_api, status, token
 from godwittack.lead import lease as leases
 from godwittack.member import serving_lease
-from godwittack.report import ledger
+from godwittack.report import counters
 from godwittack.session import record
 from godwittack.store import http as platform_http
 from godwittack.table import store as table_store
@@ -44,7 +44,9 @@
 class Daemon:
     """One daemon process: the core, its servers, clients and tasks."""
 
-    def __init__(self, loaded: configs.Loaded, sessions: HttpSessions) -> None:
+    def __init__(
+        self, loaded: configs.LoadedSettings, sessions: HttpSessions
+    ) -> None:
         """Wires the components without starting them."""
         self._settings = settings = loaded.settings
         self._sessions = sessions
@@ -61,7 +63,7 @@
             session=sessions.platform,
             base_url=settings.platform_url,
             timeout_ms=settings.platform_timeout_ms,
-            pause_ms=settings.platform_pause_ms,
+            backoff_ms=settings.platform_pause_ms,
             clock=clock,
         )
         backend = backend_http.HttpBackend(
@@ -80,7 +82,7 @@
             ),
             clock=clock,
         )
-        backend.listener.submit = self.runtime.submit
+        backend.signal_reporter.submit = self.runtime.submit
         if settings.record_file:
             sink = open(  # noqa: SIM115 - open as long as the process.
                 settings.record_file, "a", buffering=1, encoding="utf-8"
@@ -96,40 +98,40 @@
             ),
             rng=rng,
         )
-        self._news = news.News(
+        self._news = peer_updates.PeerUpdates(
             members=members, runtime=self.runtime, client=self._peers
         )
         self.runtime.on_crashes = self._news.publish_crashes
         self.gossiper = components.build_gossiper(
             daemon_runtime=self.runtime, keeper=self._keeper, news=self._news
         )
-        self._streams = watch.Streams()
+        self._streams = server_watcher.Streams()
         self._list_watcher = listing.ListWatcher(
             instances=platform,
             core=self.runtime,
             members=members,
-            news=self._news,
+            updates=self._news,
             streams=self._streams,
-            on_entries=self.gossiper.entries_listed,
+            on_entries=self.gossiper.record_listed_daemons,
         )
         self.gossiper.list_hash = self._list_watcher.list_hash
-        self.gossiper.on_list_hash = self._list_watcher.hash_told
-        self._server_watcher = watch.ServerWatcher(
+        self.gossiper.on_list_hash = self._list_watcher.record_list_hash
+        self._server_watcher = server_watcher.ServerWatcher(
             core=self.runtime,
             client=backend,
             members=members,
-            news=self._news,
+            updates=self._news,
             streams=self._streams,
             load_poll_ms=settings.load_poll_ms,
         )
         self._leader = lead.Leader(
             core=self.runtime,
             client=backend,
-            service=platform,
+            lease_store=platform,
             members=members,
-            news=self._news,
+            updates=self._news,
             policy=leases.LeasePolicy(lease_ms=settings.lease_ms),
-            measures=self._meters,
+            metrics=self._meters,
         )
         self._peer_server = components.build_peer_server(self.gossiper)
         self._app = self._build_app(loaded, store, platform, counts)
@@ -146,7 +148,7 @@
         await self._probes.start(
             self._settings.peer_address, handler=self.gossiper
         )
-        self._streams.connect(core=self.runtime, news=self._news)
+        self._streams.connect(core=self.runtime, updates=self._news)
         await self._prepare()
         self._start_background_tasks()
         runner = await self._listen()
@@ -169,7 +171,7 @@
         ]
         await self._keeper.load_initial(addresses)
         await self._list_watcher.poll_once()
-        await self._server_watcher.ask_unknown()
+        await self._server_watcher.poll_unknown()
         self._server_watcher.assign()
 
     def _start_background_tasks(self) -> None:
@@ -181,7 +183,7 @@
             self.gossiper.gossip_forever(gossip_ms=settings.gossip_ms)
         )
         self._background_tasks.start(
-            self._news.tell_forever(news_ms=settings.news_ms)
+            self._news.flush_forever(min_interval_ms=settings.news_ms)
         )
         self._background_tasks.start(
             self._keeper.poll_forever(poll_ms=settings.table_poll_ms)
@@ -233,24 +235,24 @@
 
     def _build_app(
         self,
-        loaded: configs.Loaded,
+        loaded: configs.LoadedSettings,
         store: table_store.TableStore,
         platform: platform_http.HttpPlatform,
-        counts: ledger.Ledger,
+        counts: counters.EventCounters,
     ) -> web.Application:
         settings = loaded.settings
-        call_face = calls.CallFace(
+        call_face = calls.CallHandlers(
             runtime=self.runtime,
             settings=settings,
             signer=token.TokenSigner(loaded.cluster_secret),
         )
-        status_face = status.StatusFace(
+        status_face = status.StatusHandlers(
             runtime=self.runtime,
             settings=settings,
             members=self.gossiper.members,
             meters=self._meters,
         )
-        operator_face = operate.OperatorFace(
+        operator_face = operator_api.OperatorHandlers(
             runtime=self.runtime,
             settings=settings,
             gossiper=self.gossiper,
@@ -264,7 +266,7 @@
             ),
             tables=store,
             weights=platform,
-            counts=counts,
+            counters=counts,
         )
         app = web.Application(client_max_size=settings.max_body_bytes)
         app.router.add_routes(
@@ -313,7 +315,7 @@
         await self.platform.close()
 
 
-async def serve(loaded: configs.Loaded) -> None:
+async def serve(loaded: configs.LoadedSettings) -> None:
     """Runs a daemon until it is stopped."""
     sessions = HttpSessions()
     try:
--- a/src/godwittack/entry/patience.py
+++ b/src/godwittack/entry/connection_timeouts.py
@@ -1,7 +1,7 @@
-"""Ends callers' connections on which nothing comes for too long.
+"""Closes callers' connections that exceed the header or idle timeout.
 
-A connection that never completes a request, or is kept for none, holds a
-descriptor and memory; a few thousand of them take all that a daemon has.
+A connection that never completes a request, or stays open without one, holds
+a file descriptor and memory; a few thousand of them exhaust a daemon.
 """
 
 from __future__ import annotations
@@ -22,8 +22,9 @@
     Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 
-# Rounds of the loop from a new connection to what its caller has sent at once.
-ROUNDS_TO_READ = 2
+# Event loop rounds between accepting a connection and reading data that the
+# caller sent immediately.
+ACCEPT_TO_READ_ROUNDS = 2
 
 
 def waited_ms(request: web.BaseRequest) -> int:
@@ -33,8 +34,8 @@
     return connection.waited_ms()
 
 
-class PatientServer(web.Server):
-    """An HTTP server that ends connections by the table's limits."""
+class TimeoutServer(web.Server):
+    """An HTTP server that closes connections by the table's timeouts."""
 
     def __init__(
         self,
@@ -49,10 +50,10 @@
         Args:
             handler: Serves one request.
             clock: Source of time.
-            max_line_bytes: Longest line of a request's head that is read.
-            delay: How late the loop may read; None for on time.
+            max_line_bytes: Maximum length of a line in a request's head.
+            delay: How late the event loop may read; None for no delay.
         """
-        super().__init__(self._answer, handler_cancellation=True)
+        super().__init__(self._handle, handler_cancellation=True)
         self._serve = handler
         self._clock = clock
         self._max_line_bytes = max_line_bytes
@@ -68,43 +69,43 @@
             delay=self._delay,
         )
 
-    def end_slow(self, limits: forwarding.CallerLimits) -> int:
-        """Closes connections past a limit; returns how many."""
+    def close_overdue(self, limits: forwarding.CallerLimits) -> int:
+        """Closes connections past a timeout; returns how many."""
         now_ms = self._clock.now_ms()
-        slow = [
-            found
-            for found in self.connections
-            if isinstance(found, _Connection)
-            and found.is_slow(limits, now_ms=now_ms)
+        overdue = [
+            connection
+            for connection in self.connections
+            if isinstance(connection, _Connection)
+            and connection.is_overdue(limits, now_ms=now_ms)
         ]
-        for found in slow:
-            found.close()
-            if found.transport is not None:
-                found.transport.close()
-        return len(slow)
+        for connection in overdue:
+            connection.close()
+            if connection.transport is not None:
+                connection.transport.close()
+        return len(overdue)
 
-    async def _answer(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         connection = request.protocol
         assert isinstance(connection, _Connection)
-        connection.began()
+        connection.request_started()
         try:
             return await self._serve(request)
         finally:
-            connection.ended()
+            connection.request_finished()
 
 
 class _Connection(web.RequestHandler):
-    """One connection, and since when it waits for what."""
+    """One connection, with the times that its timeouts count from."""
 
-    # The base class has slots; these are its subclass's own.
+    # The base class uses slots, so this class lists its own.
     __slots__ = (
         "_accepted_in_round",
         "_clock",
         "_delay",
+        "_earliest_sent_ms",
         "_first_byte_ms",
         "_idle_since_ms",
         "_in_handler",
-        "_sent_by_ms",
     )
 
     def __init__(
@@ -122,48 +123,50 @@
             access_log=None,  # type: ignore[arg-type]
             max_line_size=max_line_bytes,
             max_field_size=max_line_bytes,
-            # A body is passed on as it came, also where it is compressed.
+            # Bodies are forwarded as received, compressed or not.
             auto_decompress=False,
         )
         self._clock = clock
         self._delay = delay
         self._accepted_in_round = delay.iterations
-        self._sent_by_ms = clock.now_ms() - delay.accept_delay_ms()
+        self._earliest_sent_ms = clock.now_ms() - delay.accept_delay_ms()
         self._first_byte_ms = -1
         self._idle_since_ms = clock.now_ms()
         self._in_handler = False
 
     def data_received(self, data: bytes) -> None:
-        """Notes when a request's first bytes came."""
+        """Records when the first bytes of a request arrived."""
         if self._first_byte_ms < 0:
             self._first_byte_ms = self._clock.now_ms()
             if (
                 self._delay.iterations
-                > self._accepted_in_round + ROUNDS_TO_READ
+                > self._accepted_in_round + ACCEPT_TO_READ_ROUNDS
             ):
                 waited_ms = self._delay.read_delay_ms()
-                self._sent_by_ms = self._first_byte_ms - waited_ms
+                self._earliest_sent_ms = self._first_byte_ms - waited_ms
         super().data_received(data)
 
     def waited_ms(self) -> int:
-        """Returns how long the request may have waited, by now."""
+        """Returns how long the request may have waited until now."""
         if self._first_byte_ms < 0:
-            # It came in one piece with the request before.
+            # It arrived in the same read as the previous request.
             return 0
-        return max(0, self._clock.now_ms() - self._sent_by_ms)
+        return max(0, self._clock.now_ms() - self._earliest_sent_ms)
 
-    def began(self) -> None:
-        """Notes that a request's headers were read."""
+    def request_started(self) -> None:
+        """Records that a request's headers were read."""
         self._in_handler = True
 
-    def ended(self) -> None:
-        """Notes that a request was answered."""
+    def request_finished(self) -> None:
+        """Records that a request was answered."""
         self._in_handler = False
         self._first_byte_ms = -1
         self._idle_since_ms = self._clock.now_ms()
 
-    def is_slow(self, limits: forwarding.CallerLimits, *, now_ms: int) -> bool:
-        """Returns whether the caller has taken longer than it may."""
+    def is_overdue(
+        self, limits: forwarding.CallerLimits, *, now_ms: int
+    ) -> bool:
+        """Returns whether the connection has exceeded its current timeout."""
         if self._in_handler:
             return False
         if self._first_byte_ms >= 0:
@@ -173,4 +176,4 @@
         return 0 < limit_ms <= now_ms - self._idle_since_ms
 
 
-__all__ = ["PatientServer", "waited_ms"]
+__all__ = ["TimeoutServer", "waited_ms"]
--- a/src/godwittack/entry/forward.py
+++ b/src/godwittack/entry/forward.py
@@ -1,4 +1,4 @@
-"""Serves callers whose requests are handed on to servers unchanged."""
+"""Serves callers whose requests are forwarded to servers unchanged."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from result import Err
 
 from godwittack.core import effects, inputs
-from godwittack.entry import parse, patience
+from godwittack.entry import connection_timeouts, parse
 from godwittack.table import forwarding
 
 if TYPE_CHECKING:
@@ -27,35 +27,35 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Arrived:
-    """A request as the core sees it, and as it is sent on."""
+class ParsedRequest:
+    """A request as the core sees it, and as it is forwarded."""
 
     work: work.Work
     call: backend.Call
 
 
 class CallerFormat(Protocol):
-    """How callers' requests are read, and what they are answered."""
+    """Format of callers' requests and of responses to them."""
 
-    def read(
-        self, request: web.BaseRequest, body: bytes, known: model.Table
-    ) -> Result[Arrived, str]:
-        """Reads a request, or says what is wrong with it."""
+    def parse_request(
+        self, request: web.BaseRequest, body: bytes, table: model.Table
+    ) -> Result[ParsedRequest, str]:
+        """Parses a request, or returns what is wrong with it."""
 
-    def refusal(
-        self, refused: effects.Refuse, call: backend.Call
+    def refusal_response(
+        self, refusal: effects.Refuse, call: backend.Call
     ) -> web.Response:
-        """Returns the answer to a request that brings no other."""
+        """Returns the response to a request that the core refused."""
 
-    def bad_request(self, detail: str, *, status: int) -> web.Response:
-        """Returns the answer to a request that could not be read."""
+    def error_response(self, detail: str, *, status: int) -> web.Response:
+        """Returns the response to a request that could not be parsed."""
 
 
-class ForwardFace:
+class ForwardHandler:
     """HTTP handler for callers' requests.
 
     Attributes:
-        stopping: Whether connections are closed after their next answer.
+        stopping: Whether connections are closed after their next response.
     """
 
     def __init__(
@@ -63,13 +63,13 @@
         *,
         runtime: runtimes.Runtime,
         settings: configs.Settings,
-        wire: CallerFormat,
+        caller_format: CallerFormat,
     ) -> None:
-        """Hands requests read by `wire` to `runtime`."""
+        """Submits requests parsed by `caller_format` to `runtime`."""
         self.stopping = False
         self._runtime = runtime
         self._settings = settings
-        self._wire = wire
+        self._format = caller_format
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Serves one request."""
@@ -84,7 +84,7 @@
         if table.forwarding is not None:
             limits = table.forwarding.limits
         if _header_bytes(request) > limits.header_bytes:
-            return self._closing(
+            return self._error_and_close(
                 f"the headers are longer than {limits.header_bytes} bytes",
                 status=STATUS_HEADERS_TOO_LARGE,
             )
@@ -95,20 +95,22 @@
         )
         if isinstance(body, Err):
             status, detail = body.err_value
-            return self._closing(detail, status=status)
-        arrived = self._wire.read(request, body.ok_value, table)
-        if isinstance(arrived, Err):
-            return self._wire.bad_request(arrived.err_value, status=400)
-        return await self._serve(request, arrived.ok_value)
+            return self._error_and_close(detail, status=status)
+        parsed = self._format.parse_request(request, body.ok_value, table)
+        if isinstance(parsed, Err):
+            return self._format.error_response(parsed.err_value, status=400)
+        return await self._serve(request, parsed.ok_value)
 
     async def _serve(
-        self, request: web.BaseRequest, arrived: Arrived
+        self, request: web.BaseRequest, parsed: ParsedRequest
     ) -> web.StreamResponse:
-        asked, call = arrived.work, arrived.call
+        requested_work, call = parsed.work, parsed.call
         fingerprint = parse.fingerprint(
-            call.method, asked.host + call.path, call.body
+            call.method, requested_work.host + call.path, call.body
+        )
+        requested_work = dataclasses.replace(
+            requested_work, fingerprint=fingerprint
         )
-        asked = dataclasses.replace(asked, fingerprint=fingerprint)
         request_id = self._runtime.next_request_id(call.request_id)
         caller = self._runtime.open_caller(request_id, call)
         try:
@@ -116,17 +118,17 @@
                 inputs.RequestArrived(
                     self._runtime.clock.now_ms(),
                     request_id,
-                    asked,
-                    patience.waited_ms(request),
+                    requested_work,
+                    connection_timeouts.waited_ms(request),
                 )
             )
             return await self._deliver(request, caller)
         except (asyncio.CancelledError, ConnectionError):
-            self._gone(request_id)
+            self._submit_caller_gone(request_id)
             raise
         except TimeoutError:
-            # The caller has not read for long; its buffers are given up.
-            self._gone(request_id)
+            # The caller stopped reading for too long; its buffers are freed.
+            self._submit_caller_gone(request_id)
             _abort(request)
             raise
         finally:
@@ -136,16 +138,18 @@
         self, request: web.BaseRequest, caller: callers.Caller
     ) -> web.StreamResponse:
         match await caller.get():
-            case effects.Refuse() as refused:
-                return self._wire.refusal(refused, caller.call)
+            case effects.Refuse() as refusal:
+                return self._format.refusal_response(refusal, caller.call)
             case effects.Reply() as reply:
-                return _whole(reply)
+                return _complete_response(reply)
             case effects.BeginStream(head=head) if head is not None:
-                return await self._stream(request, head, caller)
+                return await self._relay_stream(request, head, caller)
             case other:
-                raise RuntimeError(f"not the start of an answer: {other}")
+                raise RuntimeError(
+                    f"unexpected first effect of a response: {other}"
+                )
 
-    async def _stream(
+    async def _relay_stream(
         self,
         request: web.BaseRequest,
         head: work.Head,
@@ -172,23 +176,23 @@
                     await response.write_eof()
                     return response
                 case effects.BreakStream():
-                    # Ended in order, an unfinished stream would look whole.
+                    # A clean close would make a truncated stream look complete.
                     response.force_close()
                     _close(request)
                     return response
 
-    def _gone(self, request_id: str) -> None:
+    def _submit_caller_gone(self, request_id: str) -> None:
         self._runtime.submit(
             inputs.CallerGone(self._runtime.clock.now_ms(), request_id)
         )
 
-    def _closing(self, detail: str, *, status: int) -> web.Response:
-        response = self._wire.bad_request(detail, status=status)
+    def _error_and_close(self, detail: str, *, status: int) -> web.Response:
+        response = self._format.error_response(detail, status=status)
         response.force_close()
         return response
 
 
-def _whole(reply: effects.Reply) -> web.Response:
+def _complete_response(reply: effects.Reply) -> web.Response:
     response = web.Response(status=reply.answer.status, body=reply.answer.body)
     response.headers.popall("content-type", None)
     for header in reply.answer.headers:
@@ -210,4 +214,4 @@
         request.transport.abort()
 
 
-__all__ = ["Arrived", "CallerFormat", "ForwardFace"]
+__all__ = ["CallerFormat", "ForwardHandler", "ParsedRequest"]
--- a/src/godwittack/entry/operate.py
+++ b/src/godwittack/entry/operator_api.py
@@ -1,4 +1,4 @@
-"""Serves operators: table, history, changes, reports."""
+"""Serves operators: the table, its history, changes, status and reports."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 from godwittack.daemon import change as changes
 from godwittack.entry import parse, refusal, weights
-from godwittack.report import ledger
-from godwittack.table import schema, sheet, store
+from godwittack.report import counters
+from godwittack.table import csv_format, schema, store
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -41,7 +41,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class OperatorFace:
+class OperatorHandlers:
     """HTTP handlers for operators."""
 
     runtime: runtimes.Runtime
@@ -51,21 +51,21 @@
     committer: changes.Committer
     tables: store.TableStore
     weights: platform.WeightStore
-    counts: ledger.Ledger
+    counters: counters.EventCounters
 
     def routes(self) -> list[web.RouteDef]:
-        """Returns the handlers, each behind the operator's token."""
-        guard = self._guard
+        """Returns the routes; each requires an operator's bearer token."""
+        guard = self._require_operator
         return [
-            web.get("/operator/table", guard(self.show)),
-            web.post("/operator/table", guard(self.change)),
+            web.get("/operator/table", guard(self.get_table)),
+            web.post("/operator/table", guard(self.change_table)),
             web.get("/operator/history", guard(self.history)),
             web.get("/operator/status", guard(self.status)),
             web.get("/operator/report", guard(self.report)),
         ]
 
-    async def show(self, request: web.Request, who: str) -> web.Response:
-        """Returns the table as CSV, or as stored."""
+    async def get_table(self, request: web.Request, who: str) -> web.Response:
+        """Returns the table as CSV, or as the stored JSON."""
         del who
         table = self.runtime.core.world.table
         headers = {"x-table-version": str(table.version)}
@@ -76,39 +76,48 @@
                 headers=headers,
             )
         return web.Response(
-            text=sheet.to_csv(table), content_type="text/csv", headers=headers
+            text=csv_format.to_csv(table),
+            content_type="text/csv",
+            headers=headers,
         )
 
-    async def change(self, request: web.Request, who: str) -> web.Response:
-        """Commits a change and waits until it is in force."""
+    async def change_table(
+        self, request: web.Request, who: str
+    ) -> web.Response:
+        """Commits a change and waits until it is in effect."""
         body = await parse.read_body(
             request, max_bytes=MAX_CHANGE_BYTES, timeout_ms=CHANGE_TIMEOUT_MS
         )
         if isinstance(body, Err):
             status, detail = body.err_value
-            return refusal.bad_request(detail, status=status)
+            return refusal.error_response(detail, status=status)
         try:
-            asked = _ChangeRequest.model_validate_json(body.ok_value)
+            change_request = _ChangeRequest.model_validate_json(body.ok_value)
         except pydantic.ValidationError as error:
             first = error.errors()[0]
-            place = ".".join(str(part) for part in first["loc"])
-            return refusal.bad_request(f"{place}: {first['msg']}")
-        parsed = schema.changes_from_list(asked.changes)
-        if isinstance(parsed, Err):
-            return refusal.bad_request(parsed.err_value)
-        wrong = await weights.trouble(self.weights, parsed.ok_value)
-        if wrong is not None:
-            return refusal.bad_request(wrong.detail, status=wrong.status)
+            location = ".".join(str(part) for part in first["loc"])
+            return refusal.error_response(f"{location}: {first['msg']}")
+        cell_changes = schema.changes_from_list(change_request.changes)
+        if isinstance(cell_changes, Err):
+            return refusal.error_response(cell_changes.err_value)
+        rejection = await weights.check_versions(
+            self.weights, cell_changes.ok_value
+        )
+        if rejection is not None:
+            return refusal.error_response(
+                rejection.detail, status=rejection.status
+            )
         proposal = store.Proposal(
             who=who,
-            why=asked.why,
-            changes=tuple(parsed.ok_value),
+            why=change_request.why,
+            changes=tuple(cell_changes.ok_value),
             at_wall_ms=self.runtime.clock.wall_ms(),
-            commit_id=asked.commit_id,
-            undoes=asked.undoes,
+            commit_id=change_request.commit_id,
+            undoes=change_request.undoes,
         )
-        # A change once begun is carried through, also where the operator's
-        # connection breaks: half a spread would leave daemons apart.
+        # A commit that has started is completed even if the operator's
+        # connection breaks: a change announced to only some daemons would
+        # leave them on different table versions.
         return await asyncio.shield(self._commit(proposal))
 
     async def history(self, request: web.Request, who: str) -> web.Response:
@@ -116,17 +125,17 @@
         del who
         after = request.query.get("after", "0")
         if not after.isdigit():
-            return refusal.bad_request("after: write a version number")
-        got = await self.tables.history(after_version=int(after))
-        if isinstance(got, Err):
-            return _unavailable(got.err_value)
-        body = "[" + ",".join(schema.audit_to_json(e) for e in got.ok_value)
+            return refusal.error_response("after: write a version number")
+        entries = await self.tables.history(after_version=int(after))
+        if isinstance(entries, Err):
+            return _unavailable_response(entries.err_value)
+        body = "[" + ",".join(schema.audit_to_json(e) for e in entries.ok_value)
         return web.Response(text=body + "]", content_type="application/json")
 
     async def status(self, request: web.Request, who: str) -> web.Response:
-        """Returns which daemon has which version."""
+        """Returns the table version and state of each daemon."""
         del request, who
-        await self.gossiper.spread_now()
+        await self.gossiper.probe_all()
         world = self.runtime.core.world
         members = self.gossiper.members
         rows = [
@@ -156,9 +165,9 @@
         )
 
     async def report(self, request: web.Request, who: str) -> web.Response:
-        """Returns the counts of all daemons added up."""
+        """Returns the sum of all daemons' counts."""
         del request, who
-        total = self.counts.counts()
+        total = self.counters.totals()
         own = self.gossiper.members.me.member_id
         others = [
             member
@@ -173,17 +182,17 @@
                 total.unreachable.append(member.member_id)
                 continue
             total.add(
-                ledger.Counts.model_validate_json(reply.ok_value.report_json)
+                counters.Counts.model_validate_json(reply.ok_value.report_json)
             )
         return web.json_response(text=total.model_dump_json())
 
     async def _commit(self, proposal: store.Proposal) -> web.Response:
-        got = await self.committer.commit(proposal)
-        if isinstance(got, Err):
-            return _unavailable(got.err_value)
-        match got.ok_value:
+        result = await self.committer.commit(proposal)
+        if isinstance(result, Err):
+            return _unavailable_response(result.err_value)
+        match result.ok_value:
             case store.Invalid(detail):
-                return refusal.bad_request(detail, reason="invalid_change")
+                return refusal.error_response(detail, reason="invalid_change")
             case store.Conflict() as conflict:
                 return web.json_response(
                     {
@@ -196,21 +205,23 @@
                     },
                     status=409,
                 )
-            case changes.ChangeProgress() as done:
+            case changes.ChangeProgress() as outcome:
                 return web.json_response(
                     {
-                        "result": "accepted" if done.accepted else "committed",
-                        "version": done.version,
-                        "after_ms": done.after_ms,
-                        "confirmed": list(done.confirmed),
-                        "lapsed": list(done.lapsed),
-                        "missing": list(done.missing),
+                        "result": "accepted"
+                        if outcome.accepted
+                        else "committed",
+                        "version": outcome.version,
+                        "after_ms": outcome.after_ms,
+                        "confirmed": list(outcome.confirmed),
+                        "lapsed": list(outcome.lapsed),
+                        "missing": list(outcome.missing),
                     }
                 )
             case _:
-                raise RuntimeError(f"unknown result {got.ok_value}")
+                raise RuntimeError(f"unknown result {result.ok_value}")
 
-    def _guard(
+    def _require_operator(
         self, handler: Callable[[web.Request, str], Awaitable[web.Response]]
     ) -> Callable[[web.Request], Awaitable[web.Response]]:
         async def guarded(request: web.Request) -> web.Response:
@@ -218,7 +229,7 @@
             for operator in self.settings.operators:
                 if hmac.compare_digest(operator.token_sha256, digest):
                     return await handler(request, operator.name)
-            return refusal.bad_request(
+            return refusal.error_response(
                 "no operator has this bearer token",
                 status=401,
                 reason="unauthenticated",
@@ -227,7 +238,7 @@
         return guarded
 
 
-def _unavailable(error: platform.PlatformError) -> web.Response:
+def _unavailable_response(error: platform.PlatformError) -> web.Response:
     outcome = "unknown" if error.may_have_run else "not_run"
     return web.json_response(
         {"result": "unavailable", "outcome": outcome, "detail": str(error)},
@@ -236,4 +247,4 @@
     )
 
 
-__all__ = ["OperatorFace"]
+__all__ = ["OperatorHandlers"]
--- a/src/godwittack/platform/instances.py
+++ b/src/godwittack/platform/instances.py
@@ -1,4 +1,4 @@
-"""Rows of backend servers, decoded into entries of the instance list."""
+"""Decodes rows of backend servers into entries of the instance list."""
 
 from __future__ import annotations
 
@@ -12,46 +12,44 @@
 from godwittack.platform import wire
 from godwittack.store import protocol
 
-MOST_SLOTS = 100_000
+MAX_SLOTS = 100_000
 
 
-class _Server(wire.StrictWire):
+class _Server(wire.StrictBody):
     service: str = pydantic.Field(min_length=1)
     address: Annotated[str, pydantic.AfterValidator(addresses.validate)]
     zone: str = pydantic.Field(min_length=1)
-    # Of the server's software, not of its weights.
+    # Version of the server's software, not of its weights.
     version: str
     state: Literal["ready", "draining"]
-    slots: int = pydantic.Field(ge=1, le=MOST_SLOTS)
+    slots: int = pydantic.Field(ge=1, le=MAX_SLOTS)
     sequence: wire.Count
     cold_remaining_ms: wire.Amount
-    models: tuple[wire.WeightsOf, ...] = ()
-    # Unix milliseconds of its start, left out where servers don't tell it.
+    models: tuple[wire.LoadedModel, ...] = ()
+    # Start time in Unix milliseconds; absent if the server does not report it.
     born: wire.Positive = 0
 
 
 def instance_from_row(
     row: protocol.ChangedRow,
 ) -> Result[protocol.Instance, str]:
-    """Decodes one row; an error says why it names no server."""
+    """Decodes one row; an error says why it is not a valid server."""
     try:
-        entry = _Server.model_validate_json(row.value)
+        body = _Server.model_validate_json(row.value)
     except pydantic.ValidationError as error:
-        return Err(wire.why(error))
+        return Err(wire.first_error(error))
     role = protocol.InstanceRole
     return Ok(
         protocol.Instance(
             name=row.key,
-            role=role.ENGINE if entry.models else role.SERVICE,
-            address=entry.address,
-            target=entry.service,
-            failure_domain=entry.zone,
-            leaving=entry.state != "ready",
-            incarnation=incarnation.make_name(row.key, entry.born),
-            weights_version=(
-                str(entry.models[0].version) if entry.models else ""
-            ),
-            slots=entry.slots,
+            role=role.ENGINE if body.models else role.SERVICE,
+            address=body.address,
+            target=body.service,
+            failure_domain=body.zone,
+            leaving=body.state != "ready",
+            incarnation=incarnation.make_name(row.key, body.born),
+            weights_version=str(body.models[0].version) if body.models else "",
+            slots=body.slots,
         )
     )
 
--- a/src/godwittack/platform/table.py
+++ b/src/godwittack/platform/table.py
@@ -1,4 +1,4 @@
-"""The operator's rows, decoded into a table."""
+"""Decodes the operator's rows into a table."""
 
 from __future__ import annotations
 
@@ -15,21 +15,20 @@
 
     from godwittack.store import protocol
 
+# The version that servers have before one is published.
+FIRST_VERSION = "1"
 
-# Before a version is named, servers have this one.
-FIRST_WEIGHTS = "1"
 
-
-class _Split(wire.Wire):
+class _Split(wire.Body):
     service: str
     weight: int = 1
 
 
-class _Route(wire.Wire):
+class _Route(wire.Body):
     name: str
     host: str
     prefix: str
-    # What may be done with a request: run again, run once, or stream events.
+    # Whether requests may run repeatedly, run once only, or stream events.
     type: str
     timeout_ms: int
     target_latency_ms: int = 1_000
@@ -42,38 +41,38 @@
     resumable: bool = False
 
 
-class _Model(wire.Wire):
+class _Model(wire.Body):
     name: str
 
 
-class _Engine(wire.Wire):
+class _Engine(wire.Body):
     slots: int = 16
     models: tuple[_Model, ...] = ()
 
 
-class _Service(wire.Wire):
+class _Service(wire.Body):
     name: str
     engine: _Engine | None = None
-    # Set where the service is a store of cached state, not a server.
+    # Set if the service is a store of cached state, not a backend server.
     kv_store_addr: str = ""
     zone: str = ""
 
 
-class _Tenant(wire.Wire):
+class _Tenant(wire.Body):
     name: str
     api_keys: tuple[str, ...] = ()
     priority: int | None = None
     isolated: bool = False
 
 
-class _Limits(wire.Wire):
+class _Limits(wire.Body):
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4 << 20
     header_timeout_ms: int = 0
     idle_timeout_ms: int = 0
 
 
-class _Config(wire.Wire):
+class _Config(wire.Body):
     version: int
     routes: tuple[_Route, ...] = ()
     services: tuple[_Service, ...] = ()
@@ -81,24 +80,24 @@
     limits: _Limits = _Limits()
 
 
-class _Weights(wire.StrictWire):
+class _Weights(wire.StrictBody):
     model: str
     version: wire.Positive
 
 
 def weights_from_row(
     row: protocol.ChangedRow,
-) -> Result[model.NamedWeights | None, str]:
-    """Decodes a row that names weights; None for a row of another kind."""
+) -> Result[model.PublishedWeights | None, str]:
+    """Decodes a row that publishes weights; None for other rows."""
     if not row.key.startswith(names.WEIGHTS_KEY_PREFIX) or row.deleted:
         return Ok(None)
     try:
-        named = _Weights.model_validate_json(row.value)
+        published = _Weights.model_validate_json(row.value)
     except pydantic.ValidationError as error:
-        return Err(wire.why(error))
-    if row.key != names.WEIGHTS_KEY_PREFIX + named.model:
-        return Err(f"it names {named.model}")
-    return Ok(model.NamedWeights(named.model, str(named.version)))
+        return Err(wire.first_error(error))
+    if row.key != names.WEIGHTS_KEY_PREFIX + published.model:
+        return Err(f"its value is for model {published.model}")
+    return Ok(model.PublishedWeights(published.model, str(published.version)))
 
 
 def table_from_rows(
@@ -111,12 +110,12 @@
 
     Args:
         rows: Rows by key.
-        version: Of the newest row: it rises with each change, of the
-            configuration and of weights alike.
-        weights: Versions named, by model.
+        version: Version of the newest row. It increases with each change of
+            the configuration or of weights.
+        weights: Published weights versions by model.
 
     Returns:
-        The table, None before the first configuration, or what is wrong.
+        The table, None before the first configuration, or an error.
     """
     row = rows.get(names.CONFIG_KEY)
     if row is None or row.deleted:
@@ -124,21 +123,21 @@
     try:
         config = _Config.model_validate_json(row.value)
     except pydantic.ValidationError as error:
-        return Err(wire.why(error))
+        return Err(wire.first_error(error))
     table = model.Table(version=version, forwarding=_forwarding(config))
     for service in config.services:
         if service.engine is not None and service.engine.models:
-            held = weights.get(service.engine.models[0].name, FIRST_WEIGHTS)
+            current = weights.get(service.engine.models[0].name, FIRST_VERSION)
             table.models[service.name] = model.ModelRow(
-                name=service.name, weights_version=held
+                name=service.name, weights_version=current
             )
         elif not service.kv_store_addr:
             table.services[service.name] = model.ServiceRow.unlimited(
                 service.name
             )
     for tenant in config.tenants:
-        row_of = model.WorkspaceRow.unlimited(tenant.name)
-        table.workspaces[tenant.name] = row_of
+        workspace = model.WorkspaceRow.unlimited(tenant.name)
+        table.workspaces[tenant.name] = workspace
         for key in tenant.api_keys:
             table.workspace_by_token[model.token_digest(key)] = tenant.name
     return Ok(table)
--- a/src/godwittack/session/codec.py
+++ b/src/godwittack/session/codec.py
@@ -1,4 +1,4 @@
-"""Turns inputs and effects into lines of JSON and back."""
+"""Encodes inputs and effects as lines of JSON, and decodes them."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from godwittack.core import effects, inputs, policy, server_inputs, work
 from godwittack.table import forwarding, model
 
-# Each byte becomes one character, so that text in a recording stays readable
-# and any other content survives as well.
-_BYTES_AS = "latin-1"
+# Maps each byte to one character, so text in a recording stays readable and any
+# other bytes are preserved.
+_BYTES_ENCODING = "latin-1"
 
-_KINDS: dict[str, type] = {
+_MESSAGE_TYPES: dict[str, type] = {
     kind.__name__: kind
     for kind in (
         *typing.get_args(inputs.Input),
@@ -25,8 +25,9 @@
 }
 
 
-# Fields that only requests by routes use: left out of a session without any.
-_ROUTED_FIELDS: dict[type, tuple[str, ...]] = {
+# Fields used only by requests with routes. They are omitted at their default
+# value, so sessions without such requests do not contain them.
+_OMITTED_IF_DEFAULT: dict[type, tuple[str, ...]] = {
     work.Work: ("host", "path", "route", "resume_after"),
     effects.Dispatch: ("ends_at_ms",),
     inputs.MembersChanged: ("known",),
@@ -41,102 +42,104 @@
 }
 
 
-def _converter() -> cattrs.Converter:
+def _make_converter() -> cattrs.Converter:
     converter = cattrs.Converter()
     converter.register_unstructure_hook(
-        bytes, lambda data: data.decode(_BYTES_AS)
+        bytes, lambda data: data.decode(_BYTES_ENCODING)
     )
     converter.register_structure_hook(
-        bytes, lambda text, _: text.encode(_BYTES_AS)
+        bytes, lambda text, _: text.encode(_BYTES_ENCODING)
     )
     converter.register_structure_hook(str | int | float, lambda value, _: value)
     converter.register_structure_hook(
         str | int | float | None, lambda value, _: value
     )
-    for kind, names in _ROUTED_FIELDS.items():
-        left_out: typing.Any = {
+    for kind, names in _OMITTED_IF_DEFAULT.items():
+        overrides: typing.Any = {
             name: gen.override(omit_if_default=True) for name in names
         }
         hook: typing.Any = gen.make_dict_unstructure_fn(
-            kind, converter, **left_out
+            kind, converter, **overrides
         )
         converter.register_unstructure_hook(kind, hook)
-    converter.register_unstructure_hook(model.Table, _table_out)
-    converter.register_structure_hook(model.Table, _table_in)
+    converter.register_unstructure_hook(model.Table, _unstructure_table)
+    converter.register_structure_hook(model.Table, _structure_table)
     return converter
 
 
-def _table_out(table: model.Table) -> dict[str, object]:
+def _unstructure_table(table: model.Table) -> dict[str, object]:
     rows = [
-        {"kind": model.row_kind(row).value, **_CELLS.unstructure(row)}
+        {"kind": model.row_kind(row).value, **_ROW_CONVERTER.unstructure(row)}
         for row in table.rows()
     ]
     stored: dict[str, object] = {"version": table.version, "rows": rows}
     if table.forwarding is not None:
         stored["tokens"] = table.workspace_by_token
-        stored["forwarding"] = _CELLS.unstructure(table.forwarding)
+        stored["forwarding"] = _ROW_CONVERTER.unstructure(table.forwarding)
     return stored
 
 
-def _table_in(stored: dict[str, typing.Any], _: type) -> model.Table:
+def _structure_table(stored: dict[str, typing.Any], _: type) -> model.Table:
     rows: list[model.Row] = []
     for cells in stored["rows"]:
         kind = model.RowKind(cells["kind"])
         values = {k: v for k, v in cells.items() if k != "kind"}
-        rows.append(_CELLS.structure(values, model.ROW_TYPES[kind]))
+        rows.append(_ROW_CONVERTER.structure(values, model.ROW_TYPES[kind]))
     table = model.Table.from_rows(version=stored["version"], rows=rows)
     if "forwarding" not in stored:
         return table
     table.workspace_by_token.update(stored["tokens"])
-    routes = _CELLS.structure(stored["forwarding"], forwarding.Forwarding)
+    routes = _ROW_CONVERTER.structure(
+        stored["forwarding"], forwarding.Forwarding
+    )
     return dataclasses.replace(table, forwarding=routes)
 
 
-_CELLS = cattrs.Converter()
-_CELLS.register_unstructure_hook_func(
+_ROW_CONVERTER = cattrs.Converter()
+_ROW_CONVERTER.register_unstructure_hook_func(
     lambda kind: typing.get_origin(kind) is frozenset, sorted
 )
-_CONVERTER = _converter()
+_CONVERTER = _make_converter()
 
 
 def encode(item: inputs.Input | effects.Effect) -> str:
-    """Returns one line: the type's name, then its fields that are not empty."""
+    """Returns one line: the type name, then all fields that are not empty."""
     fields = _CONVERTER.unstructure(item)
-    told = {k: v for k, v in fields.items() if v not in ("", (), [], None)}
-    return json.dumps({"type": type(item).__name__, **told})
+    present = {k: v for k, v in fields.items() if v not in ("", (), [], None)}
+    return json.dumps({"type": type(item).__name__, **present})
 
 
 def decode(line: str) -> inputs.Input | effects.Effect:
-    """Reads a line that `encode` made."""
-    told = json.loads(line)
-    kind = _KINDS[told.pop("type")]
-    for name, default in _empty(kind).items():
-        told.setdefault(name, default)
-    return _CONVERTER.structure(told, kind)
+    """Decodes a line written by `encode`."""
+    fields = json.loads(line)
+    kind = _MESSAGE_TYPES[fields.pop("type")]
+    for name, default in _omitted_values(kind).items():
+        fields.setdefault(name, default)
+    return _CONVERTER.structure(fields, kind)
 
 
-def encode_policy(numbers: policy.Policy) -> str:
-    """Returns the core's numbers as one line."""
-    return json.dumps(_CONVERTER.unstructure(numbers))
+def encode_policy(core_policy: policy.Policy) -> str:
+    """Returns the core's policy as one line."""
+    return json.dumps(_CONVERTER.unstructure(core_policy))
 
 
 def decode_policy(line: str) -> policy.Policy:
-    """Reads the core's numbers."""
+    """Decodes a line written by `encode_policy`."""
     return _CONVERTER.structure(json.loads(line), policy.Policy)
 
 
-def _empty(kind: type) -> dict[str, object]:
-    """Returns what an omitted field stood for."""
+def _omitted_values(kind: type) -> dict[str, object]:
+    """Returns the empty value of each field that may be omitted."""
     hints = typing.get_type_hints(kind)
-    found: dict[str, object] = {}
+    values: dict[str, object] = {}
     for name, hint in hints.items():
         if hint is str:
-            found[name] = ""
+            values[name] = ""
         elif typing.get_origin(hint) is tuple:
-            found[name] = []
+            values[name] = []
         elif type(None) in typing.get_args(hint):
-            found[name] = None
-    return found
+            values[name] = None
+    return values
 
 
 __all__ = ["decode", "decode_policy", "encode", "encode_policy"]
--- a/tests/cases/availability.py
+++ b/tests/cases/availability.py
@@ -75,7 +75,7 @@
     """Guards against updates that mix up two incarnations of a server."""
     earlier = pending.PendingNews(leaving={"x": INCARNATION})
     later = pending.PendingNews(leaving={"x": NEXT_INCARNATION})
-    message = wire.NewsWriter().write(earlier.followed_by(later), now_ms=0)
+    message = wire.NewsWriter().write(earlier.merged_with(later), now_ms=0)
     (leaving,) = message.leaving
     assert (leaving.server_id, leaving.incarnation) == ("x", NEXT_INCARNATION)
 
@@ -253,7 +253,7 @@
         for name, value in header_values.items()
     ]
     reply = connection.Reply(status=status, headers=headers)
-    return servers.ServerFormat(lambda target: target).signals(reply)
+    return servers.ServerFormat(lambda target: target).read_signals(reply)
 
 
 def each_form_of_a_requested_rest_is_read() -> None:
@@ -295,14 +295,14 @@
 
 def a_rest_that_cannot_be_read_is_a_short_one() -> None:
     """Guards against a requested rest that is ignored for its format."""
-    listener = signals.Listener(clock=ManualClock(5))
+    reporter = signals.SignalReporter(clock=ManualClock(5))
     submitted = []
-    listener.submit = submitted.append
-    sender = signals.Sender(server_id="s1", incarnation="s1@3")
-    listener.heard(sender, _read(Retry_After="soon"), may_lift_limit=False)
+    reporter.submit = submitted.append
+    sender = signals.SignalOrigin(server_id="s1", incarnation="s1@3")
+    reporter.report(sender, _read(Retry_After="soon"), may_lift_limit=False)
     (rest,) = submitted
     assert (rest.server_id, rest.incarnation) == ("s1", "s1@3")
-    assert rest.rest_ms == signals.UNREADABLE_REST_MS
+    assert rest.rest_ms == signals.DEFAULT_REST_MS
 
 
 def a_withheld_request_is_placed_again_at_no_cost() -> None:
--- /dev/null
+++ b/tests/cases/connection_timeouts.py
@@ -0,0 +1,124 @@
+"""Timeouts of callers' connections, over real sockets."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import types
+
+from aiohttp import web
+
+from godwittack.clock import ManualClock
+from godwittack.entry import connection_timeouts
+from godwittack.table import forwarding
+
+LIMITS = forwarding.CallerLimits(header_timeout_ms=1_000, idle_timeout_ms=5_000)
+REQUEST = b"POST /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\n"
+MAX_LINE_BYTES = 1 << 16
+
+
+@contextlib.asynccontextmanager
+async def connected():
+    """Runs a server whose answers are held, and connects to it."""
+    clock = ManualClock(1_000)
+    may_answer = asyncio.Event()
+    bodies: list[bytes] = []
+
+    async def handle(request):
+        bodies.append(await request.read())
+        await may_answer.wait()
+        return web.Response(text="whole")
+
+    server = connection_timeouts.TimeoutServer(
+        handle, clock=clock, max_line_bytes=MAX_LINE_BYTES
+    )
+    runner = web.ServerRunner(server, shutdown_timeout=0.1)
+    await runner.setup()
+    site = web.TCPSite(runner, "127.0.0.1", 0)
+    await site.start()
+    reader, writer = await asyncio.open_connection(*runner.addresses[0][:2])
+    try:
+        yield types.SimpleNamespace(
+            clock=clock,
+            server=server,
+            reader=reader,
+            writer=writer,
+            bodies=bodies,
+            may_answer=may_answer,
+        )
+    finally:
+        writer.close()
+        may_answer.set()
+        await runner.cleanup()
+
+
+async def unfinished_request_headers_time_out():
+    """A connection whose request headers never end is closed.
+
+    Guards against a daemon that runs out of descriptors with few requests:
+    callers open connections, send half of a request's headers, and nothing
+    more, and nothing limits how long the headers may take.
+    """
+    async with connected() as setup:
+        setup.writer.write(REQUEST[:20])
+        await asyncio.sleep(0.05)
+        setup.clock.advance(by_ms=LIMITS.header_timeout_ms - 1)
+        assert setup.server.close_overdue(LIMITS) == 0
+        setup.clock.advance(by_ms=1)
+        assert setup.server.close_overdue(LIMITS) == 1
+        assert await setup.reader.read() == b""
+
+
+async def an_idle_connection_is_closed():
+    """A connection stays open for the operators' limit, not for longer.
+
+    Guards against idle connections that use up all descriptors: a request is
+    answered, and no other follows for longer than the limit.
+    """
+    async with connected() as setup:
+        setup.may_answer.set()
+        setup.writer.write(REQUEST + b"abc")
+        assert b"whole" in await setup.reader.readuntil(b"whole")
+        setup.clock.advance(by_ms=LIMITS.idle_timeout_ms - 1)
+        assert setup.server.close_overdue(LIMITS) == 0
+        setup.clock.advance(by_ms=1)
+        assert setup.server.close_overdue(LIMITS) == 1
+        assert await setup.reader.read() == b""
+
+
+async def a_connection_with_a_running_request_is_not_idle():
+    """A request may wait for its server for longer than both limits.
+
+    Guards against a long answer that is cut off without any fault: time counted
+    from the last byte read, not from the answer.
+    """
+    async with connected() as setup:
+        setup.writer.write(REQUEST + b"abc")
+        await asyncio.sleep(0.05)
+        setup.clock.advance(by_ms=2 * LIMITS.idle_timeout_ms)
+        assert setup.server.close_overdue(LIMITS) == 0
+        setup.may_answer.set()
+        assert b"whole" in await setup.reader.readuntil(b"whole")
+
+
+async def without_limits_no_connection_is_closed():
+    """A table without time limits, or no table yet, closes nothing."""
+    async with connected() as setup:
+        setup.clock.advance(by_ms=1 << 30)
+        assert setup.server.close_overdue(forwarding.CallerLimits()) == 0
+
+
+async def a_compressed_body_is_forwarded_unchanged():
+    """A server gets the body that the caller sent.
+
+    Guards against a body that the HTTP library decompresses while its header
+    still declares it compressed.
+    """
+    async with connected() as setup:
+        setup.may_answer.set()
+        setup.writer.write(
+            REQUEST.replace(b"Host", b"Content-Encoding: gzip\r\nHost")
+            + b"\x1f\x8b\x08"
+        )
+        assert b"whole" in await setup.reader.readuntil(b"whole")
+        assert setup.bodies == [b"\x1f\x8b\x08"]
--- a/tests/cases/fuzz.py
+++ b/tests/cases/fuzz.py
@@ -1,4 +1,4 @@
-"""Both parsers under bytes that nobody would write by hand, seeded."""
+"""Both HTTP parsers with malformed and randomly split bytes, seeded."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 from godwittack.backend import connection, sse
 from godwittack.clock import SystemClock
-from godwittack.entry import patience
+from godwittack.entry import connection_timeouts
 
 EXAMPLES = 150
 MAX_LINE_BYTES = 1 << 16
-# Half of the spoiled requests are no whole ones and get no answer.
-SPOILED_WAIT_S = 0.05
+# Half of the corrupted requests are incomplete and get no answer.
+CORRUPTED_WAIT_S = 0.05
 GOOD_WAIT_S = 5.0
-MINE = b"X-Godwittack-Request-Id: mine\r\n"
-OTHER = b"X-Godwittack-Request-Id: other\r\n"
+OWN_ID = b"X-Godwittack-Request-Id: mine\r\n"
+OTHER_ID = b"X-Godwittack-Request-Id: other\r\n"
 BODY = b"abcdefghij" * 20
 VALID = (
     b"POST /a/x HTTP/1.1\r\nHost: h\r\nX-Godwittack-Request-Id: r1\r\n"
@@ -32,14 +32,14 @@
 
 
 class FakeTransport(asyncio.Transport):
-    """Takes what is written, and remembers whether it was closed."""
+    """Discards what is written, and records whether it was closed."""
 
     def __init__(self) -> None:
         super().__init__()
         self.closed = False
 
     def write(self, data) -> None:
-        """Takes bytes."""
+        """Discards bytes."""
 
     def is_closing(self) -> bool:
         """Returns whether it was closed."""
@@ -76,33 +76,34 @@
 
 
 async def _read(pieces: list[bytes], *, reset: bool) -> bytes | None:
-    """Returns the body that a connection makes of bytes, None for none."""
-    used = connection.Connection()
+    """Returns the body parsed from pieces of an answer, None if rejected."""
+    server_connection = connection.Connection()
     transport = FakeTransport()
-    used.connection_made(transport)
-    used.send(b"GET / HTTP/1.1\r\n\r\n", b"")
+    server_connection.connection_made(transport)
+    server_connection.send(b"GET / HTTP/1.1\r\n\r\n", b"")
     for piece in pieces:
         if not transport.closed:
-            used.data_received(piece)
+            server_connection.data_received(piece)
     if not transport.closed and not reset:
-        used.eof_received()
-    used.connection_lost(ConnectionResetError() if reset else None)
+        server_connection.eof_received()
+    server_connection.connection_lost(ConnectionResetError() if reset else None)
     try:
         async with asyncio.timeout(1):
-            reply = await used.read_head(
-                lambda found: found.header("X-Godwittack-Request-Id") == "mine"
+            reply = await server_connection.read_head(
+                lambda head: head.header("X-Godwittack-Request-Id") == "mine"
             )
-            return await used.read_body(reply)
+            return await server_connection.read_body(reply)
     except connection.ReplyError:
         return None
 
 
-def an_answer_is_whole_or_none_however_it_is_cut() -> None:
-    """Symptom: a caller gets half an answer, or another's, as whole.
+def an_answer_is_complete_or_rejected_however_it_is_split() -> None:
+    """Splitting the bytes of an answer never changes what is delivered.
 
-    Sequence: a server answers after another's late answer or not, by length
-    or in chunks; the bytes come in any pieces, and end anywhere. Cause if it
-    happens: a piece's end taken for the answer's.
+    Guards against a caller that gets half an answer, or another's, as complete:
+    a server answers with or without a late answer to another request before it,
+    by length or in chunks; the bytes arrive in any pieces and end anywhere. The
+    end of a piece must not count as the end of the answer.
     """
     integers = strategies.integers(0, 2_000)
 
@@ -116,19 +117,19 @@
     )
     def check(cuts, end, late_first, in_chunks, reset) -> None:
         make = _chunked if in_chunks else _with_length
-        data = (_with_length(OTHER) if late_first else b"") + make(MINE)
+        data = (_with_length(OTHER_ID) if late_first else b"") + make(OWN_ID)
         kept = data[: end % (len(data) + 200)]
-        got = asyncio.run(_read(_pieces(kept, cuts), reset=reset))
-        assert got == (BODY if kept == data else None), (kept[-30:], got)
+        body = asyncio.run(_read(_pieces(kept, cuts), reset=reset))
+        assert body == (BODY if kept == data else None), (kept[-30:], body)
 
     check()
 
 
-def bytes_that_are_no_answer_are_none() -> None:
-    """Symptom: a daemon logs a traceback, or waits, for a server's noise.
+def malformed_answers_are_rejected() -> None:
+    """Malformed bytes give a body or a `ReplyError`, at once.
 
-    Sequence: a good answer with some bytes changed, lost or added anywhere.
-    What comes of it is a body or a `ReplyError`, at once.
+    Guards against a daemon that logs a traceback, or waits: a valid answer with
+    some bytes changed, lost or added anywhere.
     """
 
     @seeded
@@ -142,17 +143,18 @@
         )
     )
     def check(changes) -> None:
-        data = _changed(_chunked(MINE), changes)
+        data = _changed(_chunked(OWN_ID), changes)
         asyncio.run(_read([data], reset=True))
 
     check()
 
 
-def events_are_the_same_however_they_are_cut() -> None:
-    """Symptom: a stream with a hole, or an event in two halves.
+def events_are_the_same_however_they_are_split() -> None:
+    """Splitting the bytes of a stream never changes its events.
 
-    Sequence: ten events come in any pieces and end anywhere. Whole ones come
-    out, numbered in order, and the rest is kept back.
+    Guards against a stream with a gap, or an event in two halves: ten events
+    arrive in any pieces and end anywhere. Complete ones are returned, numbered
+    in order, and the rest is kept back.
     """
     events = [b"id: %d\ndata: word\n\n" % n for n in range(1, 11)]
     integers = strategies.integers(0, 400)
@@ -162,7 +164,7 @@
     def check(cuts, end) -> None:
         data = b"".join(events)
         kept = data[: end % (len(data) + 1)]
-        reader = sse.FrameReader(after=0, done=b"")
+        reader = sse.FrameReader(after=0, done_marker=b"")
         frames = [
             frame for p in _pieces(kept, cuts) for frame in reader.feed(p)
         ]
@@ -173,12 +175,12 @@
     check()
 
 
-async def a_spoiled_request_is_answered_or_closed() -> None:
-    """Symptom: a daemon that fails, or serves a request within a request.
+async def a_corrupted_request_is_answered_or_its_connection_closed() -> None:
+    """A corrupted request is served at most once, gets 4xx, or is closed.
 
-    Sequence: requests whose bytes are changed, lost or added anywhere, each
-    on a connection of its own, and a good one after all of them. Each is
-    served once at most, or answered with 4xx, or its connection is closed.
+    Guards against a daemon that fails, or serves a request within a request:
+    requests whose bytes are changed, lost or added anywhere, each on a
+    connection of its own, and a valid one after all of them.
     """
     served: list[str] = []
 
@@ -187,7 +189,7 @@
         await request.read()
         return web.Response(text="served")
 
-    server = patience.PatientServer(
+    server = connection_timeouts.TimeoutServer(
         handle, clock=SystemClock(), max_line_bytes=MAX_LINE_BYTES
     )
     runner = web.ServerRunner(server, shutdown_timeout=0.1)
@@ -195,20 +197,20 @@
     site = web.TCPSite(runner, "127.0.0.1", 0)
     await site.start()
     host, port = runner.addresses[0][:2]
-    for data in _spoiled_requests():
+    for data in _corrupted_requests():
         served.clear()
-        status = await _ask(host, port, data, wait_s=SPOILED_WAIT_S)
+        status = await _send(host, port, data, wait_s=CORRUPTED_WAIT_S)
         assert status in (0, 200) or 400 <= status < 500, (status, data)
         assert len(served) <= 1, (served, data)
     served.clear()
-    assert await _ask(host, port, VALID, wait_s=GOOD_WAIT_S) == 200
+    assert await _send(host, port, VALID, wait_s=GOOD_WAIT_S) == 200
     assert served == ["/a/x"]
     await runner.cleanup()
 
 
-def _spoiled_requests() -> list[bytes]:
+def _corrupted_requests() -> list[bytes]:
     """Returns the same requests each time, from a seeded search."""
-    found: list[bytes] = []
+    requests: list[bytes] = []
 
     @seeded
     @hypothesis.given(
@@ -234,21 +236,21 @@
         )
     )
     def gather(changes) -> None:
-        found.append(_changed(VALID, changes))
+        requests.append(_changed(VALID, changes))
 
     gather()
-    return found
+    return requests
 
 
 def _changed(data: bytes, changes: list[tuple[int, bytes]]) -> bytes:
-    """Returns bytes with others in their place; none cut one byte out."""
-    for place, new in changes:
-        at = place % (len(data) + 1)
-        data = data[:at] + new + data[at + 1 :]
+    """Replaces bytes at positions; an empty change deletes one byte."""
+    for place, replacement in changes:
+        offset = place % (len(data) + 1)
+        data = data[:offset] + replacement + data[offset + 1 :]
     return data
 
 
-async def _ask(host: str, port: int, data: bytes, *, wait_s: float) -> int:
+async def _send(host: str, port: int, data: bytes, *, wait_s: float) -> int:
     """Returns the status of the first answer, 0 where there is none."""
     reader, writer = await asyncio.open_connection(host, port)
     try:
--- a/tests/cases/rate_limits.py
+++ b/tests/cases/rate_limits.py
@@ -247,7 +247,9 @@
 
     def read(*values: str, name: str = "Server-Limit"):
         headers = [work.Header(name, value) for value in values]
-        return server_format.signals(connection.Reply(200, headers)).rate_limit
+        return server_format.read_signals(
+            connection.Reply(200, headers)
+        ).rate_limit
 
     assert read() == Ok(None)
     valid = {"4.7": 4.7, " 4 ": 4.0, "0": 0.0, "0.25": 0.25, "1000000": 1e6}
--- a/tests/cases/rollout_bounds.py
+++ b/tests/cases/rollout_bounds.py
@@ -1,4 +1,4 @@
-"""Bounds that a roll-out keeps where loads are slow or servers are away."""
+"""Bounds of a roll-out when loads are slow or servers unreachable."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from cases import one_lead
 from godwittack.backend import protocol as backend
 from godwittack.core import backlog, inputs, server_inputs
-from godwittack.daemon import lead, model_state, watch
+from godwittack.daemon import lead, model_state, server_watcher
 from godwittack.lead import lease, pacing, rollout
 from godwittack.member import assignment, view
 from sim import fakes, loop
 
-# From an order under load to the report of new weights, where the requests
-# that run end first; seen were 1.0 to 3.2 s.
+# Time from an order under load to the report of new weights: running requests
+# end first, which takes 1.0 to 3.2 s.
 LOADED_S = 2.4
 ENGINES = 56
 
@@ -29,10 +29,10 @@
         super().__init__(clock, load_s=load_s)
         self.loading: dict[str, float] = {}
         self.refused = 0
-        self.most_loading = 0
+        self.max_loading = 0
 
     async def order(self, address, order):
-        """Takes an order unless one is under way."""
+        """Accepts an order unless the engine is loading."""
         now_ms = self.clock.now_ms()
         self.loading = {n: e for n, e in self.loading.items() if e > now_ms}
         if order.server_id in self.loading:
@@ -43,12 +43,12 @@
                 )
             )
         self.loading[order.server_id] = now_ms + self.load_s * 1000
-        self.most_loading = max(self.most_loading, len(self.loading))
+        self.max_loading = max(self.max_loading, len(self.loading))
         return await super().order(address, order)
 
 
-class _Daemon(one_lead.Led):
-    """One of some daemons that lead the same engines by one table."""
+class _Daemon(one_lead.LeadDaemon):
+    """One of several daemons that may lead the same engines by one table."""
 
     def __init__(
         self, name: str, names, *, engines, table, use_limit_ms: int
@@ -64,9 +64,9 @@
         self.lead = lead.Leader(
             core=self.runtime,
             client=engines,
-            service=table,
+            lease_store=table,
             members=members,
-            news=self.news,
+            updates=self.updates,
             policy=lease.LeasePolicy(lease_ms=3_000),
             rollout_policy=rollout.RolloutPolicy(
                 order_after_ms=100,
@@ -75,17 +75,19 @@
             ),
         )
 
-    async def hear(self) -> None:
-        """Learns the engines' weights, as polls tell them."""
+    async def poll_engines(self) -> None:
+        """Polls the engines for their weights."""
         while True:
             for row in list(self.runtime.core.world.servers.values()):
-                got = await self.engines.load(
+                result = await self.engines.load(
                     row.address, server_id=row.server_id
                 )
-                load = got.ok_value
+                load = result.ok_value
                 is_engine = row.target == one_lead.MODEL
                 if is_engine and load.weights_version != row.weights_version:
-                    self.runtime.submit(watch.report(row, load, self.runtime))
+                    self.runtime.submit(
+                        server_watcher.load_reported(row, load, self.runtime)
+                    )
             await asyncio.sleep(0.1)
 
 
@@ -98,16 +100,16 @@
     )
 
 
-def leads_that_see_different_waits_do_not_take_turns() -> None:
-    """A lead that lives is not taken for lost while its loads last.
+def leads_that_see_different_waits_do_not_alternate() -> None:
+    """A running lead is not considered lost while its loads last.
 
-    How many may load follows from the wait, and daemons see it differently:
-    each knows best what it sent itself. Where older weights may be used for
-    any time, the lead has nine of 56 engines at work by its wait, and orders
-    none for as long as their loads take, 1.0 to 3.2 s under load. The second
-    in rank waits 2 s, has room for 20 by its own wait, and takes the lease;
-    the first begins its roll-out anew, its own loads held as another's. With
-    one load at a time the one held left no room:
+    How many may load follows from the wait, which each daemon sees differently:
+    it knows its own requests best. Where older weights may be used without
+    limit, the lead loads nine of 56 engines by its wait and gives no order
+    until these finish, 1.0 to 3.2 s under load. The second in rank waited 2 s,
+    had 20 slots by its own wait, and took the lease. The first then started its
+    roll-out again, with its own loads held as another's. With one load at a
+    time the held one left no slot:
 
         event=rollout behind=40 loading=0 held=1 room=0 pressed=1 (edge-2)
     """
@@ -128,8 +130,12 @@
             for name in ranked
         )
         tasks = [
-            asyncio.create_task(made)
-            for made in (first.hear(), second.hear(), first.press())
+            asyncio.create_task(coroutine)
+            for coroutine in (
+                first.poll_engines(),
+                second.poll_engines(),
+                first.apply_load(),
+            )
         ]
         await asyncio.gather(first.run(for_s=12.0), second.run(for_s=12.0))
         for task in tasks:
@@ -140,49 +146,53 @@
     one_lead.play(case())
 
 
-def loads_longer_than_their_limit_take_no_more_out_of_service() -> None:
-    """An engine whose load lasts longer than expected is still loading.
+def loads_past_their_limit_take_no_more_servers_out_of_service() -> None:
+    """An engine whose load exceeds the expected time is still loading.
 
-    After the limit of a load an order was taken for lost: the engine was
-    drained and ordered again, refused that because it was at work, and went
-    behind the others, whose turn came at once. So 34 of 56 were out of
+    After the time limit of a load the order was considered lost: the engine was
+    drained and ordered again, refused because it was loading, and was ranked
+    behind the others, which were ordered at once. So 34 of 56 were out of
     service where 20 may be, and two of a fleet of two.
     """
 
     async def case(servers: int) -> None:
-        led = one_lead.Led(servers=servers)
-        engines = _BusyEngines(led.clock, load_s=5.0)
-        led.engines = led.lead._client = engines
-        load = asyncio.create_task(led.press())
-        await led.run(for_s=12.0)
+        daemon = one_lead.LeadDaemon(servers=servers)
+        engines = _BusyEngines(daemon.clock, load_s=5.0)
+        daemon.engines = daemon.lead._client = engines
+        load = asyncio.create_task(daemon.apply_load())
+        await daemon.run(for_s=12.0)
         load.cancel()
-        most = pacing.max_store_loads(servers)
-        assert engines.most_loading <= most, (engines.most_loading, most)
+        max_loads = pacing.max_store_loads(servers)
+        assert engines.max_loading <= max_loads, (
+            engines.max_loading,
+            max_loads,
+        )
         assert not engines.refused, engines.refused
 
     for servers in (2, 5, 22, ENGINES):
         one_lead.play(case(servers))
 
 
-def a_late_refusal_while_the_store_is_asked_ends_no_daemon() -> None:
-    """An answer to an earlier order may come in at any moment.
+def a_late_refusal_during_a_store_call_stops_no_daemon() -> None:
+    """An answer to an earlier order may arrive at any moment.
 
-    An engine was ordered, seemed away for a moment, and was drained again. The
-    refusal of its first order came while the store was asked for another's:
-    `event=loop_failed detail=KeyError('e1')`, and the daemon stopped itself.
+    An engine was ordered, seemed unreachable for a moment, and was drained
+    again. The refusal of its first order arrived during the store call for
+    another's: `event=loop_failed detail=KeyError('e1')`, and the daemon stopped
+    itself.
     """
 
     async def case() -> None:
-        led = one_lead.Led(servers=12, load_s=0.35)
-        world = led.runtime.core.world
+        daemon = one_lead.LeadDaemon(servers=12, load_s=0.35)
+        world = daemon.runtime.core.world
         name = min(world.servers_by_target[one_lead.MODEL])
         late = asyncio.Event()
-        order, ordered = led.engines.order, []
+        order, ordered = daemon.engines.order, []
 
-        async def answer(address, given):
-            ordered.append(given.server_id)
-            if given.server_id != name or ordered.count(name) > 1:
-                return await order(address, given)
+        async def answer(address, sent):
+            ordered.append(sent.server_id)
+            if sent.server_id != name or ordered.count(name) > 1:
+                return await order(address, sent)
             await late.wait()
             return Err(
                 backend.BackendError(
@@ -190,51 +200,51 @@
                 )
             )
 
-        led.engines.order = answer
-        task = asyncio.create_task(led.lead.lead_forever(step_ms=100))
+        daemon.engines.order = answer
+        task = asyncio.create_task(daemon.lead.lead_forever(step_ms=100))
         await asyncio.sleep(0.35)
-        now_ms = led.clock.now_ms()
+        now_ms = daemon.clock.now_ms()
         world.servers[name].ejected_until_ms = now_ms + 250
-        own = led.lead._led[one_lead.MODEL]
-        held, record = own.lease, own.lease.record
-
-        async def ask(server_ids):
-            got = await record(server_ids)
-            # Drained anew for as long as that takes, so that its order is due.
-            again = own.rollout._progress.get(name)
-            if again is not None and again.step is rollout.Step.DRAINING:
-                drained_ms = led.clock.now_ms() - again.since_ms
+        state = daemon.lead._led[one_lead.MODEL]
+        model_lease, record = state.lease, state.lease.record
+
+        async def record_slowly(server_ids):
+            recorded = await record(server_ids)
+            # Drained again for long enough that its order is due.
+            progress = state.rollout._progress.get(name)
+            if progress is not None and progress.step is rollout.Step.DRAINING:
+                drained_ms = daemon.clock.now_ms() - progress.since_ms
                 if name not in server_ids and drained_ms >= 100:
                     late.set()
             await asyncio.sleep(0.05)
-            return got
+            return recorded
 
-        held.record = ask
+        model_lease.record = record_slowly
         for _ in range(40):
             await asyncio.sleep(0.1)
-            led.runtime.submit(inputs.Tick(led.clock.now_ms()))
+            daemon.runtime.submit(inputs.Tick(daemon.clock.now_ms()))
         assert not task.done(), task.exception()
         task.cancel()
-        assert led.with_weights("2") == 12, led.engines.versions
+        assert daemon.count_with_weights("2") == 12, daemon.engines.versions
 
     one_lead.play(case())
 
 
-def a_fleet_that_is_mostly_away_keeps_some_in_service() -> None:
-    """Of the servers that answer, half at most load at one time.
+def a_mostly_unreachable_fleet_keeps_some_in_service() -> None:
+    """At most half of the reachable servers load at one time.
 
-    With two thirds of a fleet away, all that were left loaded together: the
-    number at one time followed from the whole fleet, and while no server
-    takes work no wait is seen, so that the load counts as low.
+    With two thirds of a fleet unreachable, all that were left loaded together:
+    the concurrency was derived from the whole fleet, and while no server takes
+    work no wait is seen, so that the load counts as low.
     """
     for fleet in (5, 22, 56, 112, 600):
-        away = fleet * 2 // 3 + 1
+        unreachable = fleet * 2 // 3 + 1
         replicas = [
             rollout.Replica(
                 server_id=f"r{n:03}",
                 weights_version="1",
                 busy=0,
-                is_reachable=n >= away,
+                is_reachable=n >= unreachable,
             )
             for n in range(fleet)
         ]
@@ -243,34 +253,38 @@
             .decide(desired_version="2", replicas=replicas, now_ms=0)
             .draining
         )
-        left = fleet - away
-        # The only one left has to load at some time.
-        assert len(drained) <= max(1, left // 2), (fleet, left, len(drained))
+        reachable = fleet - unreachable
+        # A single reachable server has to load at some time.
+        assert len(drained) <= max(1, reachable // 2), (
+            fleet,
+            reachable,
+            len(drained),
+        )
 
 
 def servers_that_get_no_work_do_not_lower_the_wait() -> None:
-    """The load is that of the servers that serve.
+    """The load is computed from the servers that serve.
 
-    When most weights became too old for use, the wait seen fell from 134 to
+    When most weights became too old for use, the observed wait fell from 134 to
     73 ms, since nothing waits where nothing is sent, and the load counted as
-    low at the moment when few carried it all:
+    low while few servers carried all of it:
 
         event=rollout behind=39 too_old=0 room=1 pressed=1 wait_ms=134
         event=rollout behind=39 too_old=39 room=15 pressed=0 wait_ms=73
     """
 
     async def case() -> None:
-        led = one_lead.Led(servers=6)
-        world = led.runtime.core.world
+        daemon = one_lead.LeadDaemon(servers=6)
+        world = daemon.runtime.core.world
         limit_ms = world.policy.old_weights_limit_ms
         await asyncio.sleep(limit_ms / 1000 + 1)
-        now_ms = led.clock.now_ms()
-        led.runtime.submit(inputs.Tick(now_ms))
+        now_ms = daemon.clock.now_ms()
+        daemon.runtime.submit(inputs.Tick(now_ms))
         names = sorted(world.servers_by_target[one_lead.MODEL])
         for name in names[:2]:
             row = world.servers[name]
             row.weights_version = "2"
-            led.runtime.submit(
+            daemon.runtime.submit(
                 server_inputs.PeerDispatched(
                     at_ms=now_ms,
                     server_id=name,
@@ -280,32 +294,34 @@
                 )
             )
             waits_ms = backlog.wait_ms(world, row, priority=0)
-            assert waits_ms > model_state.PRESSED_MS, waits_ms
+            assert waits_ms > model_state.HIGH_LOAD_WAIT_MS, waits_ms
         pace = model_state.pace_inputs(world, one_lead.MODEL, "2")
         assert pace.too_old == 4, pace
-        assert pace.is_pressed, pace
+        assert pace.is_under_load, pace
 
     one_lead.play(case())
 
 
 def a_large_fleet_whose_requests_end_first_has_new_weights_in_time() -> None:
-    """Loads that wait for running requests are reckoned with from the start.
+    """Loads that wait for running requests are planned for from the start.
 
-    Under load a load was seen to take 1.0 to 3.2 s, since what runs ends
-    first. The time assumed is that of servers with little to do, so that the
-    first seconds went by with nine and then twelve of 56 at work; of loads of
-    2.1 s the last two ended too late. Three times twenty would have done.
+    Under load a load took 1.0 to 3.2 s, since running requests end first. The
+    initial estimate is that of lightly loaded servers, so that the first
+    seconds passed with nine and then twelve of 56 loading; with loads of 2.1 s
+    the last two ended too late. Three rounds of twenty would have been enough.
     """
 
     async def case() -> None:
-        led = one_lead.Led(servers=ENGINES, load_s=2.1)
-        limit_ms = led.runtime.core.world.policy.old_weights_limit_ms
-        led.lead._rollout_policy = rollout.RolloutPolicy(
+        daemon = one_lead.LeadDaemon(servers=ENGINES, load_s=2.1)
+        limit_ms = daemon.runtime.core.world.policy.old_weights_limit_ms
+        daemon.lead._rollout_policy = rollout.RolloutPolicy(
             order_after_ms=100, load_limit_ms=4_000, use_limit_ms=limit_ms
         )
-        load = asyncio.create_task(led.press())
-        await led.run(for_s=limit_ms / 1000)
+        load = asyncio.create_task(daemon.apply_load())
+        await daemon.run(for_s=limit_ms / 1000)
         load.cancel()
-        assert led.with_weights("2") == ENGINES, led.with_weights("2")
+        assert daemon.count_with_weights("2") == ENGINES, (
+            daemon.count_with_weights("2")
+        )
 
     one_lead.play(case())
--- a/tests/cases/routed_core.py
+++ b/tests/cases/routed_core.py
@@ -132,7 +132,7 @@
     def _step(self, input_) -> list[effects.Effect]:
         self.last_effects = self.router.step(input_)
         if self.recorder is not None:
-            self.recorder.stepped(input_, self.last_effects)
+            self.recorder.record_step(input_, self.last_effects)
         return self.last_effects
 
     def renew_serving_lease(self, *, for_ms: int = NO_LIMIT) -> None:
--- a/tests/sim/fleet.py
+++ b/tests/sim/fleet.py
@@ -15,13 +15,13 @@
     change,
     gossip,
     listing,
-    news,
+    peer_updates,
     runtime,
+    server_watcher,
     tables,
-    watch,
 )
 from godwittack.member import serving_lease, view
-from godwittack.report import ledger
+from godwittack.report import counters
 from godwittack.store import protocol as platform
 from godwittack.table import model, store
 from sim import fakes, loop, ways
@@ -81,31 +81,31 @@
             serving_lease=self.right,
             rng=rng,
         )
-        self.news = news.News(
+        self.news = peer_updates.PeerUpdates(
             members=members, runtime=self.runtime, client=peers
         )
         self.gossiper = gossip.Gossiper(
-            news=self.news,
+            updates=self.news,
             members=members,
             runtime=self.runtime,
             keeper=self.keeper,
-            client=peers,
-            probes=peers,
-            counts=ledger.Ledger(daemon=name, clock=self.clock),
+            seed_client=peers,
+            member_client=peers,
+            counts=counters.EventCounters(daemon=name, clock=self.clock),
             seeds=tuple(fleet.seeds),
         )
-        streams = watch.Streams()
-        streams.connect(core=self.runtime, news=self.news)
+        streams = server_watcher.Streams()
+        streams.connect(core=self.runtime, updates=self.news)
         self.lists = listing.ListWatcher(
             instances=ways.InstanceListFake(fleet, self),
             core=self.runtime,
             members=members,
-            news=self.news,
+            updates=self.news,
             streams=streams,
             on_entries=lambda _: None,
         )
         self.gossiper.list_hash = self.lists.list_hash
-        self.gossiper.on_list_hash = self.lists.hash_told
+        self.gossiper.on_list_hash = self.lists.record_list_hash
         self.committer = change.Committer(
             tables=tables_store,
             keeper=self.keeper,
--- a/tests/sim/large_fleets.py
+++ b/tests/sim/large_fleets.py
@@ -21,7 +21,7 @@
     server_inputs,
     weights,
 )
-from godwittack.daemon import lead, news
+from godwittack.daemon import lead, peer_updates
 from godwittack.lead import lease, rollout
 from godwittack.member import view
 from sim import (
@@ -170,9 +170,9 @@
             gate=self.gate,
             core=self,
             client=Client(self),
-            service=self.way,
+            lease_store=self.way,
             members=types.SimpleNamespace(me=self.me, serving=fleet.members),
-            news=News(self),
+            updates=News(self),
             policy=lease.LeasePolicy(lease_ms=sent_orders.LEASE_MS),
             rollout_policy=ROLLOUT_POLICY,
         )
@@ -290,13 +290,13 @@
         now_ms = self.daemon.clock.now_ms()
         self._tell(
             server_inputs.ServerDraining(
-                now_ms, server_id, now_ms + news.DRAIN_MS
+                now_ms, server_id, now_ms + peer_updates.DRAIN_TTL_MS
             )
         )
 
-    def publish_load(self, load, target, *, now=False) -> None:
+    def publish_load(self, load, target, *, immediately=False) -> None:
         """A load report is told."""
-        del target, now
+        del target, immediately
         self._tell(load)
 
     def _tell(self, told) -> None:
@@ -326,7 +326,7 @@
             running=len(engine.ends_s),
             waiting=0,
             slots=16,
-            orders_taken=engine.taken,
+            accepted_orders=engine.taken,
         )
         await self.daemon.gate.passed()
         return Ok(got)
@@ -372,7 +372,7 @@
         self, engine, order: backend.Order, *, is_late: bool
     ) -> bool:
         """Returns whether it is taken, or holds already."""
-        is_next = order.orders_taken in (-1, engine.taken)
+        is_next = order.expected_accepted_orders in (-1, engine.taken)
         if engine.loads or not is_next:
             return False
         version = int(order.value)
