--- a/tests/cases/fleet_bounds.py
+++ b/tests/cases/fleet_bounds.py
@@ -69,7 +69,7 @@
         core.answer(core.dispatch())
     core.arrive("release", "declined")
     core.fail(core.dispatch(), inputs.FailurePhase.CONNECT)
-    assert core.find(effects.Dispatch), core.made
+    assert core.find(effects.Dispatch), core.last_effects
 
 
 def retries_of_a_fleet_stay_within_their_budget() -> None:
--- a/tests/cases/registry.py
+++ b/tests/cases/registry.py
@@ -23,7 +23,7 @@
     "freshness",
     "adapter",
     "instance_rows",
-    "paces",
+    "prefill_costs",
     "logs",
     "peers",
     "starts",
--- a/tests/sim/recordings.py
+++ b/tests/sim/recordings.py
@@ -350,7 +350,7 @@
     core.arrive("long", "r2", levels=(work.Level(11, 13_000),))
     core.tell(inputs.TableChanged, routed_core.table(3, keys=()))
     core.arrive("release", "r3")
-    core.confirm(for_ms=0)
+    core.renew_serving_lease(for_ms=0)
     core.arrive("release", "r4")
     core.arrive("open", "r5", token_sha256="")
     return script
