--- a/src/godwittack/core/crashes.py
+++ b/src/godwittack/core/crashes.py
@@ -205,10 +205,10 @@
 def would_be_quarantined(
     world: entities.World, request: entities.RequestRow
 ) -> bool:
-    """Returns whether broken connections, if crashes, quarantine a request.
+    """Returns whether a request would be quarantined for broken connections.
 
-    If it were resent before it is known whether their servers crashed, it could
-    crash another one.
+    They count like crashes here: if it were resent before it is known whether
+    their servers crashed, it could crash another one.
     """
     content = request.content
     starts = {crash.start for crash in world.quarantine.crashes(content)}
--- a/src/godwittack/core/dispatch_pacing.py
+++ b/src/godwittack/core/dispatch_pacing.py
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(slots=True)
 class DispatchInterval:
-    """Interval between dispatches from the queue of one target and rank.
+    """Interval between dispatches from a queue: one target and priority.
 
     Attributes:
         smoothed_ms: Time from one dispatch to the next while requests wait.
@@ -33,7 +33,7 @@
 
 
 def start(world: entities.World, target: str, rank: int) -> None:
-    """Records that the first request of a rank was queued."""
+    """Records that the first request of a priority was queued."""
     _interval(world, target, rank).measured_from_ms = world.now_ms
 
 
@@ -50,7 +50,7 @@
     Args:
         world: Tables.
         target: Its target.
-        rank: Rank of its queue.
+        rank: Priority of its queue.
         remaining: How many requests remain in that queue.
         updates_interval: Whether its wait counts: not if it waited for a rest.
     """
@@ -67,7 +67,7 @@
 def wait_ms(
     world: entities.World, target: str, rank: int, *, ahead: int
 ) -> float:
-    """Returns how long a request waits behind `ahead` others of its rank."""
+    """Returns how long a request waits behind others of its priority."""
     interval = _interval(world, target, rank)
     interval_ms = interval.smoothed_ms
     if interval.measured_from_ms >= 0:
--- a/src/godwittack/core/dispatching.py
+++ b/src/godwittack/core/dispatching.py
@@ -85,7 +85,7 @@
 def _enqueue(
     world: entities.World, request: entities.RequestRow, *, wait_ms: float
 ) -> None:
-    """Puts a request into the queue of its rank."""
+    """Puts a request into the queue of its priority."""
     rank = routing.priority(world, request)
     queue = _queue(world, request.work.target, rank)
     queued_ahead = _queued_ahead(world, request.work.target, rank)
@@ -215,8 +215,8 @@
 def dispatch_queued(world: entities.World) -> None:
     """Dispatches queued requests while servers have room.
 
-    The most urgent rank comes first, as at the engines: a short prompt of an
-    urgent route need not wait behind long queued ones.
+    The most urgent priority comes first, as at the engines: a short prompt of
+    an urgent route need not wait behind long queued ones.
     """
     for target in sorted(world.targets_to_dispatch):
         by_rank = world.queues.get(target, {})
@@ -266,7 +266,7 @@
 
 
 def _queued_ahead(world: entities.World, target: str, rank: int) -> int:
-    """Returns how many requests of a rank or a more urgent one are queued."""
+    """Returns how many queued requests are at least as urgent."""
     by_rank = world.queues[target]
     return sum(len(queue) for r, queue in by_rank.items() if r <= rank)
 
--- a/src/godwittack/core/effects.py
+++ b/src/godwittack/core/effects.py
@@ -104,7 +104,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Announce:
-    """Announces a long prompt sent to a server to other daemons.
+    """Announces to other daemons a long prompt that was sent to a server.
 
     Each daemon sees only a part of the requests. Without the announcement
     several daemons would choose the same idle server at the same moment, and
@@ -233,7 +233,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class TellCrashes:
-    """Reports servers that crashed while running requests to other daemons.
+    """Reports to other daemons the servers that crashed during requests.
 
     Attributes:
         target: Model or service of the servers; empty to notify every daemon.
--- a/src/godwittack/core/entities.py
+++ b/src/godwittack/core/entities.py
@@ -60,7 +60,7 @@
         timeout_at_ms: When the request is ended in any case; 0 for never.
         possible_runs: Dispatches that may have been run by a server.
         head: Status and headers from the stream's first server.
-        queue_rank: Rank of the queue that holds the request.
+        queue_rank: Priority of the queue that holds the request.
         awaits_rest_end: Whether it is queued until a server's requested rest
             ends.
         cells: Limited cells that count the request while it is in flight.
@@ -130,7 +130,7 @@
         stream_id: Id of the stream on the engine: the first attempt's id.
         last_progress_ms: When the server last made progress on this attempt.
         expected_tokens: Prompt tokens that are expected not to be cached.
-        incarnation_key: Key of the server and its incarnation at dispatch.
+        incarnation_key: Unique id of the server's incarnation at dispatch.
     """
 
     attempt_id: str
@@ -174,7 +174,8 @@
             absence.
         rate_limit_announced_ms: When a daemon last announced the limit to its
             peers.
-        ended_incarnation_key: Key of the last incarnation known to have ended.
+        ended_incarnation_key: Unique id of its last incarnation known to have
+            ended.
         ended_at_ms: When this daemon learnt that it had ended.
         possible_crashes: Recent requests whose connection closed; they count
             as crashes only if the server's process has ended.
@@ -262,7 +263,7 @@
         daemon: This daemon's incarnation, as written into claims.
         started_at_ms: Time of the first input; -1 before it.
         pending_effects: Effects of the input being processed.
-        queues: Queued requests, by target and rank.
+        queues: Queued requests, by target and priority.
         target_budgets: Retry budgets by target, if retries are limited for
             each target separately.
         targets_to_dispatch: Targets whose queues are to be dispatched after
@@ -278,7 +279,8 @@
         has_seen_peers: Whether another daemon was ever believed alive.
         members_changed_ms: When the membership last changed.
         quarantine: Contents of requests during which servers crashed.
-        dispatch_pacing: Dispatch rate of queued requests, by target and rank.
+        dispatch_pacing: Dispatch interval of queued requests, by target and
+            priority.
         availability_notices: Availability announced by servers, by server id.
         resting_servers: Ids of servers whose requested rest has not ended.
         prefill_costs: Prefill cost learnt from first tokens, by target.
--- a/src/godwittack/core/inputs.py
+++ b/src/godwittack/core/inputs.py
@@ -220,7 +220,7 @@
 
     Attributes:
         cell: Name such as `workspace/desk`.
-        wanted: Requests running or queued.
+        wanted: Requests running or refused.
         rate_per_s: Requests arriving per second.
     """
 
--- a/src/godwittack/core/policy.py
+++ b/src/godwittack/core/policy.py
@@ -24,7 +24,7 @@
         retry_ratio: Retries earned per accepted request.
         retry_burst: Retries allowed at once after a quiet period.
         retry_saved_ratio: Retries saved per accepted request by a daemon whose
-            part of the burst is less than one; with `retry_ratio`, at most
+            share of the burst is less than one; with `retry_ratio`, at most
             what operators allow.
         retry_window_ms: Time after which saved retries expire.
         failures_to_eject: Consecutive broken connections until a backend
--- a/src/godwittack/core/retries.py
+++ b/src/godwittack/core/retries.py
@@ -103,10 +103,10 @@
 
 
 def _shared_budget(world: entities.World, target: str) -> budget.SharedBudget:
-    """Returns this daemon's part of the retry budget of `target`.
+    """Returns this daemon's share of the retry budget of `target`.
 
     It is divided by the highest number of daemons known so far: while their
-    views of the membership differ, parts computed from the live daemons alone
+    views of the membership differ, shares computed from the live daemons alone
     could add up to more than the whole budget.
     """
     policy = world.policy
--- a/src/godwittack/core/sending.py
+++ b/src/godwittack/core/sending.py
@@ -1,4 +1,4 @@
-"""Logs a placement and accounts for its prompt when it is dispatched."""
+"""Logs a dispatch, and accounts for its prompt in backlog and cache."""
 
 from __future__ import annotations
 
--- a/src/godwittack/core/server_inputs.py
+++ b/src/godwittack/core/server_inputs.py
@@ -185,7 +185,7 @@
 
     Attributes:
         tokens: Prompt tokens that the server has to compute.
-        priority: Rank of the request; lower is served first.
+        priority: Priority of the request; lower is served first.
         levels: Keys of the levels that will be cached after computation.
     """
 
--- a/src/godwittack/core/splitting.py
+++ b/src/godwittack/core/splitting.py
@@ -40,8 +40,8 @@
 def record_groups(world: entities.World, request: entities.RequestRow) -> None:
     """Records which daemons share the limits of a request's cells.
 
-    They must be known before they report any demand: a daemon that assumed to
-    be the only one would admit the whole limit in the first second.
+    They must be known before they report any demand: a daemon that assumed it
+    was the only one would admit the whole limit in the first second.
     """
     if len(world.live_daemons) <= assignment.MESH_LIMIT:
         return
--- a/src/godwittack/core/weights.py
+++ b/src/godwittack/core/weights.py
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DesiredVersion:
-    """A version of weights that the table names or named as desired.
+    """A version of weights that a version of the table set as the desired one.
 
     Attributes:
         desired_at_ms: Earliest time at which it was written to the table.
