--- a/src/godwittack/claim/batch.py
+++ b/src/godwittack/claim/batch.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-MAX_BATCH = 64
+MAX_BATCH_WRITES = 64
 
 
 @dataclasses.dataclass(slots=True)
@@ -53,7 +53,7 @@
 
     async def _flush(self) -> None:
         while self._queue:
-            batch = _distinct(self._queue[:MAX_BATCH])
+            batch = _distinct(self._queue[:MAX_BATCH_WRITES])
             self._queue = [p for p in self._queue if p not in batch]
             await self._commit(batch)
 
--- a/src/godwittack/command/client.py
+++ b/src/godwittack/command/client.py
@@ -20,7 +20,7 @@
 TOKEN_VARIABLE = "GODWITTACK_TOKEN_FILE"
 # A change is answered within 9 s. A daemon that takes longer was paused or
 # disconnected, and another daemon can report the outcome of the change.
-TIMEOUT_S = 9.0
+CHANGE_TIMEOUT_S = 9.0
 READ_TIMEOUT_S = 4.0
 
 
@@ -132,7 +132,7 @@
 ) -> Result[Answer, str]:
     import aiohttp
 
-    timeout_s = READ_TIMEOUT_S if method == "GET" else TIMEOUT_S
+    timeout_s = READ_TIMEOUT_S if method == "GET" else CHANGE_TIMEOUT_S
     try:
         async with (
             aiohttp.ClientSession(
--- a/src/godwittack/config/settings.py
+++ b/src/godwittack/config/settings.py
@@ -207,11 +207,11 @@
     )
     decisions: dict[str, int | float] = pydantic.Field(
         default_factory=dict,
-        description="numbers that tune the decisions, see `godwittack settings`",
+        description="numbers that tune decisions, see `godwittack settings`",
     )
     membership: dict[str, int | float] = pydantic.Field(
         default_factory=dict,
-        description="numbers that tune the membership, see `godwittack settings`",
+        description="numbers that tune membership, see `godwittack settings`",
     )
 
     @pydantic.field_validator("decisions")
--- a/src/godwittack/core/attempts.py
+++ b/src/godwittack/core/attempts.py
@@ -329,9 +329,9 @@
     server = world.servers.get(attempt.server_id)
     if server is not None and request.work.route is not None:
         prefill_cost.record_first_token(world, attempt, server)
-        rank = routing.priority(world, request)
-        previous_ms = server.last_answered_sent_ms.get(rank, 0)
-        server.last_answered_sent_ms[rank] = max(
+        priority = routing.priority(world, request)
+        previous_ms = server.last_answered_sent_ms.get(priority, 0)
+        server.last_answered_sent_ms[priority] = max(
             previous_ms, attempt.sent_at_ms
         )
     request.late = world.now_ms > request.deadline_at_ms
--- a/src/godwittack/core/backlog.py
+++ b/src/godwittack/core/backlog.py
@@ -60,15 +60,15 @@
     world: entities.World, server: entities.ServerRow, *, priority: int
 ) -> float:
     """Estimates how long a request waits for the prompts sent before it."""
-    total = 0.0
+    total_ms = 0.0
     for other_priority, ends_ms in server.backlog_until_ms.items():
         left_ms = max(0.0, ends_ms - world.now_ms)
-        total += (
+        total_ms += (
             left_ms
             if other_priority <= priority
             else left_ms * LESS_URGENT_FRACTION
         )
-    return total
+    return total_ms
 
 
 def queue_ms(
--- a/src/godwittack/core/closing.py
+++ b/src/godwittack/core/closing.py
@@ -151,7 +151,7 @@
     close_attempt(world, request.attempt_id)
     world.requests.pop(request.request_id, None)
     if request.phase is entities.Phase.QUEUED:
-        queue = world.queues[request.work.target][request.queue_rank]
+        queue = world.queues[request.work.target][request.queue_priority]
         queue.remove(request.request_id)
     for cell in request.cells:
         world.shares.record_end(cell)
--- a/src/godwittack/core/crashes.py
+++ b/src/godwittack/core/crashes.py
@@ -39,12 +39,12 @@
         return False
     crash = quarantine.Crash(
         content=request.content,
-        start=attempt.incarnation_key,
+        start=attempt.incarnation_id,
         reporter=world.daemon,
         at_ms=world.now_ms,
     )
     was_sent_before_end = attempt.sent_at_ms <= server.ended_at_ms
-    if crash.start == server.ended_incarnation_key and was_sent_before_end:
+    if crash.start == server.ended_incarnation_id and was_sent_before_end:
         _record_crashes(world, server, [crash])
         return False
     server.possible_crashes = [*_recent_crashes(world, server), crash]
@@ -55,7 +55,7 @@
     world: entities.World, server: entities.ServerRow
 ) -> None:
     """Records that a server's process has ended, and counts its crashes."""
-    server.ended_incarnation_key = incarnation_id(world, server)
+    server.ended_incarnation_id = incarnation_id(world, server)
     server.ended_at_ms = world.now_ms
     crashes = _recent_crashes(world, server)
     server.possible_crashes = []
@@ -211,14 +211,16 @@
     their servers crashed, it could crash another one.
     """
     content = request.content
-    starts = {crash.start for crash in world.quarantine.crashes(content)}
+    incarnation_ids = {
+        crash.start for crash in world.quarantine.crashes(content)
+    }
     for server in world.servers.values():
-        starts.update(
+        incarnation_ids.update(
             crash.start
             for crash in _recent_crashes(world, server)
             if crash.content == content
         )
-    return len(starts) >= quarantine.CRASHES_TO_QUARANTINE
+    return len(incarnation_ids) >= quarantine.CRASHES_TO_QUARANTINE
 
 
 def quarantine_reason(
--- a/src/godwittack/core/dispatch_pacing.py
+++ b/src/godwittack/core/dispatch_pacing.py
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(slots=True)
 class DispatchInterval:
-    """Interval between dispatches from a queue: one target and priority.
+    """Interval between dispatches for one target and priority.
 
     Attributes:
         smoothed_ms: Time from one dispatch to the next while requests wait.
@@ -32,15 +32,15 @@
     measured_from_ms: int = -1
 
 
-def start(world: entities.World, target: str, rank: int) -> None:
+def start(world: entities.World, target: str, priority: int) -> None:
     """Records that the first request of a priority was queued."""
-    _interval(world, target, rank).measured_from_ms = world.now_ms
+    _interval(world, target, priority).measured_from_ms = world.now_ms
 
 
 def record_dispatch(
     world: entities.World,
     target: str,
-    rank: int,
+    priority: int,
     *,
     remaining: int,
     updates_interval: bool = True,
@@ -50,11 +50,11 @@
     Args:
         world: Tables.
         target: Its target.
-        rank: Priority of its queue.
+        priority: Priority of its queue.
         remaining: How many requests remain in that queue.
         updates_interval: Whether its wait counts: not if it waited for a rest.
     """
-    interval = _interval(world, target, rank)
+    interval = _interval(world, target, priority)
     if interval.measured_from_ms >= 0 and updates_interval:
         gap_ms = world.now_ms - interval.measured_from_ms
         previous_ms = interval.smoothed_ms or float(gap_ms)
@@ -65,10 +65,10 @@
 
 
 def wait_ms(
-    world: entities.World, target: str, rank: int, *, ahead: int
+    world: entities.World, target: str, priority: int, *, ahead: int
 ) -> float:
     """Returns how long a request waits behind others of its priority."""
-    interval = _interval(world, target, rank)
+    interval = _interval(world, target, priority)
     interval_ms = interval.smoothed_ms
     if interval.measured_from_ms >= 0:
         # A longer gap than usual means that the servers have slowed down.
@@ -99,9 +99,11 @@
 
 
 def _interval(
-    world: entities.World, target: str, rank: int
+    world: entities.World, target: str, priority: int
 ) -> DispatchInterval:
-    return world.dispatch_pacing.setdefault((target, rank), DispatchInterval())
+    return world.dispatch_pacing.setdefault(
+        (target, priority), DispatchInterval()
+    )
 
 
 __all__ = [
--- a/src/godwittack/core/dispatching.py
+++ b/src/godwittack/core/dispatching.py
@@ -30,18 +30,18 @@
     if choice is None:
         _await_rest(world, request)
         return
-    rank = routing.priority(world, request)
-    queue = _queue(world, request.work.target, rank)
-    queued_ahead = _queued_ahead(world, request.work.target, rank)
+    priority = routing.priority(world, request)
+    queue = _queue(world, request.work.target, priority)
+    queued_ahead = _queued_ahead(world, request.work.target, priority)
     must_queue = choice.wait_ms > world.policy.hold_ms or queued_ahead > 0
     wait_ms = 0.0
     if must_queue:
         slots_wait_ms = dispatch_pacing.slots_wait_ms(
             world, request.work.target, queued_ahead
         )
-        queued_in_rank = queue.count_ahead(request.workspace)
+        queued_at_priority = queue.count_ahead(request.workspace)
         pacing_wait_ms = dispatch_pacing.wait_ms(
-            world, request.work.target, rank, ahead=queued_in_rank
+            world, request.work.target, priority, ahead=queued_at_priority
         )
         wait_ms = max(slots_wait_ms, pacing_wait_ms)
     if not _meets_deadline(world, request, choice, wait_ms):
@@ -86,13 +86,13 @@
     world: entities.World, request: entities.RequestRow, *, wait_ms: float
 ) -> None:
     """Puts a request into the queue of its priority."""
-    rank = routing.priority(world, request)
-    queue = _queue(world, request.work.target, rank)
-    queued_ahead = _queued_ahead(world, request.work.target, rank)
+    priority = routing.priority(world, request)
+    queue = _queue(world, request.work.target, priority)
+    queued_ahead = _queued_ahead(world, request.work.target, priority)
     request.phase = entities.Phase.QUEUED
-    request.queue_rank = rank
+    request.queue_priority = priority
     if not len(queue) and not request.awaits_rest_end:
-        dispatch_pacing.start(world, request.work.target, rank)
+        dispatch_pacing.start(world, request.work.target, priority)
     if request.work.route is not None:
         world.event(
             "queued",
@@ -219,19 +219,19 @@
     an urgent route need not wait behind long queued ones.
     """
     for target in sorted(world.targets_to_dispatch):
-        by_rank = world.queues.get(target, {})
-        for rank in sorted(by_rank):
-            _dispatch_from_queue(world, by_rank[rank], rank)
-            if len(by_rank[rank]):
+        by_priority = world.queues.get(target, {})
+        for priority in sorted(by_priority):
+            _dispatch_from_queue(world, by_priority[priority], priority)
+            if len(by_priority[priority]):
                 break
     world.targets_to_dispatch.clear()
 
 
 def expire_queued(world: entities.World) -> None:
     """Refuses queued requests that can no longer be served in time."""
-    for target, by_rank in world.queues.items():
+    for target, by_priority in world.queues.items():
         world.targets_to_dispatch.add(target)
-        for rank, queue in by_rank.items():
+        for priority, queue in by_priority.items():
             for request_id in queue.request_ids():
                 request = world.requests[request_id]
                 if crashes.is_quarantined(world, request):
@@ -242,7 +242,7 @@
                     continue
                 if request.answer_start_deadline_ms > world.now_ms:
                     continue
-                queued_ahead = _queued_ahead(world, target, rank)
+                queued_ahead = _queued_ahead(world, target, priority)
                 wait_ms = dispatch_pacing.slots_wait_ms(
                     world, target, queued_ahead
                 )
@@ -261,22 +261,22 @@
     return sum(map(len, world.queues[target].values()))
 
 
-def _queue(world: entities.World, target: str, rank: int) -> fair.FairQueue:
-    return world.queues[target].setdefault(rank, fair.FairQueue())
+def _queue(world: entities.World, target: str, priority: int) -> fair.FairQueue:
+    return world.queues[target].setdefault(priority, fair.FairQueue())
 
 
-def _queued_ahead(world: entities.World, target: str, rank: int) -> int:
+def _queued_ahead(world: entities.World, target: str, priority: int) -> int:
     """Returns how many queued requests are at least as urgent."""
-    by_rank = world.queues[target]
-    return sum(len(queue) for r, queue in by_rank.items() if r <= rank)
+    by_priority = world.queues[target]
+    return sum(len(queue) for p, queue in by_priority.items() if p <= priority)
 
 
 def _dispatch_from_queue(
-    world: entities.World, queue: fair.FairQueue, rank: int
+    world: entities.World, queue: fair.FairQueue, priority: int
 ) -> None:
     while len(queue):
-        waiting = queue.heads()[0]
-        request = world.requests[waiting.request_id]
+        queued = queue.heads()[0]
+        request = world.requests[queued.request_id]
         if crashes.is_quarantined(world, request):
             refusing.refuse_quarantined(world, request)
             continue
@@ -289,11 +289,11 @@
         ):
             refusing.refuse_late(world, request, choice.wait_ms)
             continue
-        queue.dequeue(waiting)
+        queue.dequeue(queued)
         dispatch_pacing.record_dispatch(
             world,
             request.work.target,
-            rank,
+            priority,
             remaining=len(queue),
             updates_interval=not request.awaits_rest_end,
         )
@@ -307,7 +307,7 @@
     attempt: entities.AttemptRow,
 ) -> None:
     server = world.servers[attempt.server_id]
-    attempt.incarnation_key = crashes.incarnation_id(
+    attempt.incarnation_id = crashes.incarnation_id(
         world, server, attempt.stamp
     )
     request.phase = entities.Phase.RUNNING
--- a/src/godwittack/core/entities.py
+++ b/src/godwittack/core/entities.py
@@ -60,7 +60,7 @@
         timeout_at_ms: When the request is ended in any case; 0 for never.
         possible_runs: Dispatches that may have been run by a server.
         head: Status and headers from the stream's first server.
-        queue_rank: Priority of the queue that holds the request.
+        queue_priority: Priority of the queue that holds the request.
         awaits_rest_end: Whether it is queued until a server's requested rest
             ends.
         cells: Limited cells that count the request while it is in flight.
@@ -92,7 +92,7 @@
     timeout_at_ms: int = 0
     possible_runs: int = 0
     head: works.Head | None = None
-    queue_rank: int = 0
+    queue_priority: int = 0
     awaits_rest_end: bool = False
     cells: tuple[str, ...] = ()
 
@@ -130,7 +130,7 @@
         stream_id: Id of the stream on the engine: the first attempt's id.
         last_progress_ms: When the server last made progress on this attempt.
         expected_tokens: Prompt tokens that are expected not to be cached.
-        incarnation_key: Unique id of the server's incarnation at dispatch.
+        incarnation_id: Unique id of the server's incarnation at dispatch.
     """
 
     attempt_id: str
@@ -142,7 +142,7 @@
     last_progress_ms: int
     expected_tokens: int = 0
     opened: bool = False
-    incarnation_key: str = ""
+    incarnation_id: str = ""
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
@@ -174,7 +174,7 @@
             absence.
         rate_limit_announced_ms: When a daemon last announced the limit to its
             peers.
-        ended_incarnation_key: Unique id of its last incarnation known to have
+        ended_incarnation_id: Unique id of its last incarnation known to have
             ended.
         ended_at_ms: When this daemon learnt that it had ended.
         possible_crashes: Recent requests whose connection closed; they count
@@ -211,7 +211,7 @@
     rate_limit: advertised.AdvertisedLimit | None = None
     rate_limit_received_ms: int = -1_000_000
     rate_limit_announced_ms: int = -1_000_000
-    ended_incarnation_key: str = ""
+    ended_incarnation_id: str = ""
     ended_at_ms: int = -1
     possible_crashes: list[quarantine.Crash] = dataclasses.field(
         default_factory=list
@@ -314,8 +314,8 @@
     spill_budget: budget.Budget = dataclasses.field(
         default_factory=budget.Budget
     )
-    level_demand: residency.Heat = dataclasses.field(
-        default_factory=residency.Heat
+    level_demand: residency.LevelDemand = dataclasses.field(
+        default_factory=residency.LevelDemand
     )
     targets_to_dispatch: set[str] = dataclasses.field(default_factory=set)
     service_time_ms: dict[str, float] = dataclasses.field(default_factory=dict)
@@ -373,8 +373,8 @@
         """Returns the number of queued requests."""
         return sum(
             len(queue)
-            for by_rank in self.queues.values()
-            for queue in by_rank.values()
+            for by_priority in self.queues.values()
+            for queue in by_priority.values()
         )
 
 
--- a/src/godwittack/core/quarantine.py
+++ b/src/godwittack/core/quarantine.py
@@ -98,24 +98,27 @@
 
     def add(self, crash: Crash) -> bool:
         """Adds a crash; returns whether it was new."""
-        self._count_ended_start(crash.start)
+        self._count_ended_incarnation(crash.start)
         if crash.at_ms <= self._completed_at_ms.get(crash.content, -1):
             return False
-        by_start = self._crashes.setdefault(crash.content, {})
-        if crash.start in by_start or len(by_start) >= MAX_CRASHES_PER_CONTENT:
+        by_incarnation = self._crashes.setdefault(crash.content, {})
+        if (
+            crash.start in by_incarnation
+            or len(by_incarnation) >= MAX_CRASHES_PER_CONTENT
+        ):
             return False
-        by_start[crash.start] = crash
+        by_incarnation[crash.start] = crash
         self._digest = None
         self._crashes.move_to_end(crash.content)
-        if len(by_start) >= CRASHES_TO_QUARANTINE:
+        if len(by_incarnation) >= CRASHES_TO_QUARANTINE:
             self._quarantined.add(crash.content)
         self._evict_excess()
         return True
 
-    def _count_ended_start(self, start: str) -> None:
-        server, separator, number = start.rpartition(_NUMBER_SEPARATOR)
+    def _count_ended_incarnation(self, incarnation: str) -> None:
+        server, separator, number = incarnation.rpartition(_NUMBER_SEPARATOR)
         if not separator or not number.isdecimal():
-            server, number = start, "0"
+            server, number = incarnation, "0"
         ended = int(number) + 1
         self._ended_counts[server] = max(
             self._ended_counts.get(server, 0), ended
@@ -125,8 +128,8 @@
 
     def add_completion(self, completion: Completion) -> bool:
         """Drops crashes before a completed run; returns whether any were."""
-        by_start = self._crashes.get(completion.content)
-        if by_start is None:
+        by_incarnation = self._crashes.get(completion.content)
+        if by_incarnation is None:
             return False
         newest_ms = self._completed_at_ms.get(
             completion.content, completion.at_ms
@@ -137,9 +140,11 @@
         if len(self._completed_at_ms) > MAX_CONTENTS:
             self._completed_at_ms.popitem(last=False)
         self._digest = None
-        count_before = len(by_start)
+        count_before = len(by_incarnation)
         remaining = {
-            s: c for s, c in by_start.items() if c.at_ms > completion.at_ms
+            name: crash
+            for name, crash in by_incarnation.items()
+            if crash.at_ms > completion.at_ms
         }
         self._crashes[completion.content] = remaining
         if not remaining:
@@ -160,9 +165,11 @@
         """Returns when a content's quarantine ends; 0 if it has none."""
         if content not in self._quarantined:
             return 0
-        by_start = self._crashes[content]
-        doublings = min(len(by_start) - CRASHES_TO_QUARANTINE, MAX_DOUBLINGS)
-        last_ms = max(crash.at_ms for crash in by_start.values())
+        by_incarnation = self._crashes[content]
+        doublings = min(
+            len(by_incarnation) - CRASHES_TO_QUARANTINE, MAX_DOUBLINGS
+        )
+        last_ms = max(crash.at_ms for crash in by_incarnation.values())
         return last_ms + QUARANTINE_MS * 2**doublings
 
     def crashes_to_exchange(self) -> tuple[Crash, ...]:
@@ -198,8 +205,8 @@
         if now_ms - self._expired_at_ms < EXPIRY_INTERVAL_MS:
             return
         self._expired_at_ms = now_ms
-        for content, by_start in list(self._crashes.items()):
-            last_ms = max(crash.at_ms for crash in by_start.values())
+        for content, by_incarnation in list(self._crashes.items()):
+            last_ms = max(crash.at_ms for crash in by_incarnation.values())
             ends_at_ms = max(last_ms, self.until_ms(content))
             if now_ms - ends_at_ms > RETENTION_MS:
                 self._drop(content)
--- a/src/godwittack/core/refusing.py
+++ b/src/godwittack/core/refusing.py
@@ -120,10 +120,10 @@
 ) -> int:
     """Returns the time until a server has capacity again; 0 if not known."""
     limit_ms = rate_limits.retry_after_ms(world, request.work.target)
-    rested_ms = resting.retry_after_ms(world, request)
-    if limit_ms and rested_ms:
-        return min(limit_ms, rested_ms)
-    return limit_ms or rested_ms
+    rest_ms = resting.retry_after_ms(world, request)
+    if limit_ms and rest_ms:
+        return min(limit_ms, rest_ms)
+    return limit_ms or rest_ms
 
 
 def clamp_retry_after_ms(wait_ms: float) -> int:
--- a/src/godwittack/core/retries.py
+++ b/src/godwittack/core/retries.py
@@ -110,17 +110,17 @@
     could add up to more than the whole budget.
     """
     policy = world.policy
-    part = policy.retry_burst / world.max_expected_daemons
+    share = policy.retry_burst / world.max_expected_daemons
     shared = world.target_budgets.get(target)
     if shared is None:
         shared = world.target_budgets[target] = budget.SharedBudget(
             ratio=policy.retry_ratio,
             saved_ratio=policy.retry_saved_ratio,
             window_ms=policy.retry_window_ms,
-            share=part,
+            share=share,
             granted_at_ms=world.started_at_ms + policy.retry_window_ms,
         )
-    shared.resize(part)
+    shared.resize(share)
     return shared
 
 
--- a/src/godwittack/core/timeouts.py
+++ b/src/godwittack/core/timeouts.py
@@ -90,12 +90,12 @@
         return False
     if world.now_ms - server.last_contact_ms >= world.policy.first_frame_ms:
         return False
-    rank = routing.priority(world, request)
+    priority = routing.priority(world, request)
     newest_begun_sent_ms = max(
         (
             sent_ms
-            for other, sent_ms in server.last_answered_sent_ms.items()
-            if other >= rank
+            for other_priority, sent_ms in server.last_answered_sent_ms.items()
+            if other_priority >= priority
         ),
         default=-1,
     )
--- a/src/godwittack/lead/rollout.py
+++ b/src/godwittack/lead/rollout.py
@@ -179,8 +179,12 @@
         for server_id in list(self._progress):
             self._remove_if_finished(server_id, known.get(server_id), now_ms)
         behind = self._behind(replicas, desired_version)
-        held_behind = [r for r in behind if r.server_id in held_by_others]
-        held_accepting = sum(replica.accepts_work for replica in held_behind)
+        behind_held_by_others = [
+            r for r in behind if r.server_id in held_by_others
+        ]
+        accepting_held_by_others = sum(
+            replica.accepts_work for replica in behind_held_by_others
+        )
         remaining = self._remaining(replicas, behind, now_ms)
         room = pacing.max_loading(remaining)
         if is_under_load:
@@ -188,8 +192,9 @@
         self._start_draining(
             [r for r in behind if r.server_id not in held_by_others],
             now_ms=now_ms,
-            room=room - held_accepting,
-            max_total=pacing.max_store_loads(len(replicas)) - len(held_behind),
+            room=room - accepting_held_by_others,
+            max_total=pacing.max_store_loads(len(replicas))
+            - len(behind_held_by_others),
         )
         load = tuple(
             server_id
@@ -206,7 +211,7 @@
             ),
             draining=steps.count(Step.DRAINING),
             loading=steps.count(Step.LOADING),
-            held=len(held_behind),
+            held=len(behind_held_by_others),
             room=room,
             load_ms=round(remaining.load_ms),
         )
--- a/src/godwittack/limit/shares.py
+++ b/src/godwittack/limit/shares.py
@@ -62,9 +62,10 @@
 
     While the total demand is below the limit, a daemon's share is its demand
     and a part of the unused rest, so that demand that shifts to it is not
-    refused while the total is far below the limit. Above the limit, the shares follow demand.
-    Every daemon computes all shares from the same announced figures, its own
-    included, so that they add up to the limit while views agree.
+    refused while the total is far below the limit. Above the limit, the shares
+    follow demand. Every daemon computes all shares from the same announced
+    figures, its own included, so that they add up to the limit while views
+    agree.
 
     Attributes:
         daemon: This daemon's name among the others.
--- a/src/godwittack/member/view.py
+++ b/src/godwittack/member/view.py
@@ -7,7 +7,7 @@
 import math
 import random
 
-ENVELOPE_UPDATES = 12
+MAX_ENVELOPE_UPDATES = 12
 # Each daemon transmits one member's state RETRANSMIT_FACTOR times the binary
 # logarithm of the fleet's size, but at least MIN_RETRANSMITS times.
 RETRANSMIT_FACTOR = 2
@@ -204,7 +204,7 @@
         limit = max(MIN_RETRANSMITS, rounds)
         fresh = [r for r in self.rows.values() if r.transmissions < limit]
         fresh.sort(key=lambda row: row.transmissions)
-        chosen = fresh[:ENVELOPE_UPDATES]
+        chosen = fresh[:MAX_ENVELOPE_UPDATES]
         for row in chosen:
             row.transmissions += 1
         return [row.member for row in chosen]
@@ -358,8 +358,11 @@
         return (1 + reachable) / self.expected_count()
 
     def _refute(self, reported: Member) -> bool:
-        is_accused = reported.state in (MemberState.SUSPECT, MemberState.DEAD)
-        if not is_accused or reported.refutation < self.me.refutation:
+        is_reported_failed = reported.state in (
+            MemberState.SUSPECT,
+            MemberState.DEAD,
+        )
+        if not is_reported_failed or reported.refutation < self.me.refutation:
             return False
         self.me = dataclasses.replace(
             self.me, refutation=reported.refutation + 1
--- a/src/godwittack/placement/residency.py
+++ b/src/godwittack/placement/residency.py
@@ -6,10 +6,10 @@
 import dataclasses
 import math
 
-HEAT_HALF_LIFE_MS = 5_000
-HEAT_MAX_KEYS = 20_000
-HEAT_MIN_TOTAL = 20.0
-SPREAD_SHRINK_RATIO = 0.7
+DEMAND_HALF_LIFE_MS = 5_000
+MAX_DEMAND_KEYS = 20_000
+MIN_TOTAL_REQUESTS = 20.0
+SERVER_COUNT_SHRINK_RATIO = 0.7
 
 
 @dataclasses.dataclass(slots=True)
@@ -80,7 +80,7 @@
 
 @dataclasses.dataclass(slots=True)
 class DecayingCount:
-    """A count that decays exponentially, by half in `HEAT_HALF_LIFE_MS`."""
+    """A count that decays exponentially, by half in `DEMAND_HALF_LIFE_MS`."""
 
     at_ms: int
     value: float = 0.0
@@ -92,11 +92,11 @@
 
     def value_at(self, now_ms: int) -> float:
         """Returns the decayed count at `now_ms`."""
-        return self.value * 0.5 ** ((now_ms - self.at_ms) / HEAT_HALF_LIFE_MS)
+        return self.value * 0.5 ** ((now_ms - self.at_ms) / DEMAND_HALF_LIFE_MS)
 
 
 @dataclasses.dataclass(slots=True)
-class Heat:
+class LevelDemand:
     """Recent requests by level key and by target."""
 
     _counts: collections.OrderedDict[int, DecayingCount] = dataclasses.field(
@@ -112,7 +112,7 @@
             row = self._counts[key] = DecayingCount(at_ms=now_ms)
         row.add(now_ms)
         self._counts.move_to_end(key)
-        if len(self._counts) > HEAT_MAX_KEYS:
+        if len(self._counts) > MAX_DEMAND_KEYS:
             old, _ = self._counts.popitem(last=False)
             self._server_counts.pop(old, None)
 
@@ -132,7 +132,7 @@
         if row is None or total is None:
             return 0.0
         # Of only a few requests, each would be a large fraction.
-        weight = max(total.value_at(now_ms), HEAT_MIN_TOTAL)
+        weight = max(total.value_at(now_ms), MIN_TOTAL_REQUESTS)
         return row.value_at(now_ms) / weight
 
     def server_count(
@@ -150,7 +150,7 @@
         # and remove a server repeatedly, and recompute the prefix each time.
         if (
             servers_needed > count
-            or servers_needed < (count - 1) * SPREAD_SHRINK_RATIO
+            or servers_needed < (count - 1) * SERVER_COUNT_SHRINK_RATIO
         ):
             count = math.ceil(servers_needed)
         count = max(1, min(count, max_servers))
@@ -161,4 +161,4 @@
         return count
 
 
-__all__ = ["DecayingCount", "Heat", "Residency"]
+__all__ = ["DecayingCount", "LevelDemand", "Residency"]
--- a/tests/sim/fleet.py
+++ b/tests/sim/fleet.py
@@ -304,7 +304,7 @@
     async def _ask(self, daemon: FleetDaemon, proposal: store.Proposal):
         """Asks a daemon, and where it falls silent the others, in turn."""
         ask = self.spawn(daemon.committer.commit(proposal))
-        done, _ = await asyncio.wait([ask], timeout=client.TIMEOUT_S)
+        done, _ = await asyncio.wait([ask], timeout=client.CHANGE_TIMEOUT_S)
         if done:
             return ask.result()
         self.silences += 1
