--- a/src/godwittack/core/admission.py
+++ b/src/godwittack/core/admission.py
@@ -6,6 +6,7 @@
 from typing import TYPE_CHECKING
 
 from godwittack.core import (
+    cell_limits,
     claims,
     dispatching,
     effects,
@@ -13,7 +14,6 @@
     placing,
     retries,
     routing,
-    splitting,
     work,
 )
 from godwittack.table import model
@@ -171,11 +171,11 @@
     request: entities.RequestRow,
     workspace: model.WorkspaceRow,
 ) -> bool:
-    limits = splitting.limits(world, request, workspace)
+    limits = cell_limits.limits(world, request, workspace)
     request.cells = tuple(limits)
     if not limits:
         return True
-    splitting.record_groups(world, request)
+    cell_limits.record_groups(world, request)
     for cell in limits:
         world.shares.record_arrival(cell)
     for cell, limit in limits.items():
@@ -191,7 +191,7 @@
             )
             return False
     rate = workspace.max_requests_per_s
-    cell = splitting.workspace_cell(workspace)
+    cell = cell_limits.workspace_cell(workspace)
     if world.shares.take_rate_token(
         cell, limit_per_s=rate, now_ms=world.now_ms
     ):
--- a/src/godwittack/core/splitting.py
+++ b/src/godwittack/core/cell_limits.py
@@ -1,4 +1,4 @@
-"""Determines which daemons share the limits of a request's cells."""
+"""Determines the limits of a request's cells, and the daemons that share them."""
 
 from __future__ import annotations
 
--- a/src/godwittack/core/dispatching.py
+++ b/src/godwittack/core/dispatching.py
@@ -7,6 +7,7 @@
     closing,
     crashes,
     dispatch_pacing,
+    dispatch_records,
     effects,
     entities,
     kv_cache,
@@ -15,7 +16,6 @@
     refusing,
     resting,
     routing,
-    sending,
     work,
 )
 from godwittack.limit import fair
@@ -138,7 +138,7 @@
     rate_limits.record_dispatch(world, server)
     if server.ejected_until_ms:
         server.trial_attempt_id = attempt_id
-    keys = sending.cached_keys(request, server)
+    keys = dispatch_records.cached_keys(request, server)
     if request.work.route is None:
         for key in keys:
             server.cache.record(
@@ -147,9 +147,9 @@
                 max_keys=world.policy.max_residency,
             )
     elif keys:
-        sending.record_prompt(world, request, choice, keys)
+        dispatch_records.record_prompt(world, request, choice, keys)
     if request.work.route is not None:
-        sending.log_placement(world, request, choice, attempt_id)
+        dispatch_records.log_placement(world, request, choice, attempt_id)
     world.emit(
         effects.Dispatch(
             request_id=request.request_id,
@@ -165,7 +165,7 @@
             after=request.next_frame - 1 if request.work.route else 0,
             priority=routing.priority(world, request),
             workspace=request.workspace if request.work.route else "",
-            ends_at_ms=sending.ends_at_ms(request),
+            ends_at_ms=dispatch_records.ends_at_ms(request),
             cache_scope=kv_cache.scope(world, request, server),
             kv_fetch_from=choice.fetch_from,
             kv_save_to=kv_cache.plan_save(
--- a/src/godwittack/core/resuming.py
+++ b/src/godwittack/core/resuming.py
@@ -6,11 +6,11 @@
 
 from godwittack.core import (
     admission,
+    cell_limits,
     closing,
     dispatching,
     effects,
     entities,
-    splitting,
     work,
 )
 
@@ -45,7 +45,7 @@
         next_frame=message.after + 1,
     )
     world.requests[request.request_id] = request
-    request.cells = tuple(splitting.limits(world, request, workspace))
+    request.cells = tuple(cell_limits.limits(world, request, workspace))
     for cell in request.cells:
         world.shares.record_start(cell)
     server = world.servers.get(message.server_id)
--- a/tests/features/steps/fleet_steps.py
+++ b/tests/features/steps/fleet_steps.py
@@ -7,7 +7,7 @@
 
 from behave import given, then, when
 
-from godwittack.core import entities, inputs, server_inputs, splitting, work
+from godwittack.core import cell_limits, entities, inputs, server_inputs, work
 from godwittack.member import assignment
 from godwittack.store import protocol as platform
 from sim import fleet as fleets
@@ -260,7 +260,7 @@
     """Ends a fifth of a daemon's requests and begins what it may of others."""
     world = daemon.runtime.core.world
     use = world.shares.cells[CELL]
-    splitting.record_groups(world, _request())
+    cell_limits.record_groups(world, _request())
     for _ in range(use.in_flight // 5):
         world.shares.record_end(CELL)
     for _ in range(wanted - use.in_flight):
