--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -171,7 +171,7 @@
                     members.record_ack(
                         target.member_id, table_version=1, now_ms=now_ms
                     )
-                members.updates()
+                members.take_updates()
                 members.reachable_fraction(now_ms=now_ms)
             return members
 
--- a/src/godwittack/core/cell_limits.py
+++ b/src/godwittack/core/cell_limits.py
@@ -1,4 +1,4 @@
-"""Determines the limits of a request's cells, and the daemons that share them."""
+"""Determines the limits of a request's cells, and which daemons share them."""
 
 from __future__ import annotations
 
--- a/src/godwittack/daemon/gossip.py
+++ b/src/godwittack/daemon/gossip.py
@@ -274,7 +274,7 @@
                 codec.member_to_proto(member)
                 for member in (
                     *self._entries_not_alive(member_id, address),
-                    *self.members.updates(),
+                    *self.members.take_updates(),
                 )
             ],
             table_version=self._keeper.table.version,
--- a/src/godwittack/daemon/lead.py
+++ b/src/godwittack/daemon/lead.py
@@ -125,7 +125,11 @@
         # Selected before the store is called: the decision on loads is
         # outdated once it has replied, since servers that are not drained yet
         # receive work in the meantime.
-        ready = [name for name in decision.load if led.lease.may_send(name)]
+        ready = [
+            name
+            for name in decision.servers_to_load
+            if led.lease.may_send(name)
+        ]
         if not await self._record_orders(model, led, decision):
             return
         self._drain(led, model, decision.draining)
@@ -208,7 +212,9 @@
             name for name in decision.draining if not lease.is_recorded(name)
         }
         unrecorded.update(
-            name for name in decision.load if not lease.may_send(name)
+            name
+            for name in decision.servers_to_load
+            if not lease.may_send(name)
         )
         if not unrecorded:
             return True
--- a/src/godwittack/daemon/model_state.py
+++ b/src/godwittack/daemon/model_state.py
@@ -24,7 +24,7 @@
             server_id=row.server_id,
             incarnation=row.incarnation,
             weights_version=row.weights_version,
-            busy=row.running + row.waiting + len(row.in_flight),
+            unfinished_requests=row.running + row.waiting + len(row.in_flight),
             is_reachable=row.ejected_until_ms <= world.now_ms,
             outdated_for_ms=weights.outdated_for_ms(world, row),
             accepts_work=not weights.are_too_old(world, row),
--- a/src/godwittack/daemon/rollout_log.py
+++ b/src/godwittack/daemon/rollout_log.py
@@ -43,7 +43,7 @@
 class OrderMetrics(Protocol):
     """Records metrics of orders."""
 
-    def weights_order(self, *, outcome: str, after_ms: int) -> None:
+    def record_weights_order(self, *, outcome: str, after_ms: int) -> None:
         """Records the result of an order and the time from order to result."""
 
 
@@ -160,7 +160,9 @@
     def record_order(self, outcome: OrderOutcome, *, after_ms: int) -> None:
         """Records the result of an order and the time from order to result."""
         if self._metrics is not None:
-            self._metrics.weights_order(outcome=outcome, after_ms=after_ms)
+            self._metrics.record_weights_order(
+                outcome=outcome, after_ms=after_ms
+            )
 
 
 __all__ = [
--- a/src/godwittack/lead/rollout.py
+++ b/src/godwittack/lead/rollout.py
@@ -57,7 +57,7 @@
     """State of a replica as its server reports it.
 
     Attributes:
-        busy: Requests running or waiting there.
+        unfinished_requests: Requests running or waiting there.
         is_reachable: Whether it responds; one that does not can't load.
         incarnation: Changes when the server restarts.
         outdated_for_ms: Time since weights newer than its own were published;
@@ -68,7 +68,7 @@
 
     server_id: str
     weights_version: str
-    busy: int
+    unfinished_requests: int
     is_reachable: bool = True
     incarnation: str = ""
     outdated_for_ms: int = 0
@@ -104,12 +104,12 @@
 
     Attributes:
         draining: Servers that must get no new work until a later decision.
-        load: Servers to order to load the desired version.
+        servers_to_load: Servers to order to load the desired version.
         overview: Counts behind the decision, for the log.
     """
 
     draining: tuple[str, ...]
-    load: tuple[str, ...]
+    servers_to_load: tuple[str, ...]
     overview: Overview
 
 
@@ -237,7 +237,7 @@
                 self._refusals.get(r.server_id, _NO_REFUSALS).count,
                 r.accepts_work,
                 -r.outdated_for_ms,
-                r.busy,
+                r.unfinished_requests,
                 r.server_id,
             ),
         )
@@ -383,7 +383,9 @@
             return False
         order_after_ms = self.policy.order_after_ms
         waited_ms = now_ms - progress.since_ms
-        return replica.busy == 0 or 0 < order_after_ms <= waited_ms
+        return (
+            replica.unfinished_requests == 0 or 0 < order_after_ms <= waited_ms
+        )
 
     def _has_loaded(self, progress: _Progress, replica: Replica) -> bool:
         """Returns whether a server has the version it was ordered, or newer.
--- a/src/godwittack/metric/meters.py
+++ b/src/godwittack/metric/meters.py
@@ -78,7 +78,7 @@
             case "usage":
                 self._count_tokens(fields, labels)
 
-    def weights_order(self, *, outcome: str, after_ms: int) -> None:
+    def record_weights_order(self, *, outcome: str, after_ms: int) -> None:
         """Records the outcome and duration of an order to load weights."""
         self._weights_orders.record(after_ms, {"outcome": outcome})
 
--- a/tests/cases/fleet_bounds.py
+++ b/tests/cases/fleet_bounds.py
@@ -229,7 +229,7 @@
         for other in others:
             members.apply(other, now_ms=0)
         sent = collections.Counter()
-        while chosen := members.updates():
+        while chosen := members.take_updates():
             sent.update(member.member_id for member in chosen)
         assert set(sent.values()) == {expected_count}, (
             daemons,
--- a/tests/cases/instance_rows.py
+++ b/tests/cases/instance_rows.py
@@ -351,18 +351,18 @@
             server_id="e1",
             incarnation=incarnation.make_name("e1", started_at_ms),
             weights_version="1",
-            busy=3,
+            unfinished_requests=3,
         )
         return rollout_state.decide(
             desired_version="2", replicas=[replica], now_ms=now_ms
         )
 
     decide(1_000, 0)
-    assert decide(1_000, 150).load == ("e1",)
+    assert decide(1_000, 150).servers_to_load == ("e1",)
     rollout_state.record_order("e1", now_ms=150)
-    assert decide(1_000, 300).load == ()
+    assert decide(1_000, 300).servers_to_load == ()
     decide(2_000, 400)
-    assert decide(2_000, 550).load == ("e1",)
+    assert decide(2_000, 550).servers_to_load == ("e1",)
 
 
 def reports_and_events_carry_the_incarnation() -> None:
--- a/tests/cases/rollout_bounds.py
+++ b/tests/cases/rollout_bounds.py
@@ -243,7 +243,7 @@
             rollout.Replica(
                 server_id=f"r{n:03}",
                 weights_version="1",
-                busy=0,
+                unfinished_requests=0,
                 is_reachable=n >= unreachable,
             )
             for n in range(fleet)
--- a/tests/cases/rollouts.py
+++ b/tests/cases/rollouts.py
@@ -141,7 +141,12 @@
 
 def _replica(name: str, **fields) -> rollout.Replica:
     return rollout.Replica(
-        **{"server_id": name, "weights_version": "1", "busy": 1, **fields}
+        **{
+            "server_id": name,
+            "weights_version": "1",
+            "unfinished_requests": 1,
+            **fields,
+        }
     )
 
 
@@ -195,8 +200,12 @@
     """
     rollout_state = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
     replicas = [
-        _replica("a", weights_version="2", busy=0, outdated_for_ms=200),
-        _replica("b", weights_version="2", busy=0, outdated_for_ms=200),
+        _replica(
+            "a", weights_version="2", unfinished_requests=0, outdated_for_ms=200
+        ),
+        _replica(
+            "b", weights_version="2", unfinished_requests=0, outdated_for_ms=200
+        ),
         _replica("c", outdated_for_ms=3_000),
         _replica("d", outdated_for_ms=3_000),
     ]
@@ -235,7 +244,7 @@
     rollout_state.decide(desired_version="5", replicas=stale, now_ms=0)
     first = rollout_state.decide(
         desired_version="5", replicas=stale, now_ms=100
-    ).load
+    ).servers_to_load
     for name in first:
         rollout_state.record_order(name, now_ms=100)
         rollout_state.record_acceptance(name)
@@ -278,7 +287,7 @@
             now_ms=now_ms,
             is_under_load=True,
         )
-        for name in decided.load:
+        for name in decided.servers_to_load:
             rollout_state.record_order(name, now_ms=now_ms)
         return decided.overview.room
 
@@ -340,7 +349,7 @@
             desired_version="2", replicas=replicas, now_ms=now_ms
         )
         drained += len(decided.draining)
-        for name in decided.load:
+        for name in decided.servers_to_load:
             orders += 1
             rollout_state.record_order(name, now_ms=now_ms)
             rollout_state.record_refusal(name, now_ms=now_ms)
@@ -361,7 +370,7 @@
     rollout_state.decide(desired_version="2", replicas=replicas, now_ms=0)
     for name in rollout_state.decide(
         desired_version="2", replicas=replicas, now_ms=100
-    ).load:
+    ).servers_to_load:
         rollout_state.record_order(name, now_ms=100)
         rollout_state.record_refusal(name, now_ms=100)
     after = rollout_state.decide(
--- a/tests/cases/weights.py
+++ b/tests/cases/weights.py
@@ -153,13 +153,15 @@
     """
     rolling = rollout.Rollout(rollout.RolloutPolicy(order_after_ms=100))
     behind = [
-        rollout.Replica(server_id=name, weights_version="1", busy=3)
+        rollout.Replica(
+            server_id=name, weights_version="1", unfinished_requests=3
+        )
         for name in ("a", "b", "c", "d")
     ]
     rolling.decide(desired_version="2", replicas=behind, now_ms=0)
     ordered = rolling.decide(
         desired_version="2", replicas=behind, now_ms=100
-    ).load
+    ).servers_to_load
     assert ordered == ("a", "b"), ordered
     for name in ordered:
         rolling.record_order(name, now_ms=100)
@@ -202,10 +204,12 @@
             rollout.Replica(
                 server_id="e1",
                 weights_version="1",
-                busy=0,
+                unfinished_requests=0,
                 is_reachable=reachable,
             ),
-            rollout.Replica(server_id="e2", weights_version="1", busy=1),
+            rollout.Replica(
+                server_id="e2", weights_version="1", unfinished_requests=1
+            ),
         ]
         return planned.decide(
             desired_version="2",
@@ -214,11 +218,11 @@
             is_under_load=True,
         )
 
-    assert decide(0).load == ("e1",)
+    assert decide(0).servers_to_load == ("e1",)
     planned.record_order("e1", now_ms=0)
     assert decide(500).draining == ("e1",)
     assert decide(600, reachable=False).draining == ("e2",)
-    assert decide(750, reachable=False).load == ("e2",)
+    assert decide(750, reachable=False).servers_to_load == ("e2",)
 
 
 class _Running:
--- a/tests/sim/leads.py
+++ b/tests/sim/leads.py
@@ -238,7 +238,7 @@
                 server_id=r.name,
                 incarnation=str(r.born),
                 weights_version=r.version,
-                busy=r.busy + r.loading,
+                unfinished_requests=r.busy + r.loading,
             )
             for r in world.replicas
         ]
@@ -248,12 +248,12 @@
             now_ms=world.clock.now_ms(),
             held_by_others=self.lease.held_by_others(),
         )
-        ready = [n for n in decision.load if self.lease.may_send(n)]
+        ready = [n for n in decision.servers_to_load if self.lease.may_send(n)]
         unrecorded = {
             n for n in decision.draining if not self.lease.is_recorded(n)
         }
         unrecorded.update(
-            n for n in decision.load if not self.lease.may_send(n)
+            n for n in decision.servers_to_load if not self.lease.may_send(n)
         )
         if unrecorded and not await self.lease.record(unrecorded):
             if not self.lease.is_own:
