--- a/src/godwittack/member/view.py
+++ b/src/godwittack/member/view.py
@@ -199,7 +199,7 @@
         return failing[: self.policy.fanout]
 
     def take_updates(self) -> list[Member]:
-        """Returns and counts the states to send, the least transmitted first."""
+        """Returns and counts the states to send, least transmitted first."""
         rounds = RETRANSMIT_FACTOR * math.ceil(math.log2(len(self.rows) + 2))
         limit = max(MIN_RETRANSMITS, rounds)
         fresh = [r for r in self.rows.values() if r.transmissions < limit]
