--- a/src/godwittack/core/retries.py
+++ b/src/godwittack/core/retries.py
@@ -103,24 +103,24 @@
 
 
 def _shared_budget(world: entities.World, target: str) -> budget.SharedBudget:
-    """Returns this daemon's part of the retry budget of `target`.
+    """Returns this daemon's share of the retry budget of `target`.
 
     It is divided by the highest number of daemons known so far: while their
-    views of the membership differ, parts computed from the live daemons alone
+    views of the membership differ, shares computed from the live daemons alone
     could add up to more than the whole budget.
     """
     policy = world.policy
-    part = policy.retry_burst / world.max_expected_daemons
+    share = policy.retry_burst / world.max_expected_daemons
     shared = world.target_budgets.get(target)
     if shared is None:
         shared = world.target_budgets[target] = budget.SharedBudget(
             ratio=policy.retry_ratio,
             saved_ratio=policy.retry_saved_ratio,
             window_ms=policy.retry_window_ms,
-            share=part,
+            share=share,
             granted_at_ms=world.started_at_ms + policy.retry_window_ms,
         )
-    shared.resize(part)
+    shared.resize(share)
     return shared
 
 
--- a/src/godwittack/lead/rollout.py
+++ b/src/godwittack/lead/rollout.py
@@ -57,7 +57,7 @@
     """State of a replica as its server reports it.
 
     Attributes:
-        busy: Requests running or waiting there.
+        unfinished_requests: Requests running or waiting there.
         is_reachable: Whether it responds; one that does not can't load.
         incarnation: Changes when the server restarts.
         outdated_for_ms: Time since weights newer than its own were published;
@@ -68,7 +68,7 @@
 
     server_id: str
     weights_version: str
-    busy: int
+    unfinished_requests: int
     is_reachable: bool = True
     incarnation: str = ""
     outdated_for_ms: int = 0
@@ -104,12 +104,12 @@
 
     Attributes:
         draining: Servers that must get no new work until a later decision.
-        load: Servers to order to load the desired version.
+        servers_to_load: Servers to order to load the desired version.
         overview: Counts behind the decision, for the log.
     """
 
     draining: tuple[str, ...]
-    load: tuple[str, ...]
+    servers_to_load: tuple[str, ...]
     overview: Overview
 
 
@@ -179,8 +179,12 @@
         for server_id in list(self._progress):
             self._remove_if_finished(server_id, known.get(server_id), now_ms)
         behind = self._behind(replicas, desired_version)
-        held_behind = [r for r in behind if r.server_id in held_by_others]
-        held_accepting = sum(replica.accepts_work for replica in held_behind)
+        behind_held_by_others = [
+            r for r in behind if r.server_id in held_by_others
+        ]
+        accepting_held_by_others = sum(
+            replica.accepts_work for replica in behind_held_by_others
+        )
         remaining = self._remaining(replicas, behind, now_ms)
         room = pacing.max_loading(remaining)
         if is_under_load:
@@ -188,8 +192,9 @@
         self._start_draining(
             [r for r in behind if r.server_id not in held_by_others],
             now_ms=now_ms,
-            room=room - held_accepting,
-            max_total=pacing.max_store_loads(len(replicas)) - len(held_behind),
+            room=room - accepting_held_by_others,
+            max_total=pacing.max_store_loads(len(replicas))
+            - len(behind_held_by_others),
         )
         load = tuple(
             server_id
@@ -206,7 +211,7 @@
             ),
             draining=steps.count(Step.DRAINING),
             loading=steps.count(Step.LOADING),
-            held=len(held_behind),
+            held=len(behind_held_by_others),
             room=room,
             load_ms=round(remaining.load_ms),
         )
@@ -232,7 +237,7 @@
                 self._refusals.get(r.server_id, _NO_REFUSALS).count,
                 r.accepts_work,
                 -r.outdated_for_ms,
-                r.busy,
+                r.unfinished_requests,
                 r.server_id,
             ),
         )
@@ -378,7 +383,9 @@
             return False
         order_after_ms = self.policy.order_after_ms
         waited_ms = now_ms - progress.since_ms
-        return replica.busy == 0 or 0 < order_after_ms <= waited_ms
+        return (
+            replica.unfinished_requests == 0 or 0 < order_after_ms <= waited_ms
+        )
 
     def _has_loaded(self, progress: _Progress, replica: Replica) -> bool:
         """Returns whether a server has the version it was ordered, or newer.
