--- a/src/godwittack/address/__init__.py
+++ b/src/godwittack/address/__init__.py
@@ -13,7 +13,7 @@
     """Returns an address's IP and port.
 
     Raises:
-        ValueError: There is no port.
+        ValueError: There is no numeric port.
     """
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
@@ -28,7 +28,7 @@
     host, port = split(address)
     ipaddress.ip_address(host)
     if not 0 < port <= MAX_PORT:
-        raise ValueError("no such port")
+        raise ValueError(f"port {port} is not between 1 and {MAX_PORT}")
     return address
 
 
--- a/src/godwittack/backend/advertised_limits.py
+++ b/src/godwittack/backend/advertised_limits.py
@@ -21,7 +21,7 @@
     Attributes:
         on_limit: Called with each advertised limit, and when a server no
             longer advertises one.
-        has_limit: Whether a limit of a server is known.
+        has_limit: Returns whether a limit of a server is known.
     """
 
     def __init__(self, *, clock: Clock) -> None:
--- a/src/godwittack/backend/routed.py
+++ b/src/godwittack/backend/routed.py
@@ -117,7 +117,7 @@
 
     Attributes:
         signal_reporter: Passes the signals in answers to the core.
-        may_send: Checked directly before a request is written; False fails
+        may_send: Called directly before a request is written; False fails
             the attempt as not sent.
     """
 
--- a/src/godwittack/daemon/change.py
+++ b/src/godwittack/daemon/change.py
@@ -36,7 +36,7 @@
         confirmed: Daemons that have the change.
         lapsed: Daemons that have been silent for so long that their serving
             leases on an older table have expired.
-        missing: Daemons that are in neither of these states for certain.
+        missing: Daemons for which neither of these is certain.
     """
 
     version: int
--- a/src/godwittack/daemon/demand.py
+++ b/src/godwittack/daemon/demand.py
@@ -28,7 +28,7 @@
     """Returns the demands to send to each member, by its id.
 
     In a small fleet every member receives all demands. In a large one, a
-    workspace's requests for a model go to the few daemons that `where`
+    workspace's requests for a model go to the few daemons that `/v1/where`
     returns, and those split its limits. A daemon outside this group that
     receives such requests all the same also reports its demand to the group,
     and the members that have its report send theirs back.
@@ -49,7 +49,7 @@
     """Returns a rate as it is published.
 
     Limits are split by exact rates, or the shares would not add up. A model's
-    rate only tells a daemon how much the others send; published exactly, it
+    rate only informs a daemon how much the others send; published exactly, it
     would be an update to every peer twice a second.
     """
     if (
--- a/src/godwittack/daemon/feed_follower.py
+++ b/src/godwittack/daemon/feed_follower.py
@@ -25,7 +25,7 @@
 # A feed may become stale without an error, so readers also take a snapshot.
 SNAPSHOT_INTERVAL_MS = 15_000
 # A daemon that is not a reader calls the store itself once the last
-# confirmation is older: half of the time for which it may serve keys by one.
+# confirmation is older: half of the time for which it may serve keys after one.
 MAX_CONFIRMATION_AGE_MS = 2_000
 # Propagation time of a change; a version that a peer has and this daemon still
 # lacks after it is read from the store.
@@ -34,7 +34,7 @@
 # How long the store may hold a call of a daemon that is not a reader, which
 # needs the current state without waiting for changes.
 NON_READER_WAIT_MS = 1
-# Pause between two such calls, as before the operators' first table.
+# Pause between two such calls, for example before the operators' first table.
 NON_READER_INTERVAL_MS = 500
 
 Rows = dict[str, "protocol.ChangedRow"]
@@ -48,6 +48,7 @@
         version: Newest version of a row, including removed rows.
         failing_since_ms: Since when calls to the store fail; -1 while they
             succeed.
+        recovered_at_ms: When calls last succeeded again after a failure.
     """
 
     def __init__(
--- a/src/godwittack/daemon/gossip.py
+++ b/src/godwittack/daemon/gossip.py
@@ -126,8 +126,9 @@
     def announce(self) -> None:
         """Announces this daemon to the others, once it listens to callers.
 
-        If `where` returned it before it listens, it would refuse connections.
-        It probes at once, since no other daemon counts it as a member yet.
+        If callers were sent to it before it listens, it would refuse their
+        connections. It probes at once, since no other daemon counts it as a
+        member yet.
         """
         self._announced = True
         self.tick()
--- a/src/godwittack/daemon/instance_rows.py
+++ b/src/godwittack/daemon/instance_rows.py
@@ -23,8 +23,8 @@
         [protocol.ChangedRow], Result[protocol.Instance, str]
     ]
 
-# Refused rows that are logged: a writer that floods the list must not flood
-# the log as well.
+# Refused rows that are logged at a time: a writer that floods the list must not
+# flood the log as well.
 MAX_LOGGED_REFUSALS = 64
 
 
@@ -51,7 +51,7 @@
 
     Args:
         rows: The rows by server id.
-        decode: Decodes instance row.
+        decode: Decodes one row.
         failure_domains: The valid failure domains; empty to accept any.
     """
     parsed = ParsedRows({}, {})
@@ -77,7 +77,7 @@
 
     The majority decides: a row by another writer must neither be accepted
     among servers that all report their start time, nor cause the rows of
-    servers that never report instance to be refused.
+    servers that never report one to be refused.
     """
     without_start = [
         key
--- a/src/godwittack/daemon/lead.py
+++ b/src/godwittack/daemon/lead.py
@@ -30,12 +30,13 @@
     from godwittack.store import protocol as platform
 
 
-# Between two notices of one drain; each expires after
+# Interval between two notices of one drain; each expires after
 # `peer_updates.DRAIN_TTL_MS`.
 DRAIN_REPEAT_MS = 1_000
 # Pause after a call to the store that failed or recorded nothing.
 STORE_RETRY_MS = 300
-# Between two polls of a server that loads weights; a load takes 0.5 to 3.2 s.
+# Interval between two polls of a server that loads weights, which takes 0.5 to
+# 3.2 s.
 LOAD_POLL_MS = 120
 
 
--- a/src/godwittack/daemon/peer_updates.py
+++ b/src/godwittack/daemon/peer_updates.py
@@ -136,7 +136,7 @@
             del outbox.pending.digests[: -pending.MAX_DIGESTS]
 
     def publish_leaving(self, server_id: str, incarnation: str = "") -> None:
-        """Tells every daemon once that an incarnation of a server leaves."""
+        """Publishes to every daemon, once, that a server incarnation leaves."""
         if self._known_leaving.get(server_id) == incarnation:
             return
         self._known_leaving[server_id] = incarnation
@@ -149,7 +149,7 @@
         self._known_leaving.pop(server_id, None)
 
     def publish_suspected(self, suspected: effects.Doubt) -> None:
-        """Has the daemons that serve a target probe a suspected server."""
+        """Makes the daemons that serve a target probe a suspected server."""
         for outbox in self._outboxes_for(self.audience(suspected.target)):
             outbox.pending.suspected.add(suspected.server_id)
             outbox.send_pending()
--- a/src/godwittack/daemon/platform_daemon.py
+++ b/src/godwittack/daemon/platform_daemon.py
@@ -49,8 +49,9 @@
     from godwittack.core import effects
     from godwittack.store import protocol as stores
 
-# Subtracted from the bound on keys: the store's feed may be silent for a second
-# while changes are made, and a request takes a while to reach its server.
+# Subtracted from the time within which a revoked key must be refused: the
+# store's feed may be silent for a second while changes are made, and a request
+# takes a while to reach its server.
 KEY_BOUND_MARGIN_MS = 1_500
 # Subtracted from the time until SIGKILL, for the last answers and the shutdown.
 STOP_MARGIN_MS = 1_200
@@ -266,7 +267,7 @@
             OSError: An address is in use.
         """
         stop = base.install_stop_handler()
-        # SIGHUP asks for a reload, but the settings that may change concern
+        # SIGHUP requests a reload, but the settings that may change concern
         # addresses, which only a restart can apply.
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGHUP, _log_reload)
@@ -450,7 +451,7 @@
 
 
 def _log_reload() -> None:
-    logging.info("event=reload detail=nothing_to_take_up")
+    logging.info("event=reload detail=no_reloadable_settings")
 
 
 __all__ = ["PlatformDaemon", "serve"]
--- a/src/godwittack/daemon/rollout_log.py
+++ b/src/godwittack/daemon/rollout_log.py
@@ -18,8 +18,9 @@
     from godwittack.clock import Clock
     from godwittack.lead import rollout
 
-# Between two lines on one roll-out, unless the version, the load state or the
-# number of servers that may load at once changes; there are ten steps a second.
+# Interval between two lines on one roll-out, unless the version, the load state
+# or the number of servers that may load at once changes; there are ten steps a
+# second.
 LOG_INTERVAL_MS = 500
 
 
@@ -95,7 +96,7 @@
     def log_step(
         self, model: str, pace: PaceInputs, overview: rollout.Overview
     ) -> None:
-        """Logs what a step was decided from, unless it was logged just now."""
+        """Logs the inputs of a step, unless the same were logged just now."""
         now_ms = self._clock.now_ms()
         state = (pace.desired_version, pace.is_under_load, overview.room)
         last = self._last_lines.get(model)
--- a/src/godwittack/daemon/server_watcher.py
+++ b/src/godwittack/daemon/server_watcher.py
@@ -35,7 +35,7 @@
 
 
 class Streams:
-    """Event streams from the I/O shells to the core and to other daemons."""
+    """Event streams from network clients to the core and to other daemons."""
 
     def __init__(self) -> None:
         """Starts without subscribers."""
--- a/src/godwittack/entry/connection_timeouts.py
+++ b/src/godwittack/entry/connection_timeouts.py
@@ -22,8 +22,8 @@
     Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 
-# Event loop rounds between accepting a connection and reading data that the
-# caller sent immediately.
+# Iterations of the event loop between accepting a connection and reading data
+# that the caller sent immediately.
 ACCEPT_TO_READ_ROUNDS = 2
 
 
