--- a/src/godwittack/backend/routed.py
+++ b/src/godwittack/backend/routed.py
@@ -293,16 +293,19 @@
             incarnation=dispatch.incarnation,
             request_id=dispatch.request_id,
         )
-        declined = self._format.decline_cause(reply, dispatch.server_id)
+        decline_cause = self._format.decline_cause(reply, dispatch.server_id)
         self._report_signals(
-            origin, reply, declined=declined, may_lift_limit=declined is None
+            origin,
+            reply,
+            decline_cause=decline_cause,
+            may_lift_limit=decline_cause is None,
         )
-        if declined is not None:
+        if decline_cause is not None:
             await connection.read_body(reply)
             self._pool.release(dispatch.server_id, connection, reply)
             sink.failed(
                 inputs.FailurePhase.DECLINED,
-                declined,
+                decline_cause,
                 f"status {reply.status}",
             )
             return
@@ -334,7 +337,7 @@
         origin: signals.SignalOrigin,
         reply: connections.Reply,
         *,
-        declined: inputs.FailureCause | None,
+        decline_cause: inputs.FailureCause | None,
         may_lift_limit: bool = False,
     ) -> signals.ServerSignals:
         """Passes the signals of an answer to the core, and returns them.
@@ -342,7 +345,7 @@
         An answer of another process that now has the address is ignored: its
         signals don't apply to the intended server.
         """
-        if declined is inputs.FailureCause.OTHER_SERVER:
+        if decline_cause is inputs.FailureCause.OTHER_SERVER:
             return signals.ServerSignals()
         server_signals = self._format.read_signals(reply)
         self.signal_reporter.report(
@@ -393,7 +396,7 @@
         server_signals = self._report_signals(
             signals.SignalOrigin(server_id=server_id),
             reply,
-            declined=self._format.decline_cause(reply, server_id),
+            decline_cause=self._format.decline_cause(reply, server_id),
         )
         if reply.status not in (200, 202):
             return _error(
--- a/src/godwittack/daemon/base.py
+++ b/src/godwittack/daemon/base.py
@@ -102,7 +102,7 @@
         *,
         daemon_runtime: runtime.Runtime,
         keeper: tables.TableKeeper,
-        news: peer_updates.PeerUpdates,
+        updates: peer_updates.PeerUpdates,
     ) -> gossip.Gossiper:
         """Returns a gossiper, which probes peers and spreads membership."""
         return gossip.Gossiper(
@@ -111,7 +111,7 @@
             keeper=keeper,
             seed_client=self.peers,
             member_client=self.probes,
-            updates=news,
+            updates=updates,
             counts=self.counts,
             seeds=self.seeds,
         )
--- a/src/godwittack/daemon/crash_rows.py
+++ b/src/godwittack/daemon/crash_rows.py
@@ -52,9 +52,9 @@
     request, so that a daemon that observes no crash makes no call.
     """
 
-    def __init__(self, *, service: Store, runtime: runtimes.Runtime) -> None:
-        """Reads from and writes to `service`."""
-        self._service = service
+    def __init__(self, *, store: Store, runtime: runtimes.Runtime) -> None:
+        """Reads from and writes to `store`."""
+        self._store = store
         self._runtime = runtime
         self._has_read = False
         self._written_counts: dict[str, int] = {}
@@ -108,7 +108,7 @@
             protocol.RowId(TABLE, f"{slot:03d}"), row.model_dump_json()
         )
         for _ in range(MAX_TRIES):
-            result = await self._service.transact((), (write,))
+            result = await self._store.transact((), (write,))
             if not isinstance(result, Err):
                 return
             logging.info(
@@ -120,7 +120,7 @@
 
     async def _read(self) -> None:
         for _ in range(MAX_TRIES):
-            result = await self._service.page(TABLE, from_key="")
+            result = await self._store.page(TABLE, from_key="")
             if not isinstance(result, Err):
                 self._apply_rows(result.ok_value.rows)
                 return
--- a/src/godwittack/daemon/dispatch_announcer.py
+++ b/src/godwittack/daemon/dispatch_announcer.py
@@ -35,13 +35,13 @@
         self,
         *,
         members: view.View,
-        news: peer_updates.PeerUpdates,
+        updates: peer_updates.PeerUpdates,
         runtime: runtimes.Runtime,
         datagrams: DatagramSender,
     ) -> None:
-        """Announces to the members that `news` returns as the audience."""
+        """Announces to the members that `updates` returns as the audience."""
         self._members = members
-        self._news = news
+        self._updates = updates
         self._runtime = runtime
         self._datagrams = datagrams
 
@@ -61,7 +61,7 @@
         self._datagrams.broadcast(
             (
                 member.peer_address
-                for member in self._news.audience(announcement.target)
+                for member in self._updates.audience(announcement.target)
                 if member.member_id != own
             ),
             message,
--- a/src/godwittack/daemon/gossip.py
+++ b/src/godwittack/daemon/gossip.py
@@ -170,15 +170,15 @@
         self.members.expected = len(own | addresses)
         self._seeds = tuple(sorted(own | addresses))
 
-    def handle_exchange(self, told: peer_pb2.Envelope) -> peer_pb2.Envelope:
+    def handle_exchange(self, message: peer_pb2.Envelope) -> peer_pb2.Envelope:
         """Applies a probe and returns the answer."""
-        is_known = self._complete_sender(told)
-        sender = told.sender.member_id
+        is_known = self._complete_sender(message)
+        sender = message.sender.member_id
         is_new = sender not in self.members.rows
-        self._apply(told)
-        answer = self._envelope(sender, told.sender.peer_address)
+        self._apply(message)
+        answer = self._envelope(sender, message.sender.peer_address)
         answer.who_is_it = not is_known
-        if told.who_is_it and self._announced:
+        if message.who_is_it and self._announced:
             answer.sender.CopyFrom(codec.member_to_proto(self.members.me))
         if is_new:
             # A new member must know of dead members as well: started in a
@@ -199,10 +199,10 @@
         self._updates.apply(sender_id, news, reader)
 
     def handle_table_request(
-        self, asked: peer_pb2.TableRequest
+        self, request: peer_pb2.TableRequest
     ) -> peer_pb2.TableReply:
         """Returns the table if it is newer than the requested version."""
-        return self._table_writer.reply(self._keeper.table, asked)
+        return self._table_writer.reply(self._keeper.table, request)
 
     def handle_report_request(self) -> peer_pb2.ReportReply:
         """Returns this daemon's counts."""
@@ -292,14 +292,14 @@
         return [codec.belief_to_proto(belief) for belief in beliefs if belief]
 
     def _apply_beliefs(
-        self, answer: peer_pb2.Envelope, asked_at_ms: int
+        self, answer: peer_pb2.Envelope, probed_at_ms: int
     ) -> None:
         now_ms = self._runtime.clock.now_ms()
         for message in answer.beliefs:
             belief = codec.belief_from_proto(message)
             if belief is not None and belief.topic in self.freshness:
                 self.freshness[belief.topic].apply_belief(
-                    belief, asked_at_ms=asked_at_ms, now_ms=now_ms
+                    belief, asked_at_ms=probed_at_ms, now_ms=now_ms
                 )
 
     def _sender(self, member_id: str) -> peer_pb2.Member:
--- a/src/godwittack/daemon/instance_rows.py
+++ b/src/godwittack/daemon/instance_rows.py
@@ -125,13 +125,13 @@
     ) -> None:
         """Logs the differences from the rows refused before."""
         now_refused = dict(list(refused.items())[:MAX_LOGGED_REFUSALS])
-        for key, why in now_refused.items():
-            if self._refused.get(key) != why:
+        for key, reason in now_refused.items():
+            if self._refused.get(key) != reason:
                 logging.warning(
                     "event=entry_refused server=%r version=%d detail=%r",
                     key,
                     rows[key].version,
-                    why,
+                    reason,
                 )
         for key in self._refused.keys() - refused.keys():
             logging.info("event=entry_accepted server=%r", key)
--- a/src/godwittack/daemon/instances.py
+++ b/src/godwittack/daemon/instances.py
@@ -38,14 +38,14 @@
             instance_rows.ParsedRows,
         ],
         updates: peer_updates.PeerUpdates,
-        table_freshness: freshness.Freshness,
+        list_freshness: freshness.Freshness,
         is_reader: Callable[[], bool],
     ) -> None:
         """Starts without servers."""
         self._core = core
         self._decode = decode
         self._updates = updates
-        self._freshness = table_freshness
+        self._freshness = list_freshness
         self._is_reader = is_reader
         self._instances: dict[str, protocol.Instance] = {}
         self._missing: set[str] = set()
--- a/src/godwittack/daemon/lead.py
+++ b/src/godwittack/daemon/lead.py
@@ -169,13 +169,13 @@
         return takeover.rank(own, led.lease.holder, ranked)
 
     def _log_wait(
-        self, model: str, led: _LedModel, why: rollout_log.WaitReason
+        self, model: str, led: _LedModel, reason: rollout_log.WaitReason
     ) -> None:
-        if self._log.last_wait(model) is why:
+        if self._log.last_wait(model) is reason:
             return
         self._log.log_wait(
             model,
-            why,
+            reason,
             daemons_before=self._daemons_before(model, led),
             holder=led.lease.holder,
             idle_ms=led.lease.idle_ms(),
--- a/src/godwittack/daemon/listing.py
+++ b/src/godwittack/daemon/listing.py
@@ -45,7 +45,7 @@
         members: view.View,
         updates: peer_updates.PeerUpdates,
         streams: server_watcher.Streams,
-        on_entries: Callable[[frozenset[str]], None],
+        on_daemons_listed: Callable[[frozenset[str]], None],
     ) -> None:
         """Starts with an empty list.
 
@@ -55,14 +55,14 @@
             members: This daemon's view of all daemons.
             updates: Publishes changes to peers and receives theirs.
             streams: Receive changes of backend servers.
-            on_entries: Called with the addresses of the listed daemons.
+            on_daemons_listed: Called with the addresses of the listed daemons.
         """
         self._instances = instances
         self._core = core
         self._members = members
         self._updates = updates
         self._streams = streams
-        self._on_entries = on_entries
+        self._on_daemons_listed = on_daemons_listed
         self._instances_by_name: dict[str, platform.Instance] = {}
         self._hash = 0
         self._read_at_ms = -MAX_READER_SILENCE_MS
@@ -164,7 +164,7 @@
             self._report_to_core(name, instance)
         self._instances_by_name = listed
         self._hash = fingerprint(listed)
-        self._on_entries(
+        self._on_daemons_listed(
             frozenset(
                 instance.address
                 for instance in listed.values()
--- a/src/godwittack/daemon/platform_daemon.py
+++ b/src/godwittack/daemon/platform_daemon.py
@@ -157,7 +157,7 @@
                 f"godwittack_is_{role.value}",
                 functools.partial(self._serving.has_role, role),
             )
-        self._news = peer_updates.PeerUpdates(
+        self._peer_updates = peer_updates.PeerUpdates(
             members=members,
             runtime=self.runtime,
             client=self._peers,
@@ -165,20 +165,22 @@
         )
         announcer = dispatch_announcer.Announcer(
             members=members,
-            news=self._news,
+            updates=self._peer_updates,
             runtime=self.runtime,
             datagrams=self._probes,
         )
         self.runtime.on_announce = announcer.announce
         self._probes.on_news = announcer.apply
-        self.runtime.on_suspicion = self._news.publish_suspected
+        self.runtime.on_suspicion = self._peer_updates.publish_suspected
         self._crash_rows = crash_rows.CrashRows(
-            service=self._store, runtime=self.runtime
+            store=self._store, runtime=self.runtime
         )
         self.runtime.on_crashes = self._publish_crashes
-        self.runtime.on_rate_limit = self._news.publish_rate_limit
+        self.runtime.on_rate_limit = self._peer_updates.publish_rate_limit
         self._gossiper = components.build_gossiper(
-            daemon_runtime=self.runtime, keeper=self._keeper, news=self._news
+            daemon_runtime=self.runtime,
+            keeper=self._keeper,
+            updates=self._peer_updates,
         )
         self._gossiper.serving_daemons = self._serving_daemons
         self._gossiper.freshness = {
@@ -189,26 +191,26 @@
         self._instance_list = instances.InstanceFollower(
             core=self.runtime,
             decode=self._decode_instances,
-            updates=self._news,
-            table_freshness=self._servers_freshness,
+            updates=self._peer_updates,
+            list_freshness=self._servers_freshness,
             is_reader=self._is_reader,
         )
         self._operator_rows = self._build_follower(
             names.OPERATOR_TABLE,
             on_rows=self._apply_operator_rows,
-            feed_freshness=self._keeper.table_freshness,
+            table_freshness=self._keeper.table_freshness,
         )
         self._server_rows = self._build_follower(
             names.SERVERS_TABLE,
             on_rows=self._instance_list.apply_rows,
-            feed_freshness=self._servers_freshness,
+            table_freshness=self._servers_freshness,
         )
         self._instance_list.follower = self._server_rows
         self._watcher = server_watcher.ServerWatcher(
             core=self.runtime,
             client=backend,
             members=members,
-            updates=self._news,
+            updates=self._peer_updates,
             streams=self._streams,
             load_poll_ms=settings.load_poll_ms,
             followed=server_watcher.FollowedData.ENGINE_LOADS
@@ -220,7 +222,7 @@
             client=backend,
             lease_store=self._store,
             members=members,
-            updates=self._news,
+            updates=self._peer_updates,
             policy=leases.LeasePolicy(lease_ms=settings.lease_ms),
             rollout_policy=rollout.RolloutPolicy(
                 order_after_ms=ORDER_DELAY_MS,
@@ -234,7 +236,7 @@
             audience=self._serving,
         )
         self._peer_server = components.build_peer_server(self._gossiper)
-        self._caller_face = forward.ForwardHandler(
+        self._forward_handler = forward.ForwardHandler(
             runtime=self.runtime,
             settings=settings,
             caller_format=callers.CallerFormat(),
@@ -253,7 +255,7 @@
         self._listeners = listeners.Listeners(clock, delay)
 
     def _publish_crashes(self, update: effects.TellCrashes) -> None:
-        self._news.publish_crashes(update)
+        self._peer_updates.publish_crashes(update)
         self._crash_rows.record(update)
 
     def _serving_daemons(self) -> tuple[str, ...]:
@@ -274,9 +276,9 @@
         settings = self._settings
         await self._peer_server.start(settings.peer_address)
         await self._probes.start(settings.peer_address, handler=self._gossiper)
-        self._streams.connect(core=self.runtime, updates=self._news)
+        self._streams.connect(core=self.runtime, updates=self._peer_updates)
         await self._listeners.listen(
-            settings.http_address, self._caller_face.handle
+            settings.http_address, self._forward_handler.handle
         )
         await self._listeners.listen(
             settings.ready_address, self._directory.ready
@@ -308,7 +310,7 @@
             self._gossiper.gossip_forever(gossip_ms=settings.gossip_ms)
         )
         self._background_tasks.start(
-            self._news.flush_forever(min_interval_ms=settings.news_ms)
+            self._peer_updates.flush_forever(min_interval_ms=settings.news_ms)
         )
         self._background_tasks.start(self._operator_rows.follow_forever())
         self._background_tasks.start(self._server_rows.follow_forever())
@@ -339,7 +341,7 @@
         grace_ms = round(settings.stop_grace_s * 1000)
         stop_deadline_ms = started_ms + grace_ms - STOP_MARGIN_MS
         logging.info("event=stopping in_flight=%d", self._in_flight())
-        self._caller_face.stopping = self._directory.stopping = True
+        self._forward_handler.stopping = self._directory.stopping = True
         await self._gossiper.stop()
         address_expires_ms = (
             started_ms
@@ -360,7 +362,7 @@
     async def _close(self) -> None:
         await self._background_tasks.cancel()
         self._watcher.close()
-        self._news.close()
+        self._peer_updates.close()
         self._crash_rows.close()
         await self.runtime.close()
         self._pool.close()
@@ -379,7 +381,7 @@
         name: str,
         *,
         on_rows: Callable[[Mapping[str, stores.ChangedRow]], None],
-        feed_freshness: freshness.Freshness,
+        table_freshness: freshness.Freshness,
     ) -> feed_follower.FeedFollower:
         return feed_follower.FeedFollower(
             feed=self._store,
@@ -388,8 +390,8 @@
             rng=self._rng,
             wait_ms=self._settings.feed_wait_ms,
             on_rows=on_rows,
-            on_confirmed=feed_freshness.record_confirmation,
-            table_freshness=feed_freshness,
+            on_confirmed=table_freshness.record_confirmation,
+            table_freshness=table_freshness,
             is_reader=self._is_reader,
         )
 
--- a/src/godwittack/daemon/rollout_log.py
+++ b/src/godwittack/daemon/rollout_log.py
@@ -133,7 +133,7 @@
     def log_wait(
         self,
         model: str,
-        why: WaitReason,
+        reason: WaitReason,
         *,
         daemons_before: int,
         holder: str,
@@ -143,16 +143,16 @@
 
         Args:
             model: The model with servers that need weights.
-            why: The reason; `NONE` once the daemon may order again.
+            reason: The reason; `NONE` once the daemon may order again.
             daemons_before: Daemons that rank before this one.
             holder: Daemon that ordered last.
             idle_ms: How long ago the last order was recorded.
         """
-        self._last_waits[model] = why
+        self._last_waits[model] = reason
         logging.info(
             "event=rollout_waits model=%s why=%s place=%d holder=%s idle_ms=%d",
             model,
-            why,
+            reason,
             daemons_before,
             holder,
             idle_ms,
--- a/src/godwittack/daemon/serve.py
+++ b/src/godwittack/daemon/serve.py
@@ -98,21 +98,23 @@
             ),
             rng=rng,
         )
-        self._news = peer_updates.PeerUpdates(
+        self._peer_updates = peer_updates.PeerUpdates(
             members=members, runtime=self.runtime, client=self._peers
         )
-        self.runtime.on_crashes = self._news.publish_crashes
+        self.runtime.on_crashes = self._peer_updates.publish_crashes
         self.gossiper = components.build_gossiper(
-            daemon_runtime=self.runtime, keeper=self._keeper, news=self._news
+            daemon_runtime=self.runtime,
+            keeper=self._keeper,
+            updates=self._peer_updates,
         )
         self._streams = server_watcher.Streams()
         self._list_watcher = listing.ListWatcher(
             instances=platform,
             core=self.runtime,
             members=members,
-            updates=self._news,
+            updates=self._peer_updates,
             streams=self._streams,
-            on_entries=self.gossiper.record_listed_daemons,
+            on_daemons_listed=self.gossiper.record_listed_daemons,
         )
         self.gossiper.list_hash = self._list_watcher.list_hash
         self.gossiper.on_list_hash = self._list_watcher.record_list_hash
@@ -120,7 +122,7 @@
             core=self.runtime,
             client=backend,
             members=members,
-            updates=self._news,
+            updates=self._peer_updates,
             streams=self._streams,
             load_poll_ms=settings.load_poll_ms,
         )
@@ -129,7 +131,7 @@
             client=backend,
             lease_store=platform,
             members=members,
-            updates=self._news,
+            updates=self._peer_updates,
             policy=leases.LeasePolicy(lease_ms=settings.lease_ms),
             metrics=self._meters,
         )
@@ -148,7 +150,7 @@
         await self._probes.start(
             self._settings.peer_address, handler=self.gossiper
         )
-        self._streams.connect(core=self.runtime, updates=self._news)
+        self._streams.connect(core=self.runtime, updates=self._peer_updates)
         await self._prepare()
         self._start_background_tasks()
         runner = await self._listen()
@@ -183,7 +185,7 @@
             self.gossiper.gossip_forever(gossip_ms=settings.gossip_ms)
         )
         self._background_tasks.start(
-            self._news.flush_forever(min_interval_ms=settings.news_ms)
+            self._peer_updates.flush_forever(min_interval_ms=settings.news_ms)
         )
         self._background_tasks.start(
             self._keeper.poll_forever(poll_ms=settings.table_poll_ms)
@@ -228,7 +230,7 @@
         await runner.cleanup()
         await self._background_tasks.cancel()
         self._server_watcher.close()
-        self._news.close()
+        self._peer_updates.close()
         await self.runtime.close()
         await self._components.close(self._peer_server)
         logging.info("event=stopped")
@@ -241,18 +243,18 @@
         counts: counters.EventCounters,
     ) -> web.Application:
         settings = loaded.settings
-        call_face = calls.CallHandlers(
+        call_handlers = calls.CallHandlers(
             runtime=self.runtime,
             settings=settings,
             signer=token.TokenSigner(loaded.cluster_secret),
         )
-        status_face = status.StatusHandlers(
+        status_handlers = status.StatusHandlers(
             runtime=self.runtime,
             settings=settings,
             members=self.gossiper.members,
             meters=self._meters,
         )
-        operator_face = operator_api.OperatorHandlers(
+        operator_handlers = operator_api.OperatorHandlers(
             runtime=self.runtime,
             settings=settings,
             gossiper=self.gossiper,
@@ -266,24 +268,24 @@
             ),
             tables=store,
             weights=platform,
-            counters=counts,
+            counts=counts,
         )
         app = web.Application(client_max_size=settings.max_body_bytes)
         app.router.add_routes(
             [
-                web.post("/v1/chat/completions", call_face.generate),
-                web.post("/v1/completions", call_face.generate),
-                web.get("/v1/resume", call_face.resume),
-                web.get("/v1/where", status_face.where),
-                web.get("/v1/models", status_face.models),
-                web.route("*", "/svc/{service}", call_face.call_service),
+                web.post("/v1/chat/completions", call_handlers.generate),
+                web.post("/v1/completions", call_handlers.generate),
+                web.get("/v1/resume", call_handlers.resume),
+                web.get("/v1/where", status_handlers.where),
+                web.get("/v1/models", status_handlers.models),
+                web.route("*", "/svc/{service}", call_handlers.call_service),
                 web.route(
-                    "*", "/svc/{service}/{path:.*}", call_face.call_service
+                    "*", "/svc/{service}/{path:.*}", call_handlers.call_service
                 ),
-                web.get("/healthz", status_face.health),
-                web.get("/readyz", status_face.ready),
-                web.get("/metrics", status_face.metrics),
-                *operator_face.routes(),
+                web.get("/healthz", status_handlers.health),
+                web.get("/readyz", status_handlers.ready),
+                web.get("/metrics", status_handlers.metrics),
+                *operator_handlers.routes(),
             ]
         )
         return app
--- a/src/godwittack/daemon/server_watcher.py
+++ b/src/godwittack/daemon/server_watcher.py
@@ -189,7 +189,7 @@
 
     async def _poll_load(self, row: entities.ServerRow) -> None:
         while True:
-            await self._wait_for_rest(row)
+            await self._wait_until_rest_ends(row)
             result = await self._client.poll_load(
                 row.address, server_id=row.server_id
             )
@@ -197,7 +197,7 @@
                 self._publish_load(row, result.ok_value)
             await asyncio.sleep(self._load_poll_ms / 1000)
 
-    async def _wait_for_rest(self, row: entities.ServerRow) -> None:
+    async def _wait_until_rest_ends(self, row: entities.ServerRow) -> None:
         """Waits until the rest that a server requested ends."""
         servers = self._core.core.world.servers
         while (
@@ -235,7 +235,7 @@
     async def _follow_cache(self, row: entities.ServerRow) -> None:
         digester = digests.Digester(row.server_id)
         while True:
-            await self._wait_for_rest(row)
+            await self._wait_until_rest_ends(row)
             result = await self._client.cache_events(
                 row.address,
                 after=digester.sequence,
--- a/src/godwittack/entry/connection_timeouts.py
+++ b/src/godwittack/entry/connection_timeouts.py
@@ -24,7 +24,7 @@
 
 # Iterations of the event loop between accepting a connection and reading data
 # that the caller sent immediately.
-ACCEPT_TO_READ_ROUNDS = 2
+ACCEPT_TO_READ_ITERATIONS = 2
 
 
 def waited_ms(request: web.BaseRequest) -> int:
@@ -99,7 +99,7 @@
 
     # The base class uses slots, so this class lists its own.
     __slots__ = (
-        "_accepted_in_round",
+        "_accepted_in_iteration",
         "_clock",
         "_delay",
         "_earliest_sent_ms",
@@ -128,7 +128,7 @@
         )
         self._clock = clock
         self._delay = delay
-        self._accepted_in_round = delay.iterations
+        self._accepted_in_iteration = delay.iterations
         self._earliest_sent_ms = clock.now_ms() - delay.accept_delay_ms()
         self._first_byte_ms = -1
         self._idle_since_ms = clock.now_ms()
@@ -140,7 +140,7 @@
             self._first_byte_ms = self._clock.now_ms()
             if (
                 self._delay.iterations
-                > self._accepted_in_round + ACCEPT_TO_READ_ROUNDS
+                > self._accepted_in_iteration + ACCEPT_TO_READ_ITERATIONS
             ):
                 waited_ms = self._delay.read_delay_ms()
                 self._earliest_sent_ms = self._first_byte_ms - waited_ms
--- a/src/godwittack/entry/operator_api.py
+++ b/src/godwittack/entry/operator_api.py
@@ -51,7 +51,7 @@
     committer: changes.Committer
     tables: store.TableStore
     weights: platform.WeightStore
-    counters: counters.EventCounters
+    counts: counters.EventCounters
 
     def routes(self) -> list[web.RouteDef]:
         """Returns the routes; each requires an operator's bearer token."""
@@ -167,7 +167,7 @@
     async def report(self, request: web.Request, who: str) -> web.Response:
         """Returns the sum of all daemons' counts."""
         del request, who
-        total = self.counters.totals()
+        total = self.counts.totals()
         own = self.gossiper.members.me.member_id
         others = [
             member
--- a/tests/cases/crash_rows.py
+++ b/tests/cases/crash_rows.py
@@ -60,7 +60,7 @@
         runtime = types.SimpleNamespace(
             core=self.core.router, clock=clock, submit=self.core.router.step
         )
-        self.rows = crash_rows.CrashRows(service=store, runtime=runtime)
+        self.rows = crash_rows.CrashRows(store=store, runtime=runtime)
 
     def crash(self, *starts: str, content: str = "desk/f") -> None:
         """Records that servers crashed on a content."""
--- a/tests/cases/freshness.py
+++ b/tests/cases/freshness.py
@@ -150,7 +150,7 @@
         core=one_lead.Runtime(clock),
         decode=lambda rows: instance_rows.ParsedRows(dict(rows), {}),
         updates=updates,
-        table_freshness=known,
+        list_freshness=known,
         is_reader=lambda: is_reader,
     )
     instance_follower.follower = follower
--- a/tests/sim/fleet.py
+++ b/tests/sim/fleet.py
@@ -102,7 +102,7 @@
             members=members,
             updates=self.news,
             streams=streams,
-            on_entries=lambda _: None,
+            on_daemons_listed=lambda _: None,
         )
         self.gossiper.list_hash = self.lists.list_hash
         self.gossiper.on_list_hash = self.lists.record_list_hash
