--- a/src/godwittack/address/__init__.py
+++ b/src/godwittack/address/__init__.py
@@ -28,7 +28,7 @@
     host, port = split(address)
     ipaddress.ip_address(host)
     if not 0 < port <= MAX_PORT:
-        raise ValueError(f"port {port} is not between 1 and {MAX_PORT}")
+        raise ValueError("the port is out of range")
     return address
 
 
--- a/src/godwittack/daemon/rollout_log.py
+++ b/src/godwittack/daemon/rollout_log.py
@@ -25,7 +25,14 @@
 
 
 class WaitReason(enum.StrEnum):
-    """Why a daemon does not order servers to load weights."""
+    """Why a daemon does not order servers to load weights.
+
+    Attributes:
+        NONE: It may order them.
+        OTHER_TURN: Another daemon may order, by rank or as the last holder.
+        STORE_LOST: The row of the lease could not be read.
+        NOT_RECORDED: The store did not record the orders.
+    """
 
     NONE = "none"
     OTHER_TURN = "other_turn"
--- a/src/godwittack/daemon/runtime.py
+++ b/src/godwittack/daemon/runtime.py
@@ -22,7 +22,18 @@
 
 
 class Runtime:
-    """Owns the core; the only place where its `step` is called."""
+    """Owns the core; the only place where its `step` is called.
+
+    Attributes:
+        core: The core.
+        clock: Source of time.
+        stopped: Set once a stopping core has ended all requests and outcomes.
+        recorder: Records inputs and effects; None without recording.
+        on_announce: Called with each dispatch to announce to other daemons.
+        on_suspicion: Called with each server that other daemons should probe.
+        on_crashes: Called with crashes and completions to publish.
+        on_rate_limit: Called with each rate limit to publish.
+    """
 
     def __init__(
         self,
