--- a/src/godwittack/daemon/lead.py
+++ b/src/godwittack/daemon/lead.py
@@ -30,12 +30,13 @@
     from godwittack.store import protocol as platform
 
 
-# Between two notices of one drain; each expires after
+# Interval between two notices of one drain; each expires after
 # `peer_updates.DRAIN_TTL_MS`.
 DRAIN_REPEAT_MS = 1_000
 # Pause after a call to the store that failed or recorded nothing.
 STORE_RETRY_MS = 300
-# Between two polls of a server that loads weights; a load takes 0.5 to 3.2 s.
+# Interval between two polls of a server that loads weights, which takes 0.5 to
+# 3.2 s.
 LOAD_POLL_MS = 120
 
 
@@ -172,13 +173,13 @@
         return takeover.rank(own, led.lease.holder, ranked)
 
     def _log_wait(
-        self, model: str, led: _LedModel, why: rollout_log.WaitReason
+        self, model: str, led: _LedModel, reason: rollout_log.WaitReason
     ) -> None:
-        if self._log.last_wait(model) is why:
+        if self._log.last_wait(model) is reason:
             return
         self._log.log_wait(
             model,
-            why,
+            reason,
             daemons_before=self._daemons_before(model, led),
             holder=led.lease.holder,
             idle_ms=led.lease.idle_ms(),
--- a/src/godwittack/daemon/rollout_log.py
+++ b/src/godwittack/daemon/rollout_log.py
@@ -18,13 +18,21 @@
     from godwittack.clock import Clock
     from godwittack.lead import rollout
 
-# Between two lines on one roll-out, unless the version, the load state or the
-# number of servers that may load at once changes; there are ten steps a second.
+# Interval between two lines on one roll-out, unless the version, the load state
+# or the number of servers that may load at once changes; there are ten steps a
+# second.
 LOG_INTERVAL_MS = 500
 
 
 class WaitReason(enum.StrEnum):
-    """Why a daemon does not order servers to load weights."""
+    """Why a daemon does not order servers to load weights.
+
+    Attributes:
+        NONE: It may order them.
+        OTHER_TURN: Another daemon may order, by rank or as the last holder.
+        STORE_LOST: The row of the lease could not be read.
+        NOT_RECORDED: The store did not record the orders.
+    """
 
     NONE = "none"
     OTHER_TURN = "other_turn"
@@ -95,7 +103,7 @@
     def log_step(
         self, model: str, pace: PaceInputs, overview: rollout.Overview
     ) -> None:
-        """Logs what a step was decided from, unless it was logged just now."""
+        """Logs the inputs of a step, unless the same were logged just now."""
         now_ms = self._clock.now_ms()
         state = (pace.desired_version, pace.is_under_load, overview.room)
         last = self._last_lines.get(model)
@@ -132,7 +140,7 @@
     def log_wait(
         self,
         model: str,
-        why: WaitReason,
+        reason: WaitReason,
         *,
         daemons_before: int,
         holder: str,
@@ -142,16 +150,16 @@
 
         Args:
             model: The model with servers that need weights.
-            why: The reason; `NONE` once the daemon may order again.
+            reason: The reason; `NONE` once the daemon may order again.
             daemons_before: Daemons that rank before this one.
             holder: Daemon that ordered last.
             idle_ms: How long ago the last order was recorded.
         """
-        self._last_waits[model] = why
+        self._last_waits[model] = reason
         logging.info(
             "event=rollout_waits model=%s why=%s place=%d holder=%s idle_ms=%d",
             model,
-            why,
+            reason,
             daemons_before,
             holder,
             idle_ms,
