--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -138,7 +138,7 @@
 
 def _deafen(fleet: fleets.Fleet, victim: fleets.FleetDaemon) -> None:
     for address in fleet.seeds:
-        fleet.cuts.add((address, victim.address))
+        fleet.cut_links.add((address, victim.address))
 
 
 async def _all_live(fleet: fleets.Fleet) -> float:
--- a/tests/cases/leading.py
+++ b/tests/cases/leading.py
@@ -238,7 +238,7 @@
     async def read(self, row_id):
         """Reads a row, or answers nothing."""
         if self.is_deaf:
-            return await self._silence("read")
+            return await self._time_out("read")
         return await super().read(row_id)
 
 
--- a/tests/cases/repeats.py
+++ b/tests/cases/repeats.py
@@ -48,7 +48,7 @@
                     for address in fleet.kill(fleet.rng.uniform(0.2, 0.9)):
                         fleet.start(address)
                 case "part":
-                    fleet.part(fleet.rng.choice((1, 2, 3)))
+                    fleet.partition(fleet.rng.choice((1, 2, 3)))
                 case "join":
                     fleet.start(newest)
                     newest += 1
--- a/tests/features/steps/fleet_steps.py
+++ b/tests/features/steps/fleet_steps.py
@@ -171,7 +171,7 @@
         case "is paused":
             victim.pause()
         case "hears nobody":
-            fleet.cuts |= {(a, victim.address) for a in fleet.seeds}
+            fleet.cut_links |= {(a, victim.address) for a in fleet.seeds}
     await asyncio.sleep(6)
     return fleet
 
@@ -190,7 +190,7 @@
     _list(fleet, *range(20))
     await asyncio.sleep(10)
     deaf, cut = fleet.daemons[5], fleet.daemons[6]
-    fleet.deaf_to_news.add(deaf.address)
+    fleet.update_loss_addresses.add(deaf.address)
     fleet.partition([cut])
     _list(fleet, 20, 21)
     del fleet.listed["server-3"]
--- a/tests/features/steps/large_fleet_steps.py
+++ b/tests/features/steps/large_fleet_steps.py
@@ -28,21 +28,27 @@
 def none_too_old(context):
     """Checks each engine against the first naming of newer weights."""
     for seed, fleet in context.fleets.items():
-        assert not fleet.promises.too_old, (seed, fleet.promises.too_old)
+        assert not fleet.promises.outdated_engines, (
+            seed,
+            fleet.promises.outdated_engines,
+        )
 
 
 @then("in 14 s without trouble nine in ten engines have the last weights")
 def fleet_in_time(context):
     """Checks each naming."""
     for seed, fleet in context.fleets.items():
-        assert not fleet.promises.behind, (seed, fleet.promises.behind)
+        assert not fleet.promises.late_rollouts, (
+            seed,
+            fleet.promises.late_rollouts,
+        )
 
 
 @then("no engine was ordered by two leads within a lease")
 def one_at_a_time(context):
     """Checks all orders."""
     for seed, fleet in context.fleets.items():
-        twice = fleet.promises.two_at_once
+        twice = fleet.promises.order_conflicts
         assert not twice, (seed, twice[:3])
 
 
@@ -50,14 +56,17 @@
 def none_cut(context):
     """Checks requests at times without trouble."""
     for seed, fleet in context.fleets.items():
-        assert not fleet.promises.cut, (seed, fleet.promises.cut[:3])
+        assert not fleet.promises.requests_during_load, (
+            seed,
+            fleet.promises.requests_during_load[:3],
+        )
 
 
 @then("never more engines loaded than the store bears")
 def not_crowded(context):
     """Checks loads, also in trouble."""
     for seed, fleet in context.fleets.items():
-        crowded = fleet.promises.crowded
+        crowded = fleet.promises.excess_loads
         assert not crowded, (seed, crowded[:3])
 
 
@@ -65,5 +74,5 @@
 def all_wanted(context):
     """Checks the quiet end."""
     for seed, fleet in context.fleets.items():
-        behind = fleet.behind()
+        behind = fleet.outdated_engines()
         assert not behind, (seed, behind)
--- a/tests/features/steps/lead_steps.py
+++ b/tests/features/steps/lead_steps.py
@@ -21,28 +21,28 @@
 @when("the holder is cut from the table service and weights are named")
 def cut_holder(context):
     """Plays that one session."""
-    context.worlds = [loop.run(leads.cut_holder_session())]
+    context.worlds = [loop.run(leads.disconnected_holder_session())]
 
 
 @then("all replicas have them within {seconds:d} seconds")
 def soon_in_force(context, seconds):
     """Checks when the last version was in force."""
     (world,) = context.worlds
-    assert world.in_force_s.get("3", 1e9) <= seconds, world.in_force_s
+    assert world.rollout_s.get("3", 1e9) <= seconds, world.rollout_s
 
 
 @then("no replica was ordered by two leads within a lease")
 def one_at_a_time(context):
     """Checks orders, and who might have sent one, all the time."""
     for seed, world in enumerate(context.worlds):
-        assert not world.two_at_once, (seed, world.two_at_once[:3])
+        assert not world.lease_conflicts, (seed, world.lease_conflicts[:3])
 
 
 @then("no request was cut and never more than two replicas loaded")
 def nothing_wrong(context):
     """Checks what was looked at all the time."""
     for seed, world in enumerate(context.worlds):
-        assert not world.wrong, (seed, world.wrong[:3])
+        assert not world.violations, (seed, world.violations[:3])
 
 
 @then("every replica has the last version wanted")
--- a/tests/features/steps/refusal_steps.py
+++ b/tests/features/steps/refusal_steps.py
@@ -14,13 +14,13 @@
 @when('a call is refused because of "{reason}"')
 def refuse_for(context, reason):
     """Plays the session that brings the refusal about."""
-    context.refused = loop.run(refusals.refused_for(reason))
+    context.refused = loop.run(refusals.refuse_and_repeat(reason))
 
 
 @then('the refusal says "{outcome}" for "{reason}"')
 def refusal_says(context, outcome, reason):
     """Checks the refusal."""
-    refusal = context.refused.first.final
+    refusal = context.refused.first.final_effect
     assert refusal.outcome.value == outcome, refusal
     assert refusal.reason.value == reason, refusal
 
--- a/tests/features/steps/sim_steps.py
+++ b/tests/features/steps/sim_steps.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 
 from godwittack.core import effects
-from sim import loop, worlds
+from sim import claim_sessions, loop
 
 KEY = "claim-1"
 
@@ -14,7 +14,7 @@
 def play_seeds(context, count):
     """Plays sessions that differ in their seed only."""
     context.sessions = [
-        loop.run(worlds.random_session(seed)) for seed in range(count)
+        loop.run(claim_sessions.random_session(seed)) for seed in range(count)
     ]
 
 
@@ -30,7 +30,7 @@
 def told_true(context):
     """Checks each refusal against the services' count of runs."""
     for session in context.sessions:
-        for told in session.world.told:
+        for told in session.world.calls:
             if told.outcome == "not_run":
                 ran = session.world.ran(told.request_id)
                 assert not ran, (session.seed, told)
@@ -45,9 +45,10 @@
     for session in context.sessions:
         for key in session.keys:
             bodies = {
-                told.final.answer.body
-                for told in session.world.told
-                if told.key == key and isinstance(told.final, effects.Reply)
+                told.final_effect.answer.body
+                for told in session.world.calls
+                if told.key == key
+                and isinstance(told.final_effect, effects.Reply)
             }
             assert len(bodies) <= 1, (session.seed, bodies)
             answered += len(bodies)
@@ -61,7 +62,7 @@
     for session in context.sessions:
         if session.killed or session.world.runs(session.keys[0]) == 0:
             continue
-        last = session.world.told[-1]
+        last = session.world.calls[-1]
         assert last.outcome in ("answer", "unknown"), (session.seed, last)
     never = [
         session
@@ -69,26 +70,28 @@
         if not session.killed and session.world.runs(session.keys[0]) == 0
     ]
     for session in never:
-        ran_by = [t for t in session.world.told if t.outcome == "unknown"]
-        assert ran_by, (session.seed, session.world.told)
+        ran_by = [t for t in session.world.calls if t.outcome == "unknown"]
+        assert ran_by, (session.seed, session.world.calls)
 
 
 @given("a daemon that is paused after its claim, before {before}")
 def paused_holder(context, before):
     """Plays the session: the key is sent elsewhere, then the daemon wakes."""
-    context.sessions = [loop.run(worlds.paused_holder(KEY, before=before))]
+    context.sessions = [
+        loop.run(claim_sessions.paused_holder(KEY, before=before))
+    ]
 
 
 @when("the same key is sent through another daemon after 10 minutes")
 def sent_again(context):
     """Checks that the session had both calls."""
-    assert len(context.sessions[0].world.told) == 2
+    assert len(context.sessions[0].world.calls) == 2
 
 
 @then('the callers were told "{first}" and "{second}"')
 def told_both(context, first, second):
     """Checks both outcomes, in the order of the calls."""
-    outcomes = [told.outcome for told in context.sessions[0].world.told]
+    outcomes = [told.outcome for told in context.sessions[0].world.calls]
     assert outcomes == [first, second], outcomes
 
 
@@ -113,7 +116,7 @@
 @when("a key is sent once")
 def send_once(context):
     """Plays a session with the fault, then one more call without it."""
-    session = loop.run(worlds.one_fault(KEY, context.fault))
+    session = loop.run(claim_sessions.one_fault(KEY, context.fault))
     context.sessions = [session]
     context.session = session
 
@@ -121,7 +124,7 @@
 @then("the caller gets the answer")
 def got_answer(context):
     """Checks the first caller."""
-    first = context.session.world.told[0]
+    first = context.session.world.calls[0]
     assert first.outcome == "answer", first
 
 
@@ -131,15 +134,15 @@
 )
 def told_outcome(context, outcome, limit_ms):
     """Checks the first caller's refusal and how long it took."""
-    first = context.session.world.told[0]
+    first = context.session.world.calls[0]
     assert first.outcome == outcome, first
-    assert first.final.retry_after_ms > 0
-    assert context.session.first_took_ms <= limit_ms
+    assert first.final_effect.retry_after_ms > 0
+    assert context.session.first_call_ms <= limit_ms
 
 
 @then("the same key sent after the service is back runs once")
 def runs_after(context):
     """Checks the second caller."""
-    second = context.session.world.told[1]
+    second = context.session.world.calls[1]
     assert second.outcome == "answer", second
     assert context.session.world.runs(KEY) == 1
--- a/tests/features/steps/table_steps.py
+++ b/tests/features/steps/table_steps.py
@@ -12,7 +12,7 @@
 from cluster import processes
 from features.steps import cluster_steps
 from godwittack.table import schema, store
-from sim import fleets, loop
+from sim import gossip_sessions, loop
 
 SOURCE = processes.TESTS.parent / "src" / "godwittack"
 DECIDING = ("core", "limit", "member", "placement", "claim", "peer", "backend")
@@ -22,14 +22,14 @@
 def play_fleets(context, count):
     """Plays sessions that differ in their seed only."""
     context.fleets = [
-        loop.run(fleets.random_session(seed)) for seed in range(count)
+        loop.run(gossip_sessions.random_session(seed)) for seed in range(count)
     ]
 
 
 @when("a daemon {trouble}")
 def play_script(context, trouble):
     """Plays one scripted session."""
-    context.fleets = [loop.run(fleets.scripted(trouble))]
+    context.fleets = [loop.run(gossip_sessions.scripted(trouble))]
 
 
 @then("no daemon took work on an older table than one accepted")
--- a/tests/sim/__init__.py
+++ b/tests/sim/__init__.py
@@ -1,1 +1,1 @@
-"""Daemons without sockets, on virtual time, with small fakes around them."""
+"""Simulations of daemons on virtual time, with fakes in place of sockets."""
--- a/tests/sim/ways.py
+++ b/tests/sim/connections.py
@@ -1,4 +1,4 @@
-"""One daemon's ways to the platform and to the others, which may fail."""
+"""Simulated connections of one daemon to the platform and to its peers."""
 
 from __future__ import annotations
 
@@ -17,48 +17,48 @@
 
 
 class Objects:
-    """Object store, down when told."""
+    """Object store that can be made to fail."""
 
     def __init__(self) -> None:
         self.down = False
-        self.kept: dict[str, bytes] = {}
+        self.stored: dict[str, bytes] = {}
 
     async def get(self, name):
         """Returns an object."""
         if self.down:
             return Err("down")
-        return Ok(self.kept.get(name))
+        return Ok(self.stored.get(name))
 
     async def put(self, name, data):
         """Writes an object."""
         if self.down:
             return Err("down")
-        self.kept[name] = data
+        self.stored[name] = data
         return Ok(None)
 
 
 class CutTable(fakes.PausableTable):
-    """One daemon's way to the table service, which may be cut."""
+    """One daemon's connection to the table service, which may be cut."""
 
     def __init__(self, table, gate, world) -> None:
         super().__init__(table, gate, world)
-        self.cut = False
+        self.is_cut = False
 
     async def transact(self, conditions, writes):
-        """Sends a transaction where the way is open."""
-        if self.cut:
-            return await self.table._silence("transact")
+        """Sends a transaction; times out if the connection is cut."""
+        if self.is_cut:
+            return await self.table._time_out("transact")
         return await super().transact(conditions, writes)
 
     async def read(self, row_id):
-        """Reads a row where the way is open."""
-        if self.cut:
-            return await self.table._silence("read")
+        """Reads a row; times out if the connection is cut."""
+        if self.is_cut:
+            return await self.table._time_out("read")
         return await super().read(row_id)
 
 
 class InstanceListFake:
-    """The platform's instance list as one daemon reaches it."""
+    """One daemon's connection to the platform's instance list."""
 
     def __init__(self, fleet: Fleet, owner: FleetDaemon) -> None:
         self.fleet = fleet
@@ -67,75 +67,75 @@
     async def instances(self):
         """Returns all entries."""
         self.fleet.list_reads += 1
-        await self.owner.gate.passed()
-        if self.owner.table.cut or self.fleet.table.faults.down:
+        await self.owner.gate.wait_until_open()
+        if self.owner.table.is_cut or self.fleet.table.faults.down:
             return Err("down")
         return Ok(tuple(self.fleet.listed.values()))
 
 
 class FleetPeers:
-    """One daemon's way to the others."""
+    """One daemon's connections to its peers."""
 
     def __init__(self, fleet: Fleet, owner: FleetDaemon) -> None:
         self.fleet = fleet
         self.owner = owner
 
     async def exchange(self, address, message):
-        """Carries an envelope there and the answer back."""
+        """Delivers an envelope to a peer and returns its reply."""
         self.fleet.traffic.add(message)
-        other = await self._reach(address)
+        other = await self._connect(address)
         if other is None:
-            return self._lost(address)
-        answer = other.gossiper.exchanged(message)
-        self.fleet.traffic.add(answer)
-        if not await self._back(address):
-            return self._lost(address)
-        return Ok(answer)
+            return self._lost_error(address)
+        reply = other.gossiper.exchanged(message)
+        self.fleet.traffic.add(reply)
+        if not await self._deliver_reply(address):
+            return self._lost_error(address)
+        return Ok(reply)
 
     def open_news(self, address, *, on_broken):
-        """Returns a stream of news."""
+        """Opens a stream of updates to a peer."""
         return FleetStream(self, address)
 
     async def fetch_table(self, address, *, known_version):
-        """Fetches a table."""
-        other = await self._reach(address)
+        """Fetches the table from a peer."""
+        other = await self._connect(address)
         if other is None:
-            return self._lost(address)
-        asked = peer_pb2.TableRequest(known_version=known_version)
-        answer = other.gossiper.table(asked)
-        await asyncio.sleep(self.fleet.fetch_s)
-        if not await self._back(address):
-            return self._lost(address)
-        return Ok(answer)
-
-    async def _reach(self, address):
-        await self.owner.gate.passed()
+            return self._lost_error(address)
+        request = peer_pb2.TableRequest(known_version=known_version)
+        reply = other.gossiper.table(request)
+        await asyncio.sleep(self.fleet.fetch_delay_s)
+        if not await self._deliver_reply(address):
+            return self._lost_error(address)
+        return Ok(reply)
+
+    async def _connect(self, address):
+        await self.owner.gate.wait_until_open()
         await asyncio.sleep(self.fleet.rng.uniform(0.001, 0.004))
-        other = self.fleet.at(address)
-        blocked = (
+        other = self.fleet.daemon_at(address)
+        is_blocked = (
             other is None
             or other.paused
-            or (self.owner.address, address) in self.fleet.cuts
+            or (self.owner.address, address) in self.fleet.cut_links
         )
-        if blocked:
+        if is_blocked:
             await asyncio.sleep(PEER_TIMEOUT_S)
-            await self.owner.gate.passed()
+            await self.owner.gate.wait_until_open()
             return None
         return other
 
-    async def _back(self, address) -> bool:
+    async def _deliver_reply(self, address) -> bool:
         await asyncio.sleep(self.fleet.rng.uniform(0.001, 0.004))
-        await self.owner.gate.passed()
-        return (address, self.owner.address) not in self.fleet.cuts
+        await self.owner.gate.wait_until_open()
+        return (address, self.owner.address) not in self.fleet.cut_links
 
-    def _lost(self, address):
+    def _lost_error(self, address):
         return Err(
             exchange.PeerError(step="exchange", peer=address, detail="lost")
         )
 
 
 class FleetStream:
-    """One daemon's stream of news to another."""
+    """One daemon's stream of updates to a peer."""
 
     def __init__(self, peers: FleetPeers, address: str) -> None:
         self.peers = peers
@@ -144,14 +144,14 @@
         self.reader = wire.NewsReader()
 
     async def send(self, message):
-        """Carries one message there."""
+        """Delivers one message to the peer."""
         self.peers.fleet.traffic.add(message)
         self.sender_id = self.sender_id or message.sender_id
-        other = await self.peers._reach(self.address)
+        other = await self.peers._connect(self.address)
         if other is None:
-            return self.peers._lost(self.address)
-        if self.address in self.peers.fleet.deaf_to_news:
-            # Lost after it was handed to the connection.
+            return self.peers._lost_error(self.address)
+        if self.address in self.peers.fleet.update_loss_addresses:
+            # Lost after the connection accepted it.
             return Ok(None)
         other.gossiper.told(self.sender_id, message, self.reader)
         return Ok(None)
--- a/tests/sim/fakes.py
+++ b/tests/sim/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes at the core's interfaces: table service, plain service, engines."""
+"""Fakes of the services that a daemon calls: table service, plain services."""
 
 from __future__ import annotations
 
@@ -14,33 +14,33 @@
 from godwittack.store import protocol as platform
 
 CLOCK_AHEAD_MS = 7_000_000
-# How many versions a replica may lag.
+# Versions by which a lagging replica may be behind.
 STALE_VERSIONS = 4
 
 
 class Gate:
-    """Closed while a daemon is paused: nothing goes out or comes in."""
+    """Blocks all messages of a daemon while it is paused."""
 
     def __init__(self) -> None:
         self._open = asyncio.Event()
         self._open.set()
 
     def pause(self) -> None:
-        """Stops the daemon, as SIGSTOP does."""
+        """Pauses the daemon, as SIGSTOP does."""
         self._open.clear()
 
     def resume(self) -> None:
-        """Lets it go on."""
+        """Resumes the daemon."""
         self._open.set()
 
-    async def passed(self) -> None:
-        """Waits until the daemon runs."""
+    async def wait_until_open(self) -> None:
+        """Waits until the daemon is not paused."""
         await self._open.wait()
 
 
 @dataclasses.dataclass
 class TableFaults:
-    """How the table service misbehaves; chances are per call."""
+    """Faults of the table service; probabilities are per call."""
 
     down: bool = False
     lose_request: float = 0.0
@@ -53,40 +53,40 @@
 
 
 class TableFake:
-    """Rows with versions; replies may be lost and writes applied late."""
+    """Table service whose replies may be lost and writes applied late."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         self.faults = TableFaults()
         self.rows: dict[platform.RowId, platform.StoredRow] = {}
-        self.older: dict[platform.RowId, list[platform.StoredRow]] = {}
+        self.older_rows: dict[platform.RowId, list[platform.StoredRow]] = {}
         self.version = 0
         self.on_write = lambda: None
 
     async def transact(self, conditions, writes):
         """Makes all writes if all conditions hold."""
         await asyncio.sleep(self.rng.randint(*self.faults.latency_ms) / 1000)
-        if self.faults.down or self._chance(self.faults.lose_request):
-            return await self._silence("transact")
-        if self._chance(self.faults.late_apply):
-            # The request lingers in the network and takes effect after its
-            # sender has given up.
+        if self.faults.down or self._occurs(self.faults.lose_request):
+            return await self._time_out("transact")
+        if self._occurs(self.faults.late_apply):
+            # The request is delayed in the network and takes effect after its
+            # sender has timed out.
             asyncio.get_running_loop().call_later(
                 self.faults.late_ms / 1000, self._apply, conditions, writes
             )
-            return await self._silence("transact")
+            return await self._time_out("transact")
         reply = self._apply(conditions, writes)
-        if self._chance(self.faults.lose_reply):
-            return await self._silence("transact")
+        if self._occurs(self.faults.lose_reply):
+            return await self._time_out("transact")
         return Ok(reply)
 
     async def read(self, row_id):
         """Returns one row."""
         await asyncio.sleep(0.002)
         if self.faults.down:
-            return await self._silence("read")
-        if self._chance(self.faults.stale_read):
-            older = self.older.get(row_id, [self._row(row_id)])
+            return await self._time_out("read")
+        if self._occurs(self.faults.stale_read):
+            older = self.older_rows.get(row_id, [self._row(row_id)])
             row = self.rng.choice(older[-STALE_VERSIONS:])
             return Ok(dataclasses.replace(row, service_ms=self.now_ms()))
         return Ok(self._row(row_id))
@@ -94,7 +94,7 @@
     async def scan(self, table, *, after, limit):
         """Returns rows in key order."""
         if self.faults.down:
-            return await self._silence("scan")
+            return await self._time_out("scan")
         rows = [
             row
             for row_id, row in sorted(
@@ -114,7 +114,7 @@
         for write in writes:
             self.version += 1
             before = self._row(write.row_id)
-            self.older.setdefault(write.row_id, []).append(before)
+            self.older_rows.setdefault(write.row_id, []).append(before)
             self.rows[write.row_id] = platform.StoredRow(
                 write.row_id, write.value, self.version
             )
@@ -122,17 +122,17 @@
         return platform.TransactionResult(True, (), service_ms=self.now_ms())
 
     def now_ms(self) -> int:
-        """Returns the service's own clock, whose origin is its own as well."""
+        """Returns the service's clock, whose origin is not the daemons'."""
         return round(asyncio.get_running_loop().time() * 1000) + CLOCK_AHEAD_MS
 
     def _row(self, row_id) -> platform.StoredRow:
         row = self.rows.get(row_id, platform.StoredRow(row_id, "", 0))
         return dataclasses.replace(row, service_ms=self.now_ms())
 
-    def _chance(self, part: float) -> bool:
-        return self.rng.random() < part
+    def _occurs(self, probability: float) -> bool:
+        return self.rng.random() < probability
 
-    async def _silence(self, step: str):
+    async def _time_out(self, step: str):
         await asyncio.sleep(self.faults.timeout_ms / 1000)
         return Err(
             platform.PlatformError(step=step, peer="fake", detail="no answer")
@@ -141,7 +141,7 @@
 
 @dataclasses.dataclass
 class ServiceFaults:
-    """How a plain service misbehaves; chances are per call."""
+    """Faults of a plain service; probabilities are per call."""
 
     refuse_connection: float = 0.0
     lose_request: float = 0.0
@@ -150,7 +150,7 @@
 
 
 class ServiceFake:
-    """A plain service; runs of one call are counted by request and key."""
+    """A plain service that counts its runs by request and by key."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
@@ -159,7 +159,7 @@
         self.runs_by_key: collections.Counter[str] = collections.Counter()
 
     def run(self, request_id: str, call: backend.Call) -> work.Answer:
-        """Has the effect of the call."""
+        """Executes a call."""
         key = next(
             (h.value for h in call.headers if h.name == "idempotency-key"), ""
         )
@@ -181,9 +181,9 @@
         self.on_send = lambda: None
 
     async def send(self, dispatch, call, sink) -> None:
-        """Runs one attempt; the service's side outlives the daemon."""
+        """Makes one attempt; the service may run it after the daemon ended."""
         self.on_send()
-        await self.gate.passed()
+        await self.gate.wait_until_open()
         service = self.services[dispatch.server_id]
         faults, rng = service.faults, service.rng
         await asyncio.sleep(0.001)
@@ -196,19 +196,19 @@
             return
         if rng.random() < faults.lose_request:
             await asyncio.sleep(0.2)
-            await self.gate.passed()
-            self._broken(sink)
+            await self.gate.wait_until_open()
+            self._report_broken(sink)
             return
         running = self.world.spawn(self._run(service, dispatch, call))
         answer = await asyncio.shield(running)
-        await self.gate.passed()
+        await self.gate.wait_until_open()
         if rng.random() < faults.lose_answer:
-            self._broken(sink)
+            self._report_broken(sink)
             return
         sink.answer("", answer, None)
 
     async def load(self, address, *, server_id=""):
-        """Answers every probe: the service's process never ends."""
+        """Answers every probe, since the service never fails."""
         return Ok(
             backend.EngineLoad(
                 incarnation="", weights_version="", running=0, waiting=0
@@ -216,13 +216,13 @@
         )
 
     async def cancel(self, address, stream_id) -> None:
-        """Does nothing: a plain call can't be taken back."""
+        """Does nothing: a plain call can't be cancelled."""
 
     async def _run(self, service, dispatch, call):
         await asyncio.sleep(service.rng.randint(*service.faults.work_ms) / 1000)
         return service.run(dispatch.request_id, call)
 
-    def _broken(self, sink) -> None:
+    def _report_broken(self, sink) -> None:
         sink.failed(
             inputs.FailurePhase.SENT, inputs.FailureCause.BROKEN, "broken"
         )
@@ -237,21 +237,21 @@
         self.world = world
 
     async def transact(self, conditions, writes):
-        """Sends a transaction that the daemon's death does not undo."""
-        await self.gate.passed()
+        """Sends a transaction, which takes effect even if the daemon ends."""
+        await self.gate.wait_until_open()
         sent = self.world.spawn(self.table.transact(conditions, writes))
         reply = await asyncio.shield(sent)
-        await self.gate.passed()
+        await self.gate.wait_until_open()
         return reply
 
     async def read(self, row_id):
         """Reads one row."""
-        await self.gate.passed()
+        await self.gate.wait_until_open()
         reply = await self.table.read(row_id)
-        await self.gate.passed()
+        await self.gate.wait_until_open()
         return reply
 
     async def scan(self, table, *, after, limit):
         """Reads rows."""
-        await self.gate.passed()
+        await self.gate.wait_until_open()
         return await self.table.scan(table, after=after, limit=limit)
--- a/tests/sim/fleet.py
+++ b/tests/sim/fleet.py
@@ -1,4 +1,4 @@
-"""Daemons that gossip and keep the table, on virtual time."""
+"""Simulation of daemons that gossip and replicate the table."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from godwittack.report import counters
 from godwittack.store import protocol as platform
 from godwittack.table import model, store
-from sim import fakes, loop, ways
+from sim import connections, fakes, loop
 from sim import world as worlds
 
 GOSSIP_MS = 500
@@ -34,7 +34,7 @@
 
 
 class FleetDaemon:
-    """One daemon without callers."""
+    """One daemon: real membership and table code, without callers."""
 
     def __init__(self, fleet: Fleet, name: str, address: str) -> None:
         self.fleet = fleet
@@ -43,10 +43,10 @@
         self.paused = False
         self.dead = False
         self.gate = fakes.Gate()
-        self.table = ways.CutTable(fleet.table, self.gate, fleet)
+        self.table = connections.CutTable(fleet.table, self.gate, fleet)
         policy = view.MemberPolicy()
         core = router.Router.from_config(daemon=name)
-        # Each daemon's wall clock is wrong by up to a minute.
+        # Each daemon's wall clock is off by up to a minute.
         number = int(name[1 : name.index("@")])
         self.clock = loop.LoopClock(
             asyncio.get_running_loop(),
@@ -71,14 +71,14 @@
             rng=rng,
             expected=fleet.expected,
         )
-        tables_store = store.TableStore(self.table, fleet.objects)
-        peers = ways.FleetPeers(fleet, self)
-        self.right = serving_lease.QuorumServingLease(policy)
+        table_store = store.TableStore(self.table, fleet.objects)
+        peers = connections.FleetPeers(fleet, self)
+        self.serving_lease = serving_lease.QuorumServingLease(policy)
         self.keeper = tables.PolledTableKeeper(
-            tables=tables_store,
+            tables=table_store,
             runtime=self.runtime,
             peers=peers,
-            serving_lease=self.right,
+            serving_lease=self.serving_lease,
             rng=rng,
         )
         self.news = news.News(
@@ -97,7 +97,7 @@
         streams = watch.Streams()
         streams.connect(core=self.runtime, news=self.news)
         self.lists = listing.ListWatcher(
-            instances=ways.InstanceListFake(fleet, self),
+            instances=connections.InstanceListFake(fleet, self),
             core=self.runtime,
             members=members,
             news=self.news,
@@ -107,7 +107,7 @@
         self.gossiper.list_hash = self.lists.list_hash
         self.gossiper.on_list_hash = self.lists.hash_told
         self.committer = change.Committer(
-            tables=tables_store,
+            tables=table_store,
             keeper=self.keeper,
             gossiper=self.gossiper,
             policy=policy,
@@ -117,22 +117,22 @@
 
     @property
     def version(self) -> int:
-        """The table version in force here."""
+        """The table version that is active at this daemon."""
         return self.runtime.core.world.table.version
 
     @property
     def may_serve(self) -> bool:
-        """Whether a request arriving now would be taken."""
+        """Whether a request arriving now would be accepted."""
         self.runtime.submit(inputs.Tick(self.fleet.clock.now_ms()))
         return self.runtime.core.world.has_serving_lease
 
     def pause(self) -> None:
-        """Stops the process."""
+        """Pauses the process."""
         self.paused = True
         self.gate.pause()
 
     def resume(self) -> None:
-        """Lets it go on."""
+        """Resumes the process."""
         self.paused = False
         self.gate.resume()
 
@@ -141,7 +141,7 @@
         self.dead = True
         for task in self.tasks:
             task.cancel()
-        self.runtime.submit = lambda told: None
+        self.runtime.submit = lambda input_: None
         self.gate.pause()
 
     async def _run(self) -> None:
@@ -156,7 +156,7 @@
             self.fleet.spawn(self.keeper.poll_forever(poll_ms=POLL_MS))
         )
         while True:
-            await self.gate.passed()
+            await self.gate.wait_until_open()
             self.gossiper.tick()
             self.news.flush()
             await asyncio.sleep(GOSSIP_MS / 1000)
@@ -164,7 +164,7 @@
 
 @dataclasses.dataclass
 class Traffic:
-    """Messages between daemons so far."""
+    """Number and size of messages between daemons."""
 
     messages: int = 0
     size: int = 0
@@ -176,8 +176,8 @@
 
 
 @dataclasses.dataclass
-class Accepted:
-    """A change that an operator was told is accepted."""
+class AcceptedChange:
+    """A change that was reported to an operator as accepted."""
 
     version: int
     at_ms: int
@@ -185,7 +185,7 @@
 
 
 class Fleet:
-    """All daemons of a session, and what was promised and seen."""
+    """All daemons of a session, its faults, and the results of changes."""
 
     def __init__(
         self, *, seed: int, size: int, expected: int | None = None
@@ -194,18 +194,18 @@
         self.rng = random.Random(seed)
         self.clock = loop.LoopClock(asyncio.get_running_loop())
         self.table = fakes.TableFake(self.rng)
-        self.objects = ways.Objects()
-        self.cuts: set[tuple[str, str]] = set()
-        self.accepted: list[Accepted] = []
+        self.objects = connections.Objects()
+        self.cut_links: set[tuple[str, str]] = set()
+        self.accepted: list[AcceptedChange] = []
         self.results: list[object] = []
-        self.silences = 0
+        self.timeouts = 0
         self.listed: dict[str, platform.Instance] = {}
         self.list_reads = 0
-        self.deaf_to_news: set[str] = set()
-        self.fetch_s = 0.0
+        self.update_loss_addresses: set[str] = set()
+        self.fetch_delay_s = 0.0
         self.traffic = Traffic()
         self.stale: list[str] = []
-        self._seen: dict[str, int] = {}
+        self._last_versions: dict[str, int] = {}
         self._tasks: set[asyncio.Task] = set()
         self.expected = size if expected is None else expected
         self.seeds = [f"10.0.0.{n}:1" for n in range(size)]
@@ -223,10 +223,10 @@
         return task
 
     def alive(self) -> list[FleetDaemon]:
-        """Returns the daemons not killed."""
+        """Returns the daemons that were not killed."""
         return [daemon for daemon in self.daemons if not daemon.dead]
 
-    def at(self, address: str) -> FleetDaemon | None:
+    def daemon_at(self, address: str) -> FleetDaemon | None:
         """Returns the daemon that listens on an address."""
         return next((d for d in self.alive() if d.address == address), None)
 
@@ -237,25 +237,25 @@
         successor = FleetDaemon(
             self, f"{name}@{int(number) + 1}", daemon.address
         )
-        successor.table.cut = daemon.table.cut
+        successor.table.is_cut = daemon.table.is_cut
         self.daemons.append(successor)
 
     def partition(self, group: list[FleetDaemon]) -> None:
-        """Cuts a group off from the rest, both ways."""
+        """Cuts a group off from the rest, in both directions."""
         inside = {daemon.address for daemon in group}
-        for one in self.seeds:
-            for other in self.seeds:
-                if (one in inside) != (other in inside):
-                    self.cuts.add((one, other))
+        for source in self.seeds:
+            for target in self.seeds:
+                if (source in inside) != (target in inside):
+                    self.cut_links.add((source, target))
 
     def heal(self) -> None:
         """Ends all faults."""
-        self.cuts.clear()
+        self.cut_links.clear()
         self.table.faults = fakes.TableFaults()
         self.objects.down = False
-        self.deaf_to_news.clear()
+        self.update_loss_addresses.clear()
         for daemon in self.alive():
-            daemon.table.cut = False
+            daemon.table.is_cut = False
             daemon.resume()
 
     async def change(self, daemon: FleetDaemon, value: int):
@@ -289,41 +289,43 @@
             at_wall_ms=daemon.clock.wall_ms(),
             commit_id=f"{daemon.name}/{value}",
         )
-        got = await self._ask(daemon, proposal)
-        if isinstance(got, Ok) and isinstance(
-            got.ok_value, change.ChangeProgress
+        result = await self._submit(daemon, proposal)
+        if isinstance(result, Ok) and isinstance(
+            result.ok_value, change.ChangeProgress
         ):
-            done = got.ok_value
-            if done.accepted:
+            progress = result.ok_value
+            if progress.accepted:
                 self.accepted.append(
-                    Accepted(done.version, self.clock.now_ms(), done.after_ms)
+                    AcceptedChange(
+                        progress.version, self.clock.now_ms(), progress.after_ms
+                    )
                 )
-        self.results.append(got)
-        return got
+        self.results.append(result)
+        return result
 
-    async def _ask(self, daemon: FleetDaemon, proposal: store.Proposal):
-        """Asks a daemon, and where it falls silent the others, in turn."""
-        ask = self.spawn(daemon.committer.commit(proposal))
-        done, _ = await asyncio.wait([ask], timeout=client.TIMEOUT_S)
+    async def _submit(self, daemon: FleetDaemon, proposal: store.Proposal):
+        """Submits a change to a daemon; after a timeout, to another one."""
+        submission = self.spawn(daemon.committer.commit(proposal))
+        done, _ = await asyncio.wait([submission], timeout=client.TIMEOUT_S)
         if done:
-            return ask.result()
-        self.silences += 1
+            return submission.result()
+        self.timeouts += 1
         others = [d for d in self.alive() if d is not daemon]
-        return await self._ask(self.rng.choice(others), proposal)
+        return await self._submit(self.rng.choice(others), proposal)
 
     async def _sample(self) -> None:
-        """Looks for daemons that would serve on an older table."""
+        """Records each daemon that would serve with an outdated table."""
         while True:
             newest = max((a.version for a in self.accepted), default=0)
             for daemon in self.alive():
-                self._look(daemon, newest)
+                self._check_version(daemon, newest)
             await asyncio.sleep(SAMPLE_S)
 
-    def _look(self, daemon: FleetDaemon, newest: int) -> None:
+    def _check_version(self, daemon: FleetDaemon, newest: int) -> None:
         now_ms = self.clock.now_ms()
-        if daemon.version < self._seen.get(daemon.name, 0):
+        if daemon.version < self._last_versions.get(daemon.name, 0):
             self.stale.append(f"{daemon.name} went back at {now_ms}")
-        self._seen[daemon.name] = daemon.version
+        self._last_versions[daemon.name] = daemon.version
         if not daemon.paused and daemon.may_serve and daemon.version < newest:
             self.stale.append(
                 f"{daemon.name} serves on {daemon.version} at {now_ms},"
--- a/tests/sim/large_fleets.py
+++ b/tests/sim/large_fleets.py
@@ -1,7 +1,7 @@
-"""Leads of large fleets under load, on virtual time.
+"""Simulation of large fleets under load, whose daemons lead roll-outs.
 
-Each daemon runs the product's own leader and core; engines, callers, the store
-and the calls between them are played.
+Each daemon runs the real leader and core; engines, callers, the store and the
+calls between them are simulated.
 """
 
 from __future__ import annotations
@@ -35,31 +35,31 @@
 
 MODEL = routed_core.ENGINES
 DAEMONS = 3
-# The settings of the deployments with large fleets: 10 s allowed less a margin
-# of 2.5, and what the daemon before callers gives its leader.
+# Settings of deployments with large fleets: the 10 s that operators allow less
+# a margin of 2.5 s, and the roll-out policy of the platform daemon.
 USE_LIMIT_MS = 7_500
 ROLLOUT_POLICY = rollout.RolloutPolicy(
     order_after_ms=100, load_limit_ms=4_000, use_limit_ms=USE_LIMIT_MS
 )
 LEAD_STEP_MS = 100
-# Prompts that wait at each engine under load: twice the wait from which a
-# roll-out spares the engines.
-WAITING_MS = 160
-CALL_S = 0.004
-CALL_LIMIT_S = 0.3
-# Until the others know of a dark engine, or of a daemon that died.
-NOTICE_S = 0.4
-DEATH_NOTICE_S = 1.5
-# Until callers are told of a daemon that has started. By then it has heard
-# which engines are drained; that is told anew each second.
-JOIN_S = 1.2
-# An engine's own report reaches each daemon once in so many ticks.
+# Backlog at each engine under load: twice the wait above which a roll-out
+# spares the engines.
+BACKLOG_MS = 160
+CALL_DELAY_S = 0.004
+CALL_TIMEOUT_S = 0.3
+# Time until daemons know of an unreachable engine or of a failed daemon.
+EJECTION_DELAY_S = 0.4
+FAILURE_DETECTION_S = 1.5
+# Time until callers know of a started daemon. By then it has received which
+# engines are drained, since that is published each second.
+JOIN_DELAY_S = 1.2
+# Ticks between two load reports of an engine to a daemon.
 REPORT_TICKS = 8
-REQUEST_PART = 0.3
+REQUEST_SHARE = 0.3
 
 
 class LargeFleet:
-    """Engines of one model, callers, and daemons that may lead them."""
+    """Engines of one model, callers, and daemons that lead its roll-outs."""
 
     def __init__(self, *, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -70,10 +70,10 @@
         )
         self.promises = weights_promises.Promises(self.engines)
         self.table = fakes.TableFake(self.rng)
-        self.is_pressed = True
+        self.has_backlog = True
         self.late_orders = False
-        # Who gave the last order.
-        self.holder = ""
+        # Daemon that sent the last order.
+        self.last_holder = ""
         self._tasks: set[asyncio.Task] = set()
         self._ticks = 0
         self.daemons: list[Daemon] = []
@@ -93,22 +93,24 @@
         return self.loop.time()
 
     def start_daemon(self) -> None:
-        """Starts one more daemon, which knows nothing of before."""
+        """Starts one more daemon, without state of earlier ones."""
         started = sum(daemon.number + 1 for daemon in self.daemons[-1:])
         self.daemons.append(Daemon(self, started))
 
     def members(self) -> list[view.Member]:
-        """Returns the daemons that are believed to live."""
+        """Returns the daemons that are believed to be alive."""
         return [daemon.me for daemon in self.daemons if daemon.is_listed]
 
     def running(self) -> list[Daemon]:
-        """Returns the daemons that run."""
-        return [daemon for daemon in self.daemons if daemon.runs]
-
-    def behind(self) -> list[str]:
-        """Returns the engines that lack the weights wanted now."""
-        wanted = self.promises.last_named
-        return [one.name for one in self.engines if one.version != wanted]
+        """Returns the daemons that are running."""
+        return [daemon for daemon in self.daemons if daemon.is_running]
+
+    def outdated_engines(self) -> list[str]:
+        """Returns the engines that lack the version published last."""
+        desired = self.promises.last_version
+        return [
+            engine.name for engine in self.engines if engine.version != desired
+        ]
 
     async def _tick(self) -> None:
         while True:
@@ -118,26 +120,26 @@
             self.engines.tick(now_s)
             for daemon in self.running():
                 daemon.tick(self._ticks)
-            self._send_work(now_s)
-            self.promises.look(now_s)
+            self._send_requests(now_s)
+            self.promises.check(now_s)
 
-    def _send_work(self, now_s: float) -> None:
+    def _send_requests(self, now_s: float) -> None:
         daemons = [
             daemon
             for daemon in self.running()
-            if now_s - daemon.started_s >= JOIN_S
+            if now_s - daemon.started_s >= JOIN_DELAY_S
         ]
         for engine in self.engines:
-            is_chosen = self.rng.random() < REQUEST_PART
-            if not daemons or not is_chosen or engine.is_dark(now_s):
+            is_chosen = self.rng.random() < REQUEST_SHARE
+            if not daemons or not is_chosen or engine.is_unreachable(now_s):
                 continue
             if self.rng.choice(daemons).may_use(engine.name):
-                self.promises.worked(engine, now_s)
-                self.engines.run(engine, now_s)
+                self.promises.check_request(engine, now_s)
+                self.engines.start_request(engine, now_s)
 
 
 class Daemon:
-    """One daemon that may lead the model; may be paused, cut and killed."""
+    """One daemon that may lead; it can be paused, cut off and killed."""
 
     def __init__(self, fleet: LargeFleet, number: int) -> None:
         self.fleet = fleet
@@ -145,10 +147,10 @@
         self.clock = fleet.clock
         self.gate = fakes.Gate()
         self.started_s = fleet.now_s()
-        self.runs = True
+        self.is_running = True
         self.is_dead = False
         self.is_listed = True
-        self.way = leads.CutTable(
+        self.store_connection = leads.CutTable(
             fakes.PausableTable(fleet.table, self.gate, fleet)
         )
         self.me = view.Member(
@@ -157,48 +159,48 @@
             http_address=f"127.0.0.1:{2 * number + 2}",
             failure_domain="a",
         )
-        self.learns_after_s = fleet.rng.uniform(0.05, 0.4)
-        self.known = 0
+        self.propagation_delay_s = fleet.rng.uniform(0.05, 0.4)
+        self.known_version = 0
         self.core = router.Router.from_config(
             daemon=self.me.member_id,
             policy=policy.Policy(old_weights_limit_ms=USE_LIMIT_MS),
         )
-        self._learn(fleet.promises.last_named)
+        self._apply_version(fleet.promises.last_version)
         for engine in fleet.engines:
-            self._list(engine)
+            self._list_engine(engine)
         self.lead = GatedLeader(
             gate=self.gate,
             core=self,
-            client=Client(self),
-            service=self.way,
+            client=EngineClient(self),
+            service=self.store_connection,
             members=types.SimpleNamespace(me=self.me, serving=fleet.members),
-            news=News(self),
+            news=PeerUpdates(self),
             policy=lease.LeasePolicy(lease_ms=sent_orders.LEASE_MS),
             rollout_policy=ROLLOUT_POLICY,
         )
         self.task = fleet.spawn(self.lead.lead_forever(step_ms=LEAD_STEP_MS))
 
-    def submit(self, told) -> None:
-        """Hands an input to the core."""
-        self.core.step(told)
+    def submit(self, input_) -> None:
+        """Submits an input to the core."""
+        self.core.step(input_)
 
     def pause(self) -> None:
-        """Stops it, as SIGSTOP does."""
-        self.runs = False
+        """Pauses it, as SIGSTOP does."""
+        self.is_running = False
         self.gate.pause()
 
     def resume(self) -> None:
-        """Lets it go on, unless it was killed meanwhile."""
+        """Resumes it, unless it was killed in the meantime."""
         if not self.is_dead:
-            self.runs = True
+            self.is_running = True
             self.gate.resume()
 
     async def kill(self) -> None:
-        """Ends it; nothing that it was about to do happens."""
+        """Ends it without completing any pending action."""
         self.is_dead = True
         self.pause()
         self.task.cancel()
-        await asyncio.sleep(DEATH_NOTICE_S)
+        await asyncio.sleep(FAILURE_DETECTION_S)
         self.is_listed = False
 
     def may_use(self, name: str) -> bool:
@@ -209,20 +211,23 @@
         return free_ms <= world.now_ms and not weights.are_too_old(world, row)
 
     def tick(self, ticks: int) -> None:
-        """Hears of time, namings, waiting prompts and engines."""
+        """Submits the time, new versions, backlogs and engine reports."""
         now_s = self.fleet.now_s()
         self.submit(inputs.Tick(self.clock.now_ms()))
-        for version, named_s in self.fleet.promises.named_s.items():
-            if version > self.known and now_s >= named_s + self.learns_after_s:
-                self._learn(version)
+        for version, published_s in self.fleet.promises.published_s.items():
+            if (
+                version > self.known_version
+                and now_s >= published_s + self.propagation_delay_s
+            ):
+                self._apply_version(version)
         for number, engine in enumerate(self.fleet.engines):
-            self._see(engine, now_s)
+            self._observe_engine(engine, now_s)
             is_due = (ticks + number) % REPORT_TICKS == 0
-            if is_due and not engine.is_dark(now_s):
-                self.submit(self._report(engine))
+            if is_due and not engine.is_unreachable(now_s):
+                self.submit(self._load_report(engine))
 
-    def _learn(self, version: int) -> None:
-        self.known = version
+    def _apply_version(self, version: int) -> None:
+        self.known_version = version
         self.submit(
             inputs.TableChanged(
                 self.clock.now_ms(),
@@ -230,7 +235,7 @@
             )
         )
 
-    def _list(self, engine: loading_engines.Engine) -> None:
+    def _list_engine(self, engine: loading_engines.Engine) -> None:
         self.submit(
             server_inputs.ServerListed(
                 at_ms=self.clock.now_ms(),
@@ -243,21 +248,25 @@
             )
         )
 
-    def _see(self, engine: loading_engines.Engine, now_s: float) -> None:
+    def _observe_engine(
+        self, engine: loading_engines.Engine, now_s: float
+    ) -> None:
         row = self.core.world.servers[engine.name]
         now_ms = self.clock.now_ms()
-        if engine.is_dark(now_s - NOTICE_S) and engine.is_dark(now_s):
-            row.ejected_until_ms = now_ms + round(NOTICE_S * 1000)
-        if self.fleet.is_pressed and row.draining_until_ms <= now_ms:
-            row.backlog_until_ms[0] = float(now_ms + WAITING_MS)
-
-    def _report(self, engine: loading_engines.Engine):
+        if engine.is_unreachable(
+            now_s - EJECTION_DELAY_S
+        ) and engine.is_unreachable(now_s):
+            row.ejected_until_ms = now_ms + round(EJECTION_DELAY_S * 1000)
+        if self.fleet.has_backlog and row.draining_until_ms <= now_ms:
+            row.backlog_until_ms[0] = float(now_ms + BACKLOG_MS)
+
+    def _load_report(self, engine: loading_engines.Engine):
         return server_inputs.LoadReported(
             at_ms=self.clock.now_ms(),
             server_id=engine.name,
             incarnation=engine.incarnation,
             weights_version=str(engine.version),
-            running=len(engine.ends_s),
+            running=len(engine.request_ends_s),
             waiting=0,
             waiting_tokens=0,
             prefill_us_per_token=0,
@@ -266,46 +275,46 @@
 
 
 class GatedLeader(lead.Leader):
-    """The product's leader, which takes no step while its daemon is paused."""
+    """The real leader, which takes no step while its daemon is paused."""
 
-    def __init__(self, *, gate: fakes.Gate, **parts) -> None:
-        super().__init__(**parts)
+    def __init__(self, *, gate: fakes.Gate, **components) -> None:
+        super().__init__(**components)
         self._gate = gate
 
     async def step(self, model: str) -> None:
-        """Takes a step once the daemon runs."""
-        await self._gate.passed()
+        """Takes a step once the daemon is running."""
+        await self._gate.wait_until_open()
         await super().step(model)
 
 
-class News:
-    """Tells the other daemons at once; one that is paused hears nothing."""
+class PeerUpdates:
+    """Delivers updates immediately to all other running daemons."""
 
     def __init__(self, daemon: Daemon) -> None:
         self.daemon = daemon
 
     def publish_draining(self, server_id, target) -> None:
-        """A drain is told."""
+        """Publishes a drain."""
         del target
         now_ms = self.daemon.clock.now_ms()
-        self._tell(
+        self._publish(
             server_inputs.ServerDraining(
                 now_ms, server_id, now_ms + news.DRAIN_MS
             )
         )
 
     def publish_load(self, load, target, *, now=False) -> None:
-        """A load report is told."""
+        """Publishes a load report."""
         del target, now
-        self._tell(load)
+        self._publish(load)
 
-    def _tell(self, told) -> None:
+    def _publish(self, update) -> None:
         for other in self.daemon.fleet.running():
             if other is not self.daemon:
-                other.submit(told)
+                other.submit(update)
 
 
-class Client:
+class EngineClient:
     """One daemon's calls to the engines."""
 
     def __init__(self, daemon: Daemon) -> None:
@@ -313,40 +322,40 @@
         self.fleet = daemon.fleet
 
     async def load(self, address, *, server_id=""):
-        """Returns an engine's report."""
+        """Returns an engine's load report."""
         del address
         engine = self.fleet.engines.engines[server_id]
-        await self.daemon.gate.passed()
-        await asyncio.sleep(CALL_S)
-        if engine.is_dark(self.fleet.now_s()):
-            return await self._silence("load", server_id)
-        got = backend.EngineLoad(
+        await self.daemon.gate.wait_until_open()
+        await asyncio.sleep(CALL_DELAY_S)
+        if engine.is_unreachable(self.fleet.now_s()):
+            return await self._time_out("load", server_id)
+        report = backend.EngineLoad(
             incarnation=engine.incarnation,
             weights_version=str(engine.version),
-            running=len(engine.ends_s),
+            running=len(engine.request_ends_s),
             waiting=0,
             slots=16,
-            orders_taken=engine.taken,
+            orders_taken=engine.accepted_orders,
         )
-        await self.daemon.gate.passed()
-        return Ok(got)
+        await self.daemon.gate.wait_until_open()
+        return Ok(report)
 
     async def order(self, address, order: backend.Order):
-        """Takes an order; some are carried out long after."""
+        """Sends an order; if late orders are on, some execute much later."""
         del address
         engine = self.fleet.engines.engines[order.server_id]
         sent = sent_orders.SentOrder(
             order.holder, order.fencing, self.fleet.now_s()
         )
-        self.fleet.promises.ordered(engine, sent)
-        self.fleet.holder = order.holder
-        await asyncio.sleep(CALL_S)
-        if engine.is_dark(self.fleet.now_s()):
-            return await self._silence("order", order.server_id)
+        self.fleet.promises.record_order(engine, sent)
+        self.fleet.last_holder = order.holder
+        await asyncio.sleep(CALL_DELAY_S)
+        if engine.is_unreachable(self.fleet.now_s()):
+            return await self._time_out("order", order.server_id)
         if self.fleet.late_orders and self.fleet.rng.random() < 0.3:
-            self.fleet.spawn(self._carry_out_late(engine, order))
-            return await self._silence("order", order.server_id)
-        if self._carry_out(engine, order, is_late=False):
+            self.fleet.spawn(self._execute_late(engine, order))
+            return await self._time_out("order", order.server_id)
+        if self._execute(engine, order, is_late=False):
             return Ok(None)
         return Err(
             backend.BackendError(
@@ -354,29 +363,27 @@
             )
         )
 
-    async def _silence(self, step: str, peer: str) -> Err:
-        await asyncio.sleep(CALL_LIMIT_S)
-        await self.daemon.gate.passed()
+    async def _time_out(self, step: str, peer: str) -> Err:
+        await asyncio.sleep(CALL_TIMEOUT_S)
+        await self.daemon.gate.wait_until_open()
         return Err(
             backend.BackendError(step=step, peer=peer, detail="no answer")
         )
 
-    async def _carry_out_late(self, engine, order: backend.Order) -> None:
-        born_ms = engine.born_ms
-        with self.fleet.promises.trouble("late order"):
+    async def _execute_late(self, engine, order: backend.Order) -> None:
+        started_at_ms = engine.started_at_ms
+        with self.fleet.promises.disturbance("late order"):
             await asyncio.sleep(self.fleet.rng.uniform(0.5, 8.0))
-            if engine.born_ms == born_ms:
-                self._carry_out(engine, order, is_late=True)
-
-    def _carry_out(
-        self, engine, order: backend.Order, *, is_late: bool
-    ) -> bool:
-        """Returns whether it is taken, or holds already."""
-        is_next = order.orders_taken in (-1, engine.taken)
-        if engine.loads or not is_next:
+            if engine.started_at_ms == started_at_ms:
+                self._execute(engine, order, is_late=True)
+
+    def _execute(self, engine, order: backend.Order, *, is_late: bool) -> bool:
+        """Returns whether the order is accepted or already fulfilled."""
+        is_next = order.orders_taken in (-1, engine.accepted_orders)
+        if engine.loading_version or not is_next:
             return False
         version = int(order.value)
         if version != engine.version:
-            load_s = self.fleet.engines.load_s()
-            engine.take(version, load_s=load_s, is_late=is_late)
+            load_s = self.fleet.engines.draw_load_s()
+            engine.accept(version, load_s=load_s, is_late=is_late)
         return True
--- a/tests/sim/leads.py
+++ b/tests/sim/leads.py
@@ -1,4 +1,4 @@
-"""Leads of one model on virtual time: cuts, pauses and late orders."""
+"""Simulation of daemons that lead one model: cuts, pauses, late orders."""
 
 from __future__ import annotations
 
@@ -14,48 +14,48 @@
 
 STEP_S = 0.1
 LOAD_S = 0.6
-# Orders that arrive so soon after a pause of their sender are no fault of it:
-# it was stopped between its last look at the clock and the sending.
-THAW_S = 0.3
+# Orders sent so soon after a pause of the sender are not checked: it was paused
+# between its last look at the clock and sending.
+RESUME_GRACE_S = 0.3
 
 
 @dataclasses.dataclass
 class FakeReplica:
-    """One replica: what it runs, when it loads, and who ordered it."""
+    """One replica with its version, running requests and received orders."""
 
     name: str
     version: str = "1"
-    busy: int = 0
+    running: int = 0
     loading: bool = False
-    draining_until: float = 0.0
-    born: int = 1
-    taken: int = 0
-    ordered: list[sent_orders.SentOrder] = dataclasses.field(
+    draining_until_s: float = 0.0
+    incarnation: int = 1
+    accepted_orders: int = 0
+    orders: list[sent_orders.SentOrder] = dataclasses.field(
         default_factory=list
     )
 
 
 class CutTable:
-    """One daemon's way to the table service, which may be cut."""
+    """One daemon's connection to the table service, which may be cut."""
 
     def __init__(self, table: fakes.PausableTable) -> None:
         self.table = table
-        self.cut = False
+        self.is_cut = False
 
     async def transact(self, conditions, writes):
-        """Makes a transaction."""
-        if self.cut:
-            return _turned_away("transact")
+        """Sends a transaction; fails at once if the connection is cut."""
+        if self.is_cut:
+            return _refuse("transact")
         return await self.table.transact(conditions, writes)
 
     async def read(self, row_id):
-        """Reads a row."""
-        if self.cut:
-            return _turned_away("read")
+        """Reads a row; fails at once if the connection is cut."""
+        if self.is_cut:
+            return _refuse("read")
         return await self.table.read(row_id)
 
 
-def _turned_away(step: str) -> Err:
+def _refuse(step: str) -> Err:
     return Err(
         platform.PlatformError(
             step=step, peer="fake", detail="status 503", may_have_run=False
@@ -64,24 +64,24 @@
 
 
 class LeadWorld:
-    """Replicas, and daemons that may lead them."""
+    """Replicas of one model, and daemons that lead its roll-outs."""
 
     def __init__(self, *, seed: int, replicas: int, leads: int) -> None:
         self.rng = random.Random(seed)
         self.loop = asyncio.get_running_loop()
         self.clock = loop.LoopClock(self.loop)
         self.table = fakes.TableFake(self.rng)
-        self.wanted = "1"
-        self.wanted_since_s = 0.0
+        self.desired_version = "1"
+        self.desired_since_s = 0.0
         self.replicas = [FakeReplica(f"r{n}") for n in range(replicas)]
-        self.wrong: list[str] = []
-        self.two_at_once: list[str] = []
+        self.violations: list[str] = []
+        self.lease_conflicts: list[str] = []
         self.late_orders = False
-        self.in_force_s: dict[str, float] = {}
+        self.rollout_s: dict[str, float] = {}
         self._tasks: set[asyncio.Task] = set()
         self.leads = [FakeLead(self, f"d{n}") for n in range(leads)]
-        self.spawn(self._traffic())
-        self.spawn(self._look())
+        self.spawn(self._send_requests())
+        self.spawn(self._check())
 
     def spawn(self, job) -> asyncio.Task:
         """Starts a task."""
@@ -90,82 +90,94 @@
         task.add_done_callback(self._tasks.discard)
         return task
 
-    def name_weights(self, version: str) -> None:
-        """Names a version, as the operator does."""
-        self.wanted = version
-        self.wanted_since_s = self.loop.time()
+    def publish_weights(self, version: str) -> None:
+        """Publishes a version, as an operator does."""
+        self.desired_version = version
+        self.desired_since_s = self.loop.time()
 
-    def sent(self, replica: FakeReplica, order: sent_orders.SentOrder) -> None:
-        """Checks an order against those that other holders sent before."""
-        self.two_at_once += sent_orders.conflicts(
-            replica.name, replica.ordered, order
+    def check_order(
+        self, replica: FakeReplica, order: sent_orders.SentOrder
+    ) -> None:
+        """Checks an order against earlier orders of other holders."""
+        self.lease_conflicts += sent_orders.conflicts(
+            replica.name, replica.orders, order
         )
-        replica.ordered.append(order)
+        replica.orders.append(order)
 
     async def load(
-        self, replica: FakeReplica, version: str, born: int, expected: int
+        self,
+        replica: FakeReplica,
+        version: str,
+        incarnation: int,
+        expected: int,
     ) -> None:
-        """Carries out an order, whoever gave it."""
+        """Executes an order from any sender."""
         is_late = self.late_orders and self.rng.random() < 0.3
         if is_late:
-            # Carried out after its drain: what it cuts then is no holder's
-            # doing.
+            # Executed after its drain: interrupting requests then is not a
+            # fault of the holder.
             await asyncio.sleep(self.rng.uniform(0.5, 8.0))
-        if (replica.born, replica.taken) != (born, expected):
+        if (replica.incarnation, replica.accepted_orders) != (
+            incarnation,
+            expected,
+        ):
             return
-        replica.taken += 1
-        if replica.busy and not is_late:
-            self.wrong.append(f"{replica.name} cut {replica.busy} requests")
+        replica.accepted_orders += 1
+        if replica.running and not is_late:
+            self.violations.append(
+                f"{replica.name} interrupted {replica.running} requests"
+            )
         replica.loading = True
         await asyncio.sleep(LOAD_S)
-        if replica.born == born:
+        if replica.incarnation == incarnation:
             replica.version = version
             replica.loading = False
 
     def restart(self, replica: FakeReplica) -> None:
-        """Starts a replica again under its id, with the weights it had."""
-        replica.born += 1
-        replica.taken = 0
+        """Restarts a replica under its id, with the weights it had."""
+        replica.incarnation += 1
+        replica.accepted_orders = 0
         replica.loading = False
-        replica.busy = 0
+        replica.running = 0
 
-    async def _traffic(self) -> None:
-        """Sends work to replicas that are not drained."""
+    async def _send_requests(self) -> None:
+        """Sends requests to replicas that are not draining."""
         while True:
             await asyncio.sleep(0.05)
             for replica in self.replicas:
-                drained = self.loop.time() < replica.draining_until
-                if not drained and self.rng.random() < 0.3:
-                    self.spawn(self._request(replica, replica.born))
+                is_draining = self.loop.time() < replica.draining_until_s
+                if not is_draining and self.rng.random() < 0.3:
+                    self.spawn(self._request(replica, replica.incarnation))
 
-    async def _request(self, replica: FakeReplica, born: int) -> None:
-        replica.busy += 1
+    async def _request(self, replica: FakeReplica, incarnation: int) -> None:
+        replica.running += 1
         await asyncio.sleep(self.rng.uniform(0.1, 0.6))
-        if replica.born == born:
-            replica.busy -= 1
+        if replica.incarnation == incarnation:
+            replica.running -= 1
 
-    async def _look(self) -> None:
+    async def _check(self) -> None:
         while True:
             await asyncio.sleep(0.02)
             loading = sum(r.loading for r in self.replicas)
             if loading > pacing.MIN_STORE_LOADS:
-                self.wrong.append(f"{loading} load at once")
+                self.violations.append(f"{loading} loading at once")
             for replica in self.replicas:
-                able = [
+                holders = [
                     lead.name
                     for lead in self.leads
                     if not lead.paused and lead.lease.may_send(replica.name)
                 ]
-                if len(able) > 1:
-                    self.two_at_once.append(f"{replica.name}: {able}")
-            if all(r.version == self.wanted for r in self.replicas):
-                self.in_force_s.setdefault(
-                    self.wanted, self.loop.time() - self.wanted_since_s
+                if len(holders) > 1:
+                    self.lease_conflicts.append(f"{replica.name}: {holders}")
+            if all(r.version == self.desired_version for r in self.replicas):
+                self.rollout_s.setdefault(
+                    self.desired_version,
+                    self.loop.time() - self.desired_since_s,
                 )
 
 
 class FakeLead:
-    """One daemon that may lead the model; may be paused, cut and killed."""
+    """One daemon that may lead; it can be paused and cut off."""
 
     def __init__(self, world: LeadWorld, name: str) -> None:
         self.world = world
@@ -173,78 +185,80 @@
         self.gate = fakes.Gate()
         self.paused = False
         self.paused_until_s = -1.0
-        self.way = CutTable(fakes.PausableTable(world.table, self.gate, world))
+        self.store_connection = CutTable(
+            fakes.PausableTable(world.table, self.gate, world)
+        )
         self.lease = lease.Lease(
-            service=self.way,
+            service=self.store_connection,
             name="rulebook",
             holder=name,
             policy=lease.LeasePolicy(lease_ms=sent_orders.LEASE_MS),
             clock=world.clock,
         )
         self.rollout = rollout.Rollout()
-        self._behind: tuple[object, float] = (None, 0.0)
+        self._outdated_state: tuple[object, float] = (None, 0.0)
         self.task = world.spawn(self._run())
 
     def pause(self) -> None:
-        """Stops it."""
+        """Pauses it."""
         self.paused = True
         self.gate.pause()
 
     def resume(self) -> None:
-        """Lets it go on."""
+        """Resumes it."""
         self.paused = False
         self.paused_until_s = self.world.loop.time()
         self.gate.resume()
 
     async def _run(self) -> None:
         while True:
-            await self.gate.passed()
-            if self._is_behind() and await self._has_turn():
-                await self._roll()
+            await self.gate.wait_until_open()
+            if self._has_outdated() and await self._acquire_lead():
+                await self._roll_out()
             await asyncio.sleep(STEP_S)
 
-    def _is_behind(self) -> bool:
+    def _has_outdated(self) -> bool:
         world = self.world
-        behind = frozenset(
-            r.name for r in world.replicas if r.version != world.wanted
+        outdated = frozenset(
+            r.name for r in world.replicas if r.version != world.desired_version
         )
-        state = (world.wanted, behind)
-        if self._behind[0] != state:
-            self._behind = (state, world.loop.time())
-        return bool(behind)
+        state = (world.desired_version, outdated)
+        if self._outdated_state[0] != state:
+            self._outdated_state = (state, world.loop.time())
+        return bool(outdated)
 
-    async def _has_turn(self) -> bool:
+    async def _acquire_lead(self) -> bool:
         if self.lease.is_own:
             return True
-        if not self._is_turn():
+        if not self._may_order():
             return False
-        return await self.lease.refresh() and self._is_turn()
+        return await self.lease.refresh() and self._may_order()
 
-    def _is_turn(self) -> bool:
+    def _may_order(self) -> bool:
         world = self.world
         ranked = [lead.name for lead in world.leads]
-        unchanged_s = world.loop.time() - self._behind[1]
+        unchanged_s = world.loop.time() - self._outdated_state[1]
         return takeover.may_order(
             daemons_before=takeover.rank(self.name, self.lease.holder, ranked),
             unchanged_ms=round(unchanged_s * 1000),
             idle_ms=self.lease.idle_ms(),
         )
 
-    async def _roll(self) -> None:
+    async def _roll_out(self) -> None:
         world = self.world
-        wanted = world.wanted
-        known = [
+        desired_version = world.desired_version
+        replicas = [
             rollout.Replica(
                 server_id=r.name,
-                incarnation=str(r.born),
+                incarnation=str(r.incarnation),
                 weights_version=r.version,
-                busy=r.busy + r.loading,
+                busy=r.running + r.loading,
             )
             for r in world.replicas
         ]
         decision = self.rollout.decide(
-            desired_version=wanted,
-            replicas=known,
+            desired_version=desired_version,
+            replicas=replicas,
             now_ms=world.clock.now_ms(),
             held_by_others=self.lease.held_by_others(),
         )
@@ -262,11 +276,11 @@
             return
         by_name = {r.name: r for r in world.replicas}
         for name in decision.draining:
-            by_name[name].draining_until = world.loop.time() + 3.0
+            by_name[name].draining_until_s = world.loop.time() + 3.0
         for name in ready:
-            self._order(by_name[name], wanted)
+            self._order(by_name[name], desired_version)
 
-    def _order(self, replica: FakeReplica, wanted: str) -> None:
+    def _order(self, replica: FakeReplica, desired_version: str) -> None:
         world = self.world
         if not self.lease.may_send(replica.name):
             return
@@ -274,17 +288,24 @@
         order = sent_orders.SentOrder(
             self.name, self.lease.fencing, world.loop.time()
         )
-        if world.loop.time() - self.paused_until_s > THAW_S:
-            world.sent(replica, order)
-        world.spawn(world.load(replica, wanted, replica.born, replica.taken))
+        if world.loop.time() - self.paused_until_s > RESUME_GRACE_S:
+            world.check_order(replica, order)
+        world.spawn(
+            world.load(
+                replica,
+                desired_version,
+                replica.incarnation,
+                replica.accepted_orders,
+            )
+        )
 
 
 async def random_session(seed: int) -> LeadWorld:
-    """Three daemons may lead; they are paused and cut, the service fails."""
+    """Pauses and cuts off three daemons that may lead; the service fails."""
     world = LeadWorld(seed=seed, replicas=5, leads=3)
     rng = random.Random(seed)
     await asyncio.sleep(6)
-    world.name_weights("2")
+    world.publish_weights("2")
     for number in range(8):
         lead = rng.choice(world.leads)
         await asyncio.sleep(rng.uniform(0.1, 3))
@@ -300,8 +321,8 @@
             case 2:
                 world.table.faults.lose_reply = 0.3
             case 3:
-                lead.way.cut = True
-                world.spawn(_mend(lead, rng.uniform(0.5, 12)))
+                lead.store_connection.is_cut = True
+                world.spawn(_reconnect(lead, rng.uniform(0.5, 12)))
             case 4:
                 world.restart(rng.choice(world.replicas))
             case 5:
@@ -309,27 +330,27 @@
             case 6:
                 world.table.faults.late_apply = 0.2
         if rng.random() < 0.4:
-            world.name_weights(f"2.{number}")
+            world.publish_weights(f"2.{number}")
     faults = world.table.faults
     faults.lose_reply = faults.late_apply = 0.0
     world.late_orders = False
-    world.name_weights("3")
+    world.publish_weights("3")
     await asyncio.sleep(90)
     return world
 
 
-async def _mend(lead: FakeLead, after_s: float) -> None:
+async def _reconnect(lead: FakeLead, after_s: float) -> None:
     await asyncio.sleep(after_s)
-    lead.way.cut = False
+    lead.store_connection.is_cut = False
 
 
-async def cut_holder_session() -> LeadWorld:
-    """The holder is turned away by the service just before a naming."""
+async def disconnected_holder_session() -> LeadWorld:
+    """Cuts the lease holder off from the service just before a publication."""
     world = LeadWorld(seed=1, replicas=5, leads=3)
     await asyncio.sleep(1)
-    world.name_weights("2")
+    world.publish_weights("2")
     await asyncio.sleep(8)
-    world.leads[0].way.cut = True
-    world.name_weights("3")
+    world.leads[0].store_connection.is_cut = True
+    world.publish_weights("3")
     await asyncio.sleep(10)
     return world
--- a/tests/sim/loop.py
+++ b/tests/sim/loop.py
@@ -6,7 +6,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Runs hours of timers in a moment, the same way each time."""
+    """Runs timers deterministically and without waiting for them."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -17,14 +17,14 @@
         return self._now_s
 
     def _run_once(self) -> None:
-        # asyncio has no public hook between two rounds of the loop.
+        # asyncio has no public hook between two iterations of the loop.
         if not self._ready and self._scheduled:
             self._now_s = max(self._now_s, self._scheduled[0].when())
         super()._run_once()
 
 
 class LoopClock:
-    """The product's clock on the loop's time."""
+    """Implements the daemon's clock on the virtual time of a loop."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, *, wall_offset_ms: int = 0
@@ -37,7 +37,7 @@
         return round(self._loop.time() * 1000)
 
     def wall_ms(self) -> int:
-        """Returns virtual milliseconds as a wrong wall clock shows them."""
+        """Returns virtual milliseconds plus the wall clock's error."""
         return self.now_ms() + self._wall_offset_ms
 
 
--- a/tests/sim/recordings.py
+++ b/tests/sim/recordings.py
@@ -18,19 +18,19 @@
 
 
 class Script:
-    """One core with its recording; time moves by hand."""
+    """Steps and records one core; the script sets the time."""
 
-    def __init__(self, story: str, **numbers: int) -> None:
+    def __init__(self, description: str, **numbers: int) -> None:
         self.text = io.StringIO()
-        for line in story.strip().splitlines():
+        for line in description.strip().splitlines():
             self.text.write(f"# {line.strip()}\n")
         core = router.Router.from_config(
             daemon="d1@1", policy=policy.Policy(**numbers)
         )
         self.core = core
         self.recorder = record.Recorder(core, self.text)
-        self.at_ms = 0
-        self.made: list[effects.Effect] = []
+        self.now_ms = 0
+        self.effects: list[effects.Effect] = []
         table = model.Table.from_rows(
             version=1,
             rows=[
@@ -39,32 +39,32 @@
                 model.ServiceRow(name="portal"),
             ],
         )
-        self.tell(inputs.TableChanged(0, table))
-        self.tell(inputs.RightToServe(0, FOREVER_MS))
+        self.step(inputs.TableChanged(0, table))
+        self.step(inputs.RightToServe(0, FOREVER_MS))
 
-    def tell(self, told: inputs.Input) -> list[effects.Effect]:
-        """Gives the core one input."""
-        made = self.core.step(told)
-        self.recorder.record_step(told, made)
-        self.made.extend(made)
-        return made
+    def step(self, input_: inputs.Input) -> list[effects.Effect]:
+        """Steps the core with one input and records it."""
+        caused = self.core.step(input_)
+        self.recorder.record_step(input_, caused)
+        self.effects.extend(caused)
+        return caused
 
     def tick(self, *, after_ms: int) -> list[effects.Effect]:
-        """Lets time pass and runs the upkeep."""
-        self.at_ms += after_ms
-        return self.tell(inputs.Tick(self.at_ms))
+        """Advances time and submits a tick."""
+        self.now_ms += after_ms
+        return self.step(inputs.Tick(self.now_ms))
 
-    def server(self, name: str, target: str, **load: int) -> None:
-        """Makes a backend server known."""
-        self.tell(
+    def list_server(self, name: str, target: str, **load: int) -> None:
+        """Lists a backend server and reports its load."""
+        self.step(
             server_inputs.ServerListed(
-                at_ms=self.at_ms, server_id=name, address=name, target=target
+                at_ms=self.now_ms, server_id=name, address=name, target=target
             )
         )
         self.report(name, **load)
 
     def report(self, name: str, *, incarnation: str = "i1", **load: int):
-        """Tells a server's load."""
+        """Submits a load report of a server."""
         numbers = {
             "running": 0,
             "waiting": 0,
@@ -73,9 +73,9 @@
             "slots": 16,
             **load,
         }
-        self.tell(
+        self.step(
             server_inputs.LoadReported(
-                at_ms=self.at_ms,
+                at_ms=self.now_ms,
                 server_id=name,
                 incarnation=incarnation,
                 weights_version="1",
@@ -83,11 +83,11 @@
             )
         )
 
-    def ask(self, request_id: str, **more) -> None:
-        """Lets a generation arrive."""
-        self.tell(
+    def submit_generation(self, request_id: str, **more) -> None:
+        """Submits a generation request."""
+        self.step(
             inputs.RequestArrived(
-                self.at_ms,
+                self.now_ms,
                 request_id,
                 work.Work(
                     kind=work.WorkKind.GENERATION,
@@ -101,11 +101,11 @@
             )
         )
 
-    def submit(self, request_id: str, key: str) -> None:
-        """Lets a call arrive that may not be repeated."""
-        self.tell(
+    def submit_call(self, request_id: str, key: str) -> None:
+        """Submits a call that must run at most once."""
+        self.step(
             inputs.RequestArrived(
-                self.at_ms,
+                self.now_ms,
                 request_id,
                 work.Work(
                     kind=work.WorkKind.PLAIN,
@@ -119,27 +119,29 @@
 
     def dispatches(self) -> list[effects.Dispatch]:
         """Returns all dispatches so far."""
-        return [e for e in self.made if isinstance(e, effects.Dispatch)]
+        return [e for e in self.effects if isinstance(e, effects.Dispatch)]
 
     def open(self, dispatch: effects.Dispatch) -> None:
-        """Lets an attempt's head come, with the state expected."""
-        self.tell(
+        """Opens an attempt's answer, with the expected stamp."""
+        self.step(
             inputs.AttemptOpened(
-                self.at_ms,
+                self.now_ms,
                 dispatch.attempt_id,
                 dispatch.resume_stream or dispatch.attempt_id,
                 dispatch.stamp,
             )
         )
 
-    def frames(self, dispatch, first: int, last: int, *, end=False, by=""):
-        """Lets frames of an attempt come."""
-        self.tell(
+    def frames(self, dispatch, first: int, last: int, *, end=False, label=""):
+        """Submits frames of an attempt."""
+        self.step(
             inputs.FramesArrived(
-                self.at_ms,
+                self.now_ms,
                 dispatch.attempt_id,
                 tuple(
-                    work.Frame(n, f"{by or 'f'}{n}".encode(), end and n == last)
+                    work.Frame(
+                        n, f"{label or 'f'}{n}".encode(), end and n == last
+                    )
                     for n in range(first, last + 1)
                 ),
             )
@@ -147,66 +149,66 @@
 
 
 def late_first_engine() -> Script:
-    """An engine answers after its request went to another one."""
+    """An engine answers after its request was sent to another one."""
     script = Script(
         """An engine is silent before its first frame; the request goes to
         another engine; then the first engine's frames arrive and are dropped.
         """,
         first_frame_ms=1000,
     )
-    script.server("engine-1", "rulebook")
-    script.server("engine-2", "rulebook")
-    script.ask("r1")
+    script.list_server("engine-1", "rulebook")
+    script.list_server("engine-2", "rulebook")
+    script.submit_generation("r1")
     first = script.dispatches()[0]
     script.tick(after_ms=1000)
     second = script.dispatches()[1]
     script.open(second)
-    script.frames(second, 1, 2, by="second")
-    script.at_ms += 5
+    script.frames(second, 1, 2, label="second")
+    script.now_ms += 5
     script.open(first)
-    script.frames(first, 1, 4, by="first")
-    script.frames(second, 3, 5, end=True, by="second")
-    script.frames(first, 5, 9, end=True, by="first")
+    script.frames(first, 1, 4, label="first")
+    script.frames(second, 3, 5, end=True, label="second")
+    script.frames(first, 5, 9, end=True, label="first")
     return script
 
 
 def cancel_races_answer() -> Script:
-    """The caller goes away while its last frames arrive."""
+    """The caller disconnects while its last frames arrive."""
     script = Script(
         """The caller goes away; frames already read from the engine's
         connection arrive after that, then the attempt's failure.
         """
     )
-    script.server("engine-1", "rulebook")
-    script.ask("r1")
+    script.list_server("engine-1", "rulebook")
+    script.submit_generation("r1")
     attempt = script.dispatches()[0]
     script.open(attempt)
     script.frames(attempt, 1, 3)
-    script.at_ms += 5
-    script.tell(inputs.CallerGone(script.at_ms, "r1"))
+    script.now_ms += 5
+    script.step(inputs.CallerGone(script.now_ms, "r1"))
     script.frames(attempt, 4, 6, end=True)
-    script.tell(
+    script.step(
         inputs.AttemptFailed(
-            script.at_ms,
+            script.now_ms,
             attempt.attempt_id,
             inputs.FailurePhase.SENT,
             inputs.FailureCause.BROKEN,
             "cancelled",
         )
     )
-    script.ask("r2")
+    script.submit_generation("r2")
     return script
 
 
 def crossed_frames() -> Script:
-    """Frames doubled, crossed and missing, then the rest after a resumption."""
+    """Frames are duplicated and missing; a resumption brings the rest."""
     script = Script(
         """Frames come doubled and one is missing: the stream is resumed on a
         fresh connection behind the last frame in order.
         """
     )
-    script.server("engine-1", "rulebook")
-    script.ask("r1")
+    script.list_server("engine-1", "rulebook")
+    script.submit_generation("r1")
     attempt = script.dispatches()[0]
     script.open(attempt)
     script.frames(attempt, 1, 3)
@@ -219,15 +221,15 @@
 
 
 def silent_for_good() -> Script:
-    """A connection goes silent until no resumption helps."""
+    """Each resumption of a stream stalls, until it ends with an error."""
     script = Script(
         """A stream's connections go silent one after another; after three
         resumptions without a new frame it ends with an explicit error.
         """,
         frame_gap_ms=500,
     )
-    script.server("engine-1", "rulebook")
-    script.ask("r1")
+    script.list_server("engine-1", "rulebook")
+    script.submit_generation("r1")
     attempt = script.dispatches()[0]
     script.open(attempt)
     script.frames(attempt, 1, 3)
@@ -243,27 +245,27 @@
         release is tried until it holds. A second one is held by a nonce.
         """
     )
-    script.server("portal-1", "portal")
-    script.submit("r1", "key-1")
+    script.list_server("portal-1", "portal")
+    script.submit_call("r1", "key-1")
     silent = inputs.ClaimVerdict.UNANSWERED
-    script.tell(inputs.ClaimAnswered(10, "r1", silent))
-    script.tell(inputs.ClaimAnswered(20, "r1", silent))
-    script.tell(inputs.OutcomeStored(30, "r1", False))
-    script.at_ms = 30
+    script.step(inputs.ClaimAnswered(10, "r1", silent))
+    script.step(inputs.ClaimAnswered(20, "r1", silent))
+    script.step(inputs.OutcomeStored(30, "r1", False))
+    script.now_ms = 30
     script.tick(after_ms=400)
-    script.tell(inputs.OutcomeStored(440, "r1", True))
-    script.at_ms = 440
-    script.submit("r2", "key-2")
-    script.tell(inputs.ClaimAnswered(450, "r2", inputs.ClaimVerdict.HELD))
+    script.step(inputs.OutcomeStored(440, "r1", True))
+    script.now_ms = 440
+    script.submit_call("r2", "key-2")
+    script.step(inputs.ClaimAnswered(450, "r2", inputs.ClaimVerdict.HELD))
     sent = script.dispatches()[0]
     done = work.Answer(200, (work.Header("x-a", "b"),), b"filed")
-    script.tell(inputs.AnswerArrived(470, sent.attempt_id, "", done))
-    script.tell(inputs.OutcomeStored(480, "r2", True))
+    script.step(inputs.AnswerArrived(470, sent.attempt_id, "", done))
+    script.step(inputs.OutcomeStored(480, "r2", True))
     return script
 
 
 def overload() -> Script:
-    """More requests than two small engines can take."""
+    """More requests than two small engines can serve at once."""
     script = Script(
         """Two engines with two slots each report a backlog; requests are held
         back in fair order, and refused at once where they would be late.
@@ -271,20 +273,20 @@
         hold_ms=100,
     )
     for name in ("engine-1", "engine-2"):
-        script.server(name, "rulebook", slots=2)
+        script.list_server(name, "rulebook", slots=2)
     for number in range(4):
-        script.ask(f"warm{number}")
+        script.submit_generation(f"warm{number}")
     for dispatch in script.dispatches():
         script.open(dispatch)
-    script.at_ms += 2000
+    script.now_ms += 2000
     for dispatch in script.dispatches():
         script.frames(dispatch, 1, 2, end=True)
     for name in ("engine-1", "engine-2"):
         script.report(name, running=2, waiting=3, waiting_tokens=4000, slots=2)
     for number in range(3):
-        script.ask(f"held{number}", deadline_ms=30_000)
-    script.ask("hurried", deadline_ms=300)
-    script.at_ms += 500
+        script.submit_generation(f"held{number}", deadline_ms=30_000)
+    script.submit_generation("hurried", deadline_ms=300)
+    script.now_ms += 500
     for name in ("engine-1", "engine-2"):
         script.report(name, running=0, slots=2)
     script.tick(after_ms=100)
@@ -292,17 +294,17 @@
 
 
 class RoutedScript:
-    """A core with routes and its recording."""
+    """Steps and records a core whose table has routes."""
 
-    def __init__(self, story: str, **numbers) -> None:
+    def __init__(self, description: str, **numbers) -> None:
         self.text = io.StringIO()
-        for line in story.strip().splitlines():
+        for line in description.strip().splitlines():
             self.text.write(f"# {line.strip()}\n")
         self.core = routed_core.Core(record_to=self.text, **numbers)
 
 
 def routed_server_goes_dark() -> RoutedScript:
-    """A stream moves, a call that may run once ends unknown."""
+    """A server stops responding with a stream and an at-most-once call."""
     script = RoutedScript(
         """
         A server goes dark with a stream and a call that may run once. The
@@ -327,7 +329,7 @@
 
 
 def routed_change_of_keys_and_weights() -> RoutedScript:
-    """Keys go, weights change, and the store falls silent."""
+    """Weights change, a key is removed, and the store stops responding."""
     script = RoutedScript(
         """
         A server declines a call, which goes to the other one. New weights are
@@ -369,10 +371,10 @@
 
 
 def main() -> int:
-    """Writes the sessions named, or all, and shows what changed."""
-    wanted = set(sys.argv[1:])
+    """Writes the named sessions, or all, and prints the differences."""
+    names = set(sys.argv[1:])
     for make in SESSIONS:
-        if wanted and make.__name__ not in wanted:
+        if names and make.__name__ not in names:
             continue
         path = GOLDEN / f"{make.__name__}.session"
         before = path.read_text() if path.exists() else ""
--- a/tests/sim/refusals.py
+++ b/tests/sim/refusals.py
@@ -15,24 +15,24 @@
 
 @dataclasses.dataclass
 class Refused:
-    """A refusal and what came after it."""
+    """A refused call and its repetition after the cause was removed."""
 
-    first: worlds.Told
+    first: worlds.CallRecord
     first_ran: bool
-    second: worlds.Told
+    second: worlds.CallRecord
     runs: int
 
 
-async def refused_for(reason: str) -> Refused:
-    """Brings a refusal about, removes its cause and tries again."""
+async def refuse_and_repeat(reason: str) -> Refused:
+    """Causes a refusal, removes its cause and repeats the call."""
     world = worlds.World(seed=3, daemons=1)
     daemon = world.daemons[0]
     now_ms = world.clock.now_ms
     match reason:
         case "limit":
-            _limit(world, daemon, max_in_flight=0)
+            _set_limit(world, daemon, max_in_flight=0)
         case "deadline":
-            # The claim takes longer than the caller has.
+            # Writing the claim takes longer than the caller's deadline.
             world.table.faults.latency_ms = (400, 400)
             daemon.deadline_ms = 100
         case "no_server":
@@ -48,13 +48,13 @@
             daemon.submit(inputs.RightToServe(now_ms(), 0))
     first = await daemon.call(KEY)
     first_ran = world.ran(first.request_id)
-    _mend(world, daemon)
+    _remove_cause(world, daemon)
     await asyncio.sleep(SETTLE_S)
     second = await daemon.call(KEY)
     return Refused(first, first_ran, second, world.runs(KEY))
 
 
-def _limit(world, daemon, *, max_in_flight: int) -> None:
+def _set_limit(world, daemon, *, max_in_flight: int) -> None:
     rows = [
         model.WorkspaceRow(
             name="desk",
@@ -68,7 +68,7 @@
     daemon.submit(inputs.TableChanged(world.clock.now_ms(), table))
 
 
-def _mend(world, daemon) -> None:
+def _remove_cause(world, daemon) -> None:
     now_ms = world.clock.now_ms()
     world.table.faults.down = False
     world.table.faults.latency_ms = (1, 8)
@@ -84,4 +84,4 @@
             )
         )
     daemon.submit(inputs.RightToServe(now_ms, worlds.FOREVER_MS))
-    _limit(world, daemon, max_in_flight=10)
+    _set_limit(world, daemon, max_in_flight=10)
--- a/tests/sim/sent_orders.py
+++ b/tests/sim/sent_orders.py
@@ -1,33 +1,37 @@
-"""Orders as they left their holders, and what two of them must keep."""
+"""Orders that lease holders sent, and the check for conflicting orders."""
 
 from __future__ import annotations
 
 import dataclasses
 
-# Time that lies between the orders of two holders to one server.
+# Minimum time between the orders of two holders to one server.
 LEASE_MS = 3_000
 
 
 @dataclasses.dataclass
 class SentOrder:
-    """An order as it left its holder."""
+    """An order at the time when its holder sent it."""
 
     holder: str
     fencing: int
-    at_s: float
+    sent_at_s: float
 
 
 def conflicts(
     server: str, earlier: list[SentOrder], order: SentOrder
 ) -> list[str]:
-    """Returns what is wrong between an order and those of other holders."""
+    """Describes conflicts of an order with earlier ones of other holders.
+
+    The order of another holder is a conflict within a lease, or if the fencing
+    number does not increase.
+    """
     return [
-        f"{server}: {before}, {order}"
-        for before in earlier
-        if before.holder != order.holder
+        f"{server}: {previous}, {order}"
+        for previous in earlier
+        if previous.holder != order.holder
         and (
-            (order.at_s - before.at_s) * 1000 < LEASE_MS
-            or order.fencing <= before.fencing
+            (order.sent_at_s - previous.sent_at_s) * 1000 < LEASE_MS
+            or order.fencing <= previous.fencing
         )
     ]
 
--- a/tests/sim/world.py
+++ b/tests/sim/world.py
@@ -1,4 +1,4 @@
-"""A few daemons in one process, their callers and what these were told."""
+"""Simulation of a few daemons, plain services and callers in one process."""
 
 from __future__ import annotations
 
@@ -18,46 +18,46 @@
 
 
 class EventList:
-    """Observer that keeps events."""
+    """Observer that collects events."""
 
     def __init__(self) -> None:
         self.events: list[effects.Event] = []
 
     def record(self, event: effects.Event) -> None:
-        """Keeps one event."""
+        """Appends one event."""
         self.events.append(event)
 
 
 @dataclasses.dataclass
-class Told:
-    """What one caller asked and was told.
+class CallRecord:
+    """One call and how it ended.
 
     Attributes:
-        final: The effect that ended its wait; None where it got none.
+        final_effect: Effect that ended the call; None if there was none.
     """
 
     request_id: str
     key: str
-    final: effects.Effect | None = None
+    final_effect: effects.Effect | None = None
 
     @property
     def outcome(self) -> str:
         """Returns the outcome of a refusal, `answer`, or `nothing`."""
-        if isinstance(self.final, effects.Refuse):
-            return self.final.outcome.value
-        if isinstance(self.final, effects.Reply):
+        if isinstance(self.final_effect, effects.Refuse):
+            return self.final_effect.outcome.value
+        if isinstance(self.final_effect, effects.Reply):
             return "answer"
         return "nothing"
 
 
 class SimDaemon:
-    """One daemon: the real core, runtime and claim store on fakes."""
+    """One daemon: the real core, runtime and claim store, with fakes below."""
 
     def __init__(self, world: World, name: str) -> None:
         self.world = world
         self.name = name
         self.gate = fakes.Gate()
-        self.observed = EventList()
+        self.events = EventList()
         core = router.Router.from_config(
             daemon=name, table=world.table_rows, policy=world.policy
         )
@@ -68,7 +68,7 @@
             claims=claim_store.ClaimStore(
                 fakes.PausableTable(world.table, self.gate, world)
             ),
-            event_observer=self.observed,
+            event_observer=self.events,
             clock=world.clock,
         )
         self.submit(inputs.RightToServe(world.clock.now_ms(), FOREVER_MS))
@@ -85,25 +85,25 @@
         self.dead = False
         self.deadline_ms = 5_000
 
-    def submit(self, told: inputs.Input) -> None:
-        """Hands an input to the core."""
-        self.runtime.submit(told)
+    def submit(self, input_: inputs.Input) -> None:
+        """Submits an input to the core."""
+        self.runtime.submit(input_)
 
     async def kill(self) -> None:
-        """Ends the daemon; what it has sent goes on without it."""
+        """Ends the daemon; calls that it has sent continue."""
         self.dead = True
         self.ticking.cancel()
-        self.runtime.submit = lambda told: None
+        self.runtime.submit = lambda input_: None
         await self.runtime.close()
 
-    async def call(self, key: str, *, body: bytes = b"form") -> Told:
-        """Makes one call that may not be repeated."""
+    async def call(self, key: str, *, body: bytes = b"form") -> CallRecord:
+        """Makes one call that must run at most once."""
         request_id = self.runtime.next_request_id()
-        told = Told(request_id, key)
-        self.world.told.append(told)
-        await self.gate.passed()
+        record = CallRecord(request_id, key)
+        self.world.calls.append(record)
+        await self.gate.wait_until_open()
         if self.dead:
-            return told
+            return record
         caller = self.runtime.open_caller(
             request_id,
             backend.Call(
@@ -127,18 +127,18 @@
                 ),
             )
         )
-        told.final = await caller.get()
-        return told
+        record.final_effect = await caller.get()
+        return record
 
     async def _tick(self) -> None:
         while True:
             await asyncio.sleep(TICK_MS / 1000)
-            await self.gate.passed()
+            await self.gate.wait_until_open()
             self.submit(inputs.Tick(self.world.clock.now_ms()))
 
 
 class World:
-    """Everything in one session."""
+    """All daemons, services and calls of one session."""
 
     def __init__(self, *, seed: int, daemons: int = 3) -> None:
         self.rng = random.Random(seed)
@@ -157,26 +157,26 @@
                 model.ServiceRow(name="portal"),
             ],
         )
-        self.told: list[Told] = []
+        self.calls: list[CallRecord] = []
         self._tasks: set[asyncio.Task] = set()
         self.daemons = [
             SimDaemon(self, f"d{number}@1") for number in range(daemons)
         ]
-        self.tell_members()
+        self.publish_members()
 
     def spawn(self, job) -> asyncio.Task:
-        """Starts a task that no daemon's end cancels."""
+        """Starts a task that continues when a daemon ends."""
         task = asyncio.get_running_loop().create_task(job)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     def alive(self) -> list[SimDaemon]:
-        """Returns the daemons not killed."""
+        """Returns the daemons that were not killed."""
         return [daemon for daemon in self.daemons if not daemon.dead]
 
-    def tell_members(self) -> None:
-        """Tells every daemon who is alive."""
+    def publish_members(self) -> None:
+        """Publishes the list of live daemons to each of them."""
         names = tuple(sorted(daemon.name for daemon in self.alive()))
         for daemon in self.alive():
             daemon.submit(inputs.MembersChanged(self.clock.now_ms(), names))
@@ -187,15 +187,15 @@
         name, _, number = daemon.name.partition("@")
         successor = SimDaemon(self, f"{name}@{int(number) + 1}")
         self.daemons.append(successor)
-        self.tell_members()
+        self.publish_members()
         return successor
 
     def runs(self, key: str) -> int:
-        """Returns how often a key's call ran, over all services."""
+        """Returns how many times the calls of a key ran, over all services."""
         return sum(s.runs_by_key[key] for s in self.services.values())
 
     def ran(self, request_id: str) -> bool:
-        """Returns whether this request's own dispatch ran."""
+        """Returns whether a dispatch of this request ran."""
         return any(
             s.runs_by_request[request_id] for s in self.services.values()
         )
