--- a/tests/cluster/load.py
+++ b/tests/cluster/load.py
@@ -1,4 +1,4 @@
-"""Callers that ask where to go, and stream and submit all the time."""
+"""Steady load: callers that look up a daemon, then stream and submit."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Load:
-    """Steady load; every failure is kept with its story."""
+    """Steady load from caller threads; failures are recorded with details."""
 
     def __init__(self, cluster: processes.Cluster, *, callers: int) -> None:
         self.cluster = cluster
@@ -30,13 +30,13 @@
             thread.start()
 
     def stop(self) -> None:
-        """Lets every caller finish its request."""
+        """Stops the callers after their current requests."""
         self._stop.set()
         for thread in self._threads:
             thread.join(processes.WAIT_S)
 
     def wait_more(self, count: int) -> None:
-        """Waits until this many more requests are finished."""
+        """Waits until `count` more requests have finished, or one failed."""
         goal = self.finished + count
         processes.wait_until(
             f"{goal} requests are finished",
@@ -44,26 +44,26 @@
         )
 
     def _caller(self, number: int) -> None:
-        address, until = "", 0.0
-        turn = 0
+        address, keep_until_s = "", 0.0
+        count = 0
         while not self._stop.is_set():
-            if time.monotonic() >= until:
-                address, until = self._where(address)
+            if time.monotonic() >= keep_until_s:
+                address, keep_until_s = self._look_up_daemon(address)
                 continue
-            turn += 1
+            count += 1
             try:
-                if turn % 2:
+                if count % 2:
                     self._stream(address)
                 else:
-                    self._submit(address, f"load-{number}-{turn}")
+                    self._submit(address, f"load-{number}-{count}")
             except (OSError, http.client.HTTPException) as error:
                 self.failures.append(f"caller {number}, {address}: {error!r}")
                 return
             with self._lock:
                 self.finished += 1
 
-    def _where(self, last: str) -> tuple[str, float]:
-        asked_at = time.monotonic()
+    def _look_up_daemon(self, last: str) -> tuple[str, float]:
+        requested_at_s = time.monotonic()
         addresses = [last] if last else []
         addresses += [
             f"127.0.0.1:{self.cluster.ports[name]}"
@@ -77,9 +77,9 @@
             except (OSError, http.client.HTTPException):
                 continue
             if status == 200:
-                told = json.loads(body)
-                keep_s = told["keep_ms"] / 1000
-                return told["addresses"][0], asked_at + keep_s
+                directory = json.loads(body)
+                keep_s = directory["keep_ms"] / 1000
+                return directory["addresses"][0], requested_at_s + keep_s
         return last, 0.0
 
     def _stream(self, address: str) -> None:
@@ -92,8 +92,8 @@
         status, raw = self._request(
             address, "POST", "/v1/chat/completions", body
         )
-        whole = b"data: [DONE]" in raw and raw.count(b"data: {") == TOKENS
-        if status != 200 or not whole:
+        is_complete = b"data: [DONE]" in raw and raw.count(b"data: {") == TOKENS
+        if status != 200 or not is_complete:
             self.failures.append(f"{address}: {status} {raw[-300:]!r}")
 
     def _submit(self, address: str, key: str) -> None:
--- a/tests/cluster/platform.py
+++ b/tests/cluster/platform.py
@@ -1,4 +1,4 @@
-"""Real daemons on this machine, with stand-ins for the platform around them."""
+"""Real daemons on this machine, with stand-ins for platform and servers."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
     "grace-s": 8,
     "retry-slack": 52,
 }
-# Requests that earn one retry, by the ratio in the template of settings.
-REQUESTS_A_RETRY = 7
-STEP_S = 0.02
+# Requests that earn one retry, by the ratio in the settings template.
+REQUESTS_PER_RETRY = 7
+POLL_S = 0.02
 WAIT_S = 10.0
 
 
 def render(fields: dict) -> str:
-    """Fills the settings template in, as the platform does."""
+    """Fills in the settings template, as the platform does."""
 
     def value(match: re.Match) -> str:
         found: object = fields
@@ -56,7 +56,7 @@
 
 
 def settings_fields(name: str, store_port: int, seeds: list[str]) -> dict:
-    """Returns the platform's settings for one daemon."""
+    """Returns the platform's fields for one daemon's settings."""
     ports = {part: free_port() for part in ("front", "ready", "directory")}
     listen = {part: f"127.0.0.1:{port}" for part, port in ports.items()}
     listen["control"] = f"127.0.0.1:{free_port()}"
@@ -76,7 +76,7 @@
 
 
 def route(name: str, service: str, kind: str, **fields) -> dict:
-    """Returns a route as the operator writes it."""
+    """Returns a route in the operator's format."""
     return {
         "name": name,
         "host": HOST,
@@ -103,7 +103,7 @@
 
 
 def config(version: int, *, keys: tuple[str, ...] = (KEY,)) -> dict:
-    """Returns a configuration as the operator writes it."""
+    """Returns a configuration in the operator's format."""
     return {
         "version": version,
         "routes": ROUTES,
@@ -119,7 +119,7 @@
 
 
 class Platform:
-    """The store, two engines, two plain servers, and daemons."""
+    """The store, backend servers and daemons of one test."""
 
     def __init__(
         self,
@@ -130,12 +130,12 @@
         engines: int = 2,
         services: int = 2,
     ) -> None:
-        """Starts nothing yet.
+        """Creates the stand-ins without starting them.
 
         Args:
             daemons: How many to start.
-            configured: Whether the operators' table is there at the start.
-            settings: Lines of settings that replace those of the template.
+            configured: Whether the operators' table exists at the start.
+            settings: Lines of settings that override those of the template.
             engines: How many servers of the model to start.
             services: How many servers of the plain service to start.
         """
@@ -150,8 +150,8 @@
         }
         self.fields: list[dict] = []
         self.processes: list[asyncio.subprocess.Process] = []
-        # All that were ever started: two faults at a time may restart one
-        # daemon twice, and the one that lost its place must end as well.
+        # All processes ever started: two faults at once may restart a daemon
+        # twice, and the process that was replaced must be killed as well.
         self._started: list[asyncio.subprocess.Process] = []
         self.logs: list[pathlib.Path] = []
         self.session: aiohttp.ClientSession | None = None
@@ -161,7 +161,7 @@
         self.store_port = free_port()
 
     async def __aenter__(self) -> Platform:
-        """Starts everything and waits until it serves."""
+        """Starts all processes and waits until the daemons are ready."""
         try:
             return await self._start()
         except BaseException:
@@ -187,7 +187,7 @@
         return self
 
     async def __aexit__(self, *unused) -> None:
-        """Ends everything it started."""
+        """Ends all processes and stand-ins that it started."""
         for process in self._started:
             if process.returncode is None:
                 process.kill()
@@ -199,7 +199,7 @@
         self._folder.cleanup()
 
     def list_server(self, name: str, address: str, **fields) -> None:
-        """Writes a server's row, as the server does."""
+        """Writes a server's row, as the server itself does."""
         replica = self.replicas[name]
         row = {
             "service": "llm" if replica.model else "app",
@@ -218,20 +218,22 @@
         self.store.put("servers", name, row)
 
     async def start_daemon(self, name: str) -> None:
-        """Starts a daemon as the deploy file does."""
+        """Starts a daemon as the deployment does."""
         seeds = [f["listen"]["control"] for f in self.fields][:3]
         self.fields.append(settings_fields(name, self.store_port, seeds))
         path = pathlib.Path(self._folder.name) / f"{name}.yaml"
         path.write_text(f"{render(self.fields[-1])}\n{self._settings}")
         self.logs.append(path.with_suffix(".log"))
-        self.processes.append(await self._run(path))
+        self.processes.append(await self._start_process(path))
 
     async def restart_daemon(self, number: int) -> None:
-        """Starts a daemon that has ended once more, as the platform does."""
+        """Restarts a daemon that has ended, as the platform does."""
         path = self.logs[number].with_suffix(".yaml")
-        self.processes[number] = await self._run(path)
+        self.processes[number] = await self._start_process(path)
 
-    async def _run(self, path: pathlib.Path) -> asyncio.subprocess.Process:
+    async def _start_process(
+        self, path: pathlib.Path
+    ) -> asyncio.subprocess.Process:
         with path.with_suffix(".log").open("ab") as output:
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -248,9 +250,9 @@
         """Returns what a daemon has logged."""
         return self.logs[number].read_text()
 
-    def signal(self, number: int, sign: signal.Signals) -> None:
+    def signal(self, number: int, sent_signal: signal.Signals) -> None:
         """Sends a signal to a daemon."""
-        self.processes[number].send_signal(sign)
+        self.processes[number].send_signal(sent_signal)
 
     async def until_ready(self, number: int = 0) -> None:
         """Waits until a daemon is ready and knows all servers."""
@@ -262,7 +264,7 @@
         await until(f"daemon {number} is ready", ready)
 
     async def get(self, number: int, part: str, path: str) -> tuple[int, bytes]:
-        """Calls one of a daemon's own addresses."""
+        """Sends a GET request to one of a daemon's listeners."""
         url = f"http://{self.fields[number]['listen'][part]}{path}"
         async with self.session.get(url) as response:
             return response.status, await response.read()
@@ -278,9 +280,9 @@
         headers: dict[str, str] | None = None,
         path: str = "x",
     ) -> tuple[int, dict[str, str], bytes]:
-        """Makes a caller's request; a broken answer raises."""
+        """Sends a caller's request; raises if the answer is incomplete."""
         front = self.fields[daemon]["listen"]["front"]
-        sent = {
+        request_headers = {
             "Host": HOST,
             "X-Godwittack-Request-Id": request_id,
             "X-Godwittack-Deadline-Ms": "3000",
@@ -288,23 +290,29 @@
             **(headers or {}),
         }
         if name in ("long", "short"):
-            sent.setdefault("X-Godwittack-Model", "m")
-            sent.setdefault("X-Godwittack-Token-Usage", "900,10")
-            sent.setdefault("X-Godwittack-Prefix-Hash", "ab12:800,cd34:100")
+            request_headers.setdefault("X-Godwittack-Model", "m")
+            request_headers.setdefault("X-Godwittack-Token-Usage", "900,10")
+            request_headers.setdefault(
+                "X-Godwittack-Prefix-Hash", "ab12:800,cd34:100"
+            )
         url = yarl.URL(f"http://{front}/{name}/{path}", encoded=True)
-        async with self.session.post(url, headers=sent, data=body) as response:
+        async with self.session.post(
+            url, headers=request_headers, data=body
+        ) as response:
             data = await response.read()
-            kept = {k.lower(): v for k, v in response.headers.items()}
-            return response.status, kept, data
+            response_headers = {
+                k.lower(): v for k, v in response.headers.items()
+            }
+            return response.status, response_headers, data
 
     async def earn_retry(self, name: str) -> None:
-        """Sends what earns a daemon one retry that has just started."""
-        for number in range(REQUESTS_A_RETRY):
+        """Sends the requests that earn a newly started daemon one retry."""
+        for number in range(REQUESTS_PER_RETRY):
             status, _, _ = await self.call(name, f"earns-{name}-{number}")
             assert status == 200, status
 
     def ran(self, request_id: str) -> list:
-        """Returns where a request ran."""
+        """Returns the executions of a request at all servers."""
         return [
             ran
             for replica in self.replicas.values()
@@ -319,7 +327,7 @@
 
 
 async def until(what: str, condition, *, seconds: float = WAIT_S) -> None:
-    """Waits until a condition holds."""
+    """Polls a condition until it holds; fails after the timeout."""
     try:
         async with asyncio.timeout(seconds):
             while True:
@@ -328,7 +336,7 @@
                         return
                 except (aiohttp.ClientError, OSError):
                     pass
-                await asyncio.sleep(STEP_S)
+                await asyncio.sleep(POLL_S)
     except TimeoutError:
         raise AssertionError(f"timed out waiting until {what}") from None
 
--- a/tests/cluster/processes.py
+++ b/tests/cluster/processes.py
@@ -24,51 +24,52 @@
 WAIT_S = 30.0
 WORKSPACES = ("desk", "fair")
 OPERATORS = ("ana", "bilal")
-# Ports to listen on: below those that Linux gives to outgoing connections,
-# from 32768 on. Of those, one that was free when it was chosen may be in use
-# when the process that is to listen there has started.
+# Ports to listen on. Linux assigns ports from 32768 on to outgoing connections:
+# one of those may be free when it is chosen and in use when the process that
+# should listen there has started.
 LISTEN_PORTS = range(12_000, 32_000)
-# Ports that one process may take; the first of them is its claim to the rest.
-SLICE_PORTS = 500
-_claims: list[socket.socket] = []
-_own_ports: list[int] = []
+# Ports in the range of one process, which reserves it by listening on the
+# first.
+PORTS_PER_PROCESS = 500
+_reservations: list[socket.socket] = []
+_reserved_ports: list[int] = []
 
 
 class StepError(Exception):
-    """A step did not show what it should."""
+    """A step did not have the expected result."""
 
 
 def free_port() -> int:
-    """Returns a loopback port that nobody uses, by TCP or UDP.
+    """Returns a loopback port that is not in use, by TCP or UDP.
 
-    No port is given twice, nor to an outgoing connection. Features run in
-    processes beside each other, and what is started on a port listens seconds
-    later: each process takes its ports from a slice that no other one uses.
+    No port is returned twice or assigned to an outgoing connection. Features
+    run in parallel processes, and a started process listens on its port only
+    seconds later: each test process takes ports from a range of its own.
     """
     while True:
-        if not _own_ports:
-            _claim_slice()
-        port = _own_ports.pop()
+        if not _reserved_ports:
+            _reserve_range()
+        port = _reserved_ports.pop()
         if _is_free(port):
             return port
 
 
-def _claim_slice() -> None:
-    """Takes a slice of ports for this process, as long as it lives."""
-    starts = list(LISTEN_PORTS)[::SLICE_PORTS]
+def _reserve_range() -> None:
+    """Reserves a range of ports for the lifetime of this process."""
+    starts = list(LISTEN_PORTS)[::PORTS_PER_PROCESS]
     secrets.SystemRandom().shuffle(starts)
     for start in starts:
-        claim = socket.socket()
+        reservation = socket.socket()
         try:
-            claim.bind(("127.0.0.1", start))
-            claim.listen()
+            reservation.bind(("127.0.0.1", start))
+            reservation.listen()
         except OSError:
-            claim.close()
+            reservation.close()
             continue
-        _claims.append(claim)
-        _own_ports.extend(range(start + 1, start + SLICE_PORTS))
+        _reservations.append(reservation)
+        _reserved_ports.extend(range(start + 1, start + PORTS_PER_PROCESS))
         return
-    raise StepError("no slice of ports is free")
+    raise StepError("no range of ports is free")
 
 
 def _is_free(port: int) -> bool:
@@ -84,23 +85,23 @@
 
 
 def wait_until(
-    what: str, condition, *, seconds: float = WAIT_S, tell=lambda: ""
+    what: str, condition, *, seconds: float = WAIT_S, details=lambda: ""
 ):
-    """Polls until `condition` returns something true, and returns it.
+    """Polls until `condition` returns a true value, and returns it.
 
     Raises:
-        StepError: It didn't in time; with what `tell` returns then.
+        StepError: It timed out; the message ends with what `details` returns.
     """
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         try:
-            got = condition()
+            result = condition()
         except (OSError, urllib.error.URLError, ValueError):
-            got = None
-        if got:
-            return got
+            result = None
+        if result:
+            return result
         time.sleep(0.02)
-    raise StepError(f"timed out waiting until {what}{tell()}")
+    raise StepError(f"timed out waiting until {what}{details()}")
 
 
 def call(
@@ -129,9 +130,9 @@
         self.processes: dict[str, subprocess.Popen] = {}
         self.ports: dict[str, int] = {}
         self.peer_ports: dict[str, int] = {}
-        self.extra: dict[str, object] = {}
-        # One of its own: a daemon of another cluster that still asks a port
-        # which was free again would join this one.
+        self.extra_settings: dict[str, object] = {}
+        # Unique: otherwise a daemon of another cluster that still contacts a
+        # reused port would join this cluster.
         self.secret = secrets.token_hex(16)
         (self.path / "secret").write_text(self.secret)
         for name in OPERATORS:
@@ -156,21 +157,21 @@
         return f"token-{workspace}"
 
     def start_platform(self) -> None:
-        """Starts the platform's stand-in."""
+        """Starts the stand-in of the platform."""
         self.start_standin("platform", "platform")
 
     def start_engine(self, name: str, model: str, *options: str) -> None:
-        """Starts an engine and puts it into the instance list."""
+        """Starts an engine and adds it to the instance list."""
         self.start_standin(name, "engine", *options)
         self.list_instance(name, "engine", model)
 
     def start_service(self, name: str, service: str, *options: str) -> None:
-        """Starts a plain service and puts it into the instance list."""
+        """Starts a plain service and adds it to the instance list."""
         self.start_standin(name, "service", *options)
         self.list_instance(name, "service", service)
 
     def start_link(self, name: str, target: str) -> int:
-        """Puts a link before a process; returns the link's port."""
+        """Starts a link in front of a process; returns the link's port."""
         port = free_port()
         self.start_standin(
             name,
@@ -191,7 +192,7 @@
         port: int = 0,
         leaving: bool = False,
     ) -> None:
-        """Puts an instance into the platform's list."""
+        """Adds an instance to the platform's list."""
         call(
             "PUT",
             self.url("platform", f"/instances/{name}"),
@@ -223,7 +224,7 @@
             self.peer_ports[name] = free_port()
 
     def start_daemon(self, name: str, **overrides: object) -> None:
-        """Starts a daemon and waits until it takes work."""
+        """Starts a daemon and waits until it is ready."""
         self.launch_daemon(name, **overrides)
         self.wait_ready(name)
 
@@ -242,7 +243,7 @@
                 {"name": n, "token_sha256": _digest(f"operator-{n}")}
                 for n in OPERATORS
             ],
-            **self.extra,
+            **self.extra_settings,
             **overrides,
         }
         file = self.path / f"{name}.yaml"
@@ -250,9 +251,9 @@
         self.launch(name, "-m", "godwittack", "serve", "--settings", str(file))
 
     def wait_ready(self, name: str) -> None:
-        """Waits until a daemon takes work and knows all servers."""
+        """Waits until a daemon is ready and knows all servers."""
         self.wait_up(name)
-        wait_until(f"{name} takes work", lambda: self.ready(name)["ready"])
+        wait_until(f"{name} is ready", lambda: self.ready(name)["ready"])
         listed = json.loads(call("GET", self.url("platform", "/instances"))[2])
         wait_until(
             f"{name} knows its servers",
@@ -264,17 +265,17 @@
         self._wait_up(name, "/healthz")
 
     def ready(self, name: str) -> dict:
-        """Returns a daemon's own account."""
+        """Returns a daemon's readiness report."""
         return json.loads(call("GET", self.url(name, "/readyz"))[2])
 
     def wait_members(self, *names: str, seconds: float = WAIT_S) -> None:
-        """Waits until these daemons know each other as alive."""
+        """Waits until these daemons consider each other alive."""
         for name in names:
             wait_until(
                 f"{name} knows the others",
                 lambda name=name: self._knows(name, names),
                 seconds=seconds,
-                tell=lambda: self._seen_by(names),
+                details=lambda: self._members_seen_by(names),
             )
 
     def signal(self, name: str, number: signal.Signals) -> None:
@@ -287,17 +288,17 @@
         self.processes[name].wait()
 
     def fault(self, name: str, kind: str, value: int = 1) -> None:
-        """Gives a stand-in a fault order."""
+        """Sets a fault at a stand-in."""
         call("POST", self.url(name, "/fault"), {"kind": kind, "value": value})
 
     def counts(self, name: str) -> dict:
-        """Returns what a stand-in has done."""
+        """Returns the counters of a stand-in."""
         return json.loads(call("GET", self.url(name, "/fault/counts"))[2])
 
     def command(self, *words: str, who: str = "ana", via: str = ""):
         """Runs a command as an operator; returns the finished process."""
-        named = (via or next(n for n in self.peer_ports)).split(",")
-        daemons = [f"127.0.0.1:{self.ports[name]}" for name in named]
+        names = (via or next(n for n in self.peer_ports)).split(",")
+        daemons = [f"127.0.0.1:{self.ports[name]}" for name in names]
         environment = {
             **os.environ,
             "GODWITTACK_DAEMON": ",".join(daemons),
@@ -314,7 +315,7 @@
         )
 
     def import_table(self, rows: list[str], why: str = "first rows") -> None:
-        """Puts a table in force through the command line."""
+        """Imports a table with the command line."""
         file = self.path / "table.csv"
         file.write_text("\n".join(rows) + "\n")
         done = self.command("table", "import", str(file), "--why", why)
@@ -322,7 +323,7 @@
             raise StepError(f"import failed: {done.stdout}{done.stderr}")
 
     def standard_table(self) -> None:
-        """Puts the rows that most tests use in force."""
+        """Imports the rows that most tests use."""
         rows = ["kind,name,token_sha256,max_requests_per_s,repeatable"]
         rows.extend(
             f"workspace,{name},{_digest(self.token(name))},10000,"
@@ -333,7 +334,7 @@
         self.import_table(rows)
 
     def has_ended(self, name: str) -> bool:
-        """Returns whether one of our processes runs no more."""
+        """Returns whether one of our processes has ended."""
         return self.processes[name].poll() is not None
 
     def log(self, name: str) -> str:
@@ -341,7 +342,7 @@
         return (self.path / f"{name}.log").read_text(errors="replace")
 
     def start_standin(self, name: str, kind: str, *options: str) -> None:
-        """Starts a stand-in that no instance list names."""
+        """Starts a stand-in without listing it as an instance."""
         self.ports.setdefault(name, free_port())
         self.launch(
             name,
@@ -368,8 +369,8 @@
         def up() -> bool:
             self._check_running(name)
             answered = call("GET", self.url(name, path))[0] in (200, 503)
-            # Another process that has got the port meanwhile answers as well.
-            # Taken for ours, that has ended, its members would be waited for.
+            # After our process has ended, another one may use its port and
+            # answer; we would then wait for the other one's members.
             return answered and listening.listens(
                 self.processes[name].pid, self.ports[name]
             )
@@ -377,7 +378,7 @@
         wait_until(f"{name} answers", up)
 
     def _check_running(self, *names: str) -> None:
-        """Raises `StepError` where one of these was started and has ended."""
+        """Raises `StepError` if one of these was started and has ended."""
         for name in names:
             if name in self.processes and self.has_ended(name):
                 raise StepError(f"{name} ended: {self.log(name)[-2000:]}")
@@ -387,8 +388,8 @@
         members = self.ready(name)["members"]
         return sorted(m.partition("@")[0] for m in members) == sorted(others)
 
-    def _seen_by(self, names: tuple[str, ...]) -> str:
-        """Returns a line for each daemon: the members that it tells."""
+    def _members_seen_by(self, names: tuple[str, ...]) -> str:
+        """Returns a line for each daemon with the members that it reports."""
         lines = []
         for name in names:
             try:
--- a/tests/cluster/quickstart.py
+++ b/tests/cluster/quickstart.py
@@ -1,4 +1,4 @@
-"""Shows a small cluster at work, a line of explanation for each step."""
+"""Demonstrates a small cluster, with a line of explanation for each step."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def main() -> int:
-    """Runs all steps; returns 0 only if each showed what it should."""
+    """Runs all steps; returns 0 only if each had the expected result."""
     started = time.monotonic()
     cluster = processes.Cluster()
     step = ""
@@ -45,22 +45,24 @@
     )
 
 
-def _where(cluster: processes.Cluster) -> None:
+def _look_up_daemon(cluster: processes.Cluster) -> None:
     _, _, body = processes.call(
         "GET",
         cluster.url("entry-1", "/v1/where?workspace=desk&model=rulebook"),
         headers=_auth(cluster),
     )
-    told = json.loads(body)
-    _expect(len(told["addresses"]) == len(DAEMONS), told)
+    directory = json.loads(body)
+    _expect(len(directory["addresses"]) == len(DAEMONS), directory)
     print(
-        f"A caller asks which daemon to use: {told['addresses'][0]} first,"
-        f" to be kept for {told['keep_ms']} ms."
+        f"A caller asks which daemon to use: {directory['addresses'][0]} first,"
+        f" valid for {directory['keep_ms']} ms."
     )
 
 
 def _first_prompt(cluster: processes.Cluster) -> None:
-    text, cached, total = _complete(cluster, "entry-1", "Does case 17 qualify?")
+    text, cached, total = _stream_answer(
+        cluster, "entry-1", "Does case 17 qualify?"
+    )
     _expect(cached == 0, cached)
     print(
         f"A streamed answer with a shared prompt of {total} tokens:"
@@ -69,7 +71,7 @@
 
 
 def _second_prompt(cluster: processes.Cluster) -> None:
-    _, cached, total = _complete(cluster, "entry-2", "And case 18?")
+    _, cached, total = _stream_answer(cluster, "entry-2", "And case 18?")
     _expect(cached > total // 2, (cached, total))
     print(
         "Another case on the same rulebook, through another daemon: the cache"
@@ -93,8 +95,8 @@
     _expect(runs == {"claim-17": 1}, runs)
     _expect(answers[0] == answers[1], answers)
     print(
-        "A submission sent twice with one key through two daemons: run once,"
-        " and both callers got the same answer."
+        "A submission sent twice with one key, through two daemons: it ran"
+        " once, and both callers got the same answer."
     )
 
 
@@ -111,14 +113,14 @@
         via="entry-3",
     )
     _expect(done.returncode == 0, done.stderr)
-    told = json.loads(done.stdout)
+    change = json.loads(done.stdout)
     for name in DAEMONS:
         version = cluster.ready(name)["table_version"]
-        _expect(version == told["version"], (name, version))
+        _expect(version == change["version"], (name, version))
     print(
         f"A table change made with the command line: version"
-        f" {told['version']} in force at all {len(told['confirmed'])} daemons"
-        f" after {told['after_ms']} ms."
+        f" {change['version']} active at all {len(change['confirmed'])} daemons"
+        f" after {change['after_ms']} ms."
     )
 
 
@@ -131,20 +133,20 @@
         print(f"    {line}")
 
 
-def _graceful(cluster: processes.Cluster) -> None:
+def _graceful_stop(cluster: processes.Cluster) -> None:
     connection, response = _open_stream(cluster, "entry-1", "Case 19?", 200)
     first = response.readline()
     cluster.signal("entry-1", signal.SIGTERM)
     rest = first + response.read()
     connection.close()
-    words = _text(rest).split()
+    words = _answer_text(rest).split()
     _expect(words == [f"t{n}" for n in range(1, 201)], words[-3:])
     _expect(b"data: [DONE]" in rest, rest[-200:])
     code = cluster.processes["entry-1"].wait(timeout=processes.WAIT_S)
     _expect(code == 0, code)
     print(
-        "A daemon was stopped with SIGTERM in mid-stream: the caller got all"
-        f" {len(words)} tokens in order, then the daemon ended by itself."
+        "A daemon was stopped with SIGTERM during a stream: the caller got all"
+        f" {len(words)} tokens in order, then the daemon exited."
     )
 
 
@@ -171,9 +173,9 @@
     return connection, response
 
 
-def _complete(cluster: processes.Cluster, daemon: str, question: str):
+def _stream_answer(cluster: processes.Cluster, daemon: str, question: str):
     connection, response = _open_stream(cluster, daemon, question, 20)
-    text = _text(response.read())
+    text = _answer_text(response.read())
     connection.close()
     line = next(
         line
@@ -184,7 +186,7 @@
     return text, int(fields["cached_tokens"]), int(fields["prompt_tokens"])
 
 
-def _text(raw: bytes) -> str:
+def _answer_text(raw: bytes) -> str:
     words = []
     for line in raw.splitlines():
         if line.startswith(b"data: {"):
@@ -197,20 +199,20 @@
     return {"authorization": f"Bearer {cluster.token('desk')}"}
 
 
-def _expect(holds: bool, seen: object) -> None:
-    if not holds:
-        raise processes.StepError(f"saw {seen}")
+def _expect(is_expected: bool, actual: object) -> None:
+    if not is_expected:
+        raise processes.StepError(f"unexpected result: {actual}")
 
 
 _STEPS = (
     ("start", _start),
-    ("where", _where),
+    ("where", _look_up_daemon),
     ("first prompt", _first_prompt),
     ("second prompt", _second_prompt),
     ("submission", _submission),
     ("table change", _table_change),
     ("report", _report),
-    ("graceful stop", _graceful),
+    ("graceful stop", _graceful_stop),
 )
 
 
--- a/tests/cluster/red.py
+++ b/tests/cluster/red.py
@@ -1,7 +1,7 @@
-"""Shows each mechanism red: switches it off in a copy and runs its proof.
+"""Checks that tests fail without the mechanism that they cover.
 
-Each entry of red.yaml names a promise, a file, the text of the mechanism,
-what stands there without it, and the feature that must then fail.
+Each entry of red.yaml names a promise, a file, the mechanism's source text, the
+text that replaces it, and the feature that must then fail.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 
 def main() -> int:
-    """Runs all entries, or those whose promise is named."""
+    """Runs all entries, or those of the promises on the command line."""
     entries = yaml.safe_load((ROOT / "tests" / "red.yaml").read_text())
-    wanted = set(sys.argv[1:])
-    chosen = [e for e in entries if not wanted or e["promise"] in wanted]
+    promises = set(sys.argv[1:])
+    chosen = [e for e in entries if not promises or e["promise"] in promises]
     with concurrent.futures.ThreadPoolExecutor(WORKERS) as pool:
         results = list(pool.map(_run, chosen))
     for line in results:
@@ -34,7 +34,7 @@
     return 1 if green else 0
 
 
-def _switch_off(copy: pathlib.Path, edit: dict) -> bool:
+def _apply_edit(copy: pathlib.Path, edit: dict) -> bool:
     file = copy / edit["file"]
     text = file.read_text()
     file.write_text(text.replace(edit["with"], edit["without"]))
@@ -47,7 +47,7 @@
         for name in ("src", "tests"):
             shutil.copytree(ROOT / name, copy / name)
         for edit in (entry, entry.get("also")):
-            if edit and not _switch_off(copy, edit):
+            if edit and not _apply_edit(copy, edit):
                 return f"STILL GREEN {entry['promise']}: text not found once"
         done = subprocess.run(
             [
--- a/tests/cluster/run_features.py
+++ b/tests/cluster/run_features.py
@@ -13,15 +13,15 @@
 
 TESTS = pathlib.Path(__file__).resolve().parent.parent
 KNOWN_RED = TESTS.parent / "KNOWN-RED.txt"
-# Scenarios start up to a dozen processes each; more at a time would only make
-# each of them slower.
+# Each scenario starts up to a dozen processes; more workers would slow down
+# all of them.
 WORKERS = 3
-NO_FAULT = ("passed", "skipped", "untested")
+NOT_FAILED = ("passed", "skipped", "untested")
 
 
 @dataclasses.dataclass
 class Tally:
-    """Scenarios by result."""
+    """Numbers of scenarios by result."""
 
     passed: int = 0
     failed: int = 0
@@ -30,7 +30,7 @@
 
 
 def main() -> int:
-    """Runs the features named, or all; returns 0 if none failed."""
+    """Runs the named features, or all; returns 0 if none failed."""
     names = sys.argv[1:] or _all_features()
     tally = Tally()
     with concurrent.futures.ThreadPoolExecutor(WORKERS) as pool:
@@ -48,7 +48,7 @@
 def _all_features() -> list[str]:
     """Returns all feature files, the longest first.
 
-    Begun last, the longest one would run alone for minutes.
+    Started last, the longest one would run alone for minutes.
     """
     found = sorted((TESTS / "features").rglob("*.feature"))
     found.sort(key=lambda path: path.stat().st_size, reverse=True)
@@ -87,7 +87,7 @@
         for element in feature.get("elements", [])
         if element["type"] == "scenario"
     ]
-    if done.returncode and all(s in NO_FAULT for _, s in scenarios):
+    if done.returncode and all(s in NOT_FAILED for _, s in scenarios):
         scenarios.append((name, "failed"))
     output = done.stdout
     if done.returncode:
@@ -100,7 +100,7 @@
     for name, status in scenarios:
         if status == "passed":
             tally.passed += 1
-        elif status in NO_FAULT:
+        elif status in NOT_FAILED:
             tally.skipped += 1
         elif name in known:
             tally.known_red.append(name)
--- a/tests/cluster/streams.py
+++ b/tests/cluster/streams.py
@@ -1,4 +1,4 @@
-"""A caller that reads a stream frame by frame."""
+"""A caller that opens a stream and reads its frames."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class StreamReader:
-    """Opens a generation and keeps what it reads."""
+    """Opens a streamed generation and stores its frames."""
 
     def __init__(
         self, cluster: processes.Cluster, *, daemon: str, tokens: int
@@ -19,7 +19,7 @@
         self.cluster = cluster
         self.raw = b""
         self.broken = ""
-        self.read_some = threading.Event()
+        self.has_frames = threading.Event()
         self._open(daemon)
         body = {
             "model": "rulebook",
@@ -30,10 +30,10 @@
         self.connection.request(
             "POST", "/v1/chat/completions", json.dumps(body), self._auth()
         )
-        self._begin()
+        self._read_head()
 
     def resume(self, daemon: str) -> None:
-        """Goes on through another daemon with the token of the first."""
+        """Resumes the stream through another daemon with its resume token."""
         self.connection.close()
         self._open(daemon)
         headers = {
@@ -42,7 +42,7 @@
             "last-event-id": str(self.last_id()),
         }
         self.connection.request("GET", "/v1/resume", headers=headers)
-        self._begin()
+        self._read_head()
 
     def read_to_end(self) -> None:
         """Reads until the stream ends or its connection breaks."""
@@ -50,17 +50,17 @@
             while data := self.response.read1(4096):
                 self.raw += data
                 if self.raw.count(b"\n\n") >= 5:
-                    self.read_some.set()
+                    self.has_frames.set()
         except (OSError, http.client.HTTPException) as error:
             self.broken = repr(error)
-        # What follows the last whole event was cut off.
+        # Bytes after the last complete event were cut off.
         self.raw = self.raw[: self.raw.rfind(b"\n\n") + 2]
 
     def in_background(self) -> threading.Thread:
-        """Starts reading; returns once some frames are there."""
+        """Starts reading in a thread; returns after the first frames."""
         thread = threading.Thread(target=self.read_to_end, daemon=True)
         thread.start()
-        assert self.read_some.wait(processes.WAIT_S)
+        assert self.has_frames.wait(processes.WAIT_S)
         return thread
 
     def last_id(self) -> int:
@@ -73,15 +73,15 @@
         return ids[-1] if ids else 0
 
     def words(self) -> list[str]:
-        """Returns the words of the answer so far."""
-        found = []
+        """Returns the words of the answer received so far."""
+        words = []
         for line in self.raw.splitlines():
             if line.startswith(b"data: {"):
-                told = json.loads(line[6:])
-                if "choices" in told:
-                    content = told["choices"][0]["delta"]["content"]
-                    found.append(content.strip())
-        return found
+                payload = json.loads(line[6:])
+                if "choices" in payload:
+                    content = payload["choices"][0]["delta"]["content"]
+                    words.append(content.strip())
+        return words
 
     def error(self) -> dict | None:
         """Returns the error that ended the stream."""
@@ -97,7 +97,7 @@
             socket.SOL_SOCKET, socket.SO_RCVBUF, 65536
         )
 
-    def _begin(self) -> None:
+    def _read_head(self) -> None:
         self.response = self.connection.getresponse()
         self.status = self.response.status
         self.token = self.response.headers.get("x-resume-token", "")
--- a/tests/features/steps/cluster_steps.py
+++ b/tests/features/steps/cluster_steps.py
@@ -14,7 +14,7 @@
 def start_cluster(context, daemons, *, engines=0, services=0, **settings):
     """Starts a cluster with the standard table and waits until it works."""
     cluster = context.cluster = processes.Cluster()
-    cluster.extra.update(settings)
+    cluster.extra_settings.update(settings)
     cluster.start_platform()
     names = [f"entry-{n}" for n in range(1, daemons + 1)]
     for number in range(1, engines + 1):
