--- a/tests/cases/adapter.py
+++ b/tests/cases/adapter.py
@@ -323,7 +323,7 @@
         await asyncio.gather(call, return_exceptions=True)
 
         async def left() -> bool:
-            return any("r1" in engine.left for engine in engines)
+            return any("r1" in engine.cancelled for engine in engines)
 
         await until("the engine sees it", left, seconds=1.0)
 
@@ -398,8 +398,8 @@
     Cause: the seed and the faults are told where it fails.
     """
     played = await session.play(1)
-    assert not played.wrong, (played.wrong, played.faults)
-    assert any(asked.status == 200 for asked in played.asked)
+    assert not played.violations, (played.violations, played.faults)
+    assert any(asked.status == 200 for asked in played.requests)
 
 
 def settings_that_lack_a_value_are_named() -> None:
--- a/tests/cases/connections.py
+++ b/tests/cases/connections.py
@@ -18,7 +18,7 @@
     work,
 )
 from godwittack.platform import servers
-from standins.scripted import LATER_S, Say, ScriptedServer
+from standins.scripted import LATER_S, Reply, ScriptedServer
 
 HEAD = b"HTTP/1.1 200 OK\r\nX-Godwittack-Request-Id: {id}\r\n"
 OTHER = HEAD.replace(b"{id}", b"another")
@@ -117,7 +117,7 @@
 
 async def what_is_out_of_time_is_not_sent() -> None:
     """Guards against a send after its connection has taken the time left."""
-    async with ScriptedServer(Say(whole(b"1"))) as server:
+    async with ScriptedServer(Reply(whole(b"1"))) as server:
         backend = Backend(server)
         sink = await backend.send(ends_at_ms=SystemClock().now_ms())
         assert sink.failure == (
@@ -129,7 +129,7 @@
 
 async def what_its_server_wants_no_more_is_not_sent() -> None:
     """Guards against a send decided before its server asked for rest."""
-    async with ScriptedServer(Say(whole(b"1")), Say(whole(b"2"))) as server:
+    async with ScriptedServer(Reply(whole(b"1")), Reply(whole(b"2"))) as server:
         backend = Backend(server)
         core = routed_core.Core(servers=0)
         core.list_server("i-1", routed_core.SERVICE)
@@ -166,7 +166,7 @@
     by_other = whole(b"", declined + b"X-Godwittack-Instance-Id: i-2\r\n")
     by_itself = whole(b"", HEAD.replace(b"200 OK", b"503 Full") + words)
     told: list[object] = []
-    async with ScriptedServer(Say(by_other), Say(by_itself)) as server:
+    async with ScriptedServer(Reply(by_other), Reply(by_itself)) as server:
         backend = Backend(server)
         backend.routed.listener.submit = told.append
         await backend.send()
@@ -186,7 +186,7 @@
         target="t",
         server_id="i-1",
     )
-    async with ScriptedServer(*[Say(whole(b"", declined))] * 3) as server:
+    async with ScriptedServer(*[Reply(whole(b"", declined))] * 3) as server:
         backend = Backend(server)
         told: list[object] = []
         backend.routed.listener.submit = told.append
@@ -216,7 +216,7 @@
     )
     call = protocol.Call(method="POST", path="/x", headers=(), body=b"b")
     async with (
-        ScriptedServer(Say(full)) as server,
+        ScriptedServer(Reply(full)) as server,
         aiohttp.ClientSession() as session,
     ):
         backend = http.HttpBackend(
@@ -243,7 +243,7 @@
     Sequence: two whole answers.
     Cause: connections never kept.
     """
-    async with ScriptedServer(Say(whole(b"1")), Say(whole(b"2"))) as server:
+    async with ScriptedServer(Reply(whole(b"1")), Reply(whole(b"2"))) as server:
         backend = Backend(server)
         assert (await backend.send()).answered.body == b"1"
         assert (await backend.send("r2")).answered.body == b"2"
@@ -260,12 +260,12 @@
     Cause: the next answer on a connection taken for the next request's.
     """
     for say in (
-        Say(whole(b"1") + whole(b"x", OTHER)),
-        Say(whole(b"1"), later=whole(b"x", OTHER)),
-        Say(whole(b"1") + b"junk"),
-        Say(whole(b"1"), later=b"junk"),
+        Reply(whole(b"1") + whole(b"x", OTHER)),
+        Reply(whole(b"1"), later=whole(b"x", OTHER)),
+        Reply(whole(b"1") + b"junk"),
+        Reply(whole(b"1"), later=b"junk"),
     ):
-        async with ScriptedServer(say, Say(whole(b"2"))) as server:
+        async with ScriptedServer(say, Reply(whole(b"2"))) as server:
             backend = Backend(server)
             assert (await backend.send()).answered.body == b"1"
             await asyncio.sleep(3 * LATER_S)
@@ -283,7 +283,7 @@
     Cause: the first answer after a request taken for its own.
     """
     async with ScriptedServer(
-        Say(whole(b"1")), Say(whole(b"x", OTHER) + whole(b"2"))
+        Reply(whole(b"1")), Reply(whole(b"x", OTHER) + whole(b"2"))
     ) as server:
         backend = Backend(server)
         await backend.send()
@@ -299,12 +299,12 @@
     Cause: the end of a connection taken for the end of an answer.
     """
     cut = (
-        Say(b"", then="close"),
-        Say(b"HTTP/1.1 200 O", then="close"),
-        Say(whole(b"12345")[:-1], then="close"),
-        Say(HEAD + CHUNKED + chunk(b"123"), then="close"),
-        Say(HEAD + b"\r\n123", then="reset"),
-        Say(b"not an answer at all\r\n\r\n", then="close"),
+        Reply(b"", then="close"),
+        Reply(b"HTTP/1.1 200 O", then="close"),
+        Reply(whole(b"12345")[:-1], then="close"),
+        Reply(HEAD + CHUNKED + chunk(b"123"), then="close"),
+        Reply(HEAD + b"\r\n123", then="reset"),
+        Reply(b"not an answer at all\r\n\r\n", then="close"),
     )
     for say in cut:
         async with ScriptedServer(say) as server:
@@ -320,7 +320,7 @@
     Sequence: no length, no chunks; the connection is closed in order.
     Cause: every end of a connection taken for a failure.
     """
-    async with ScriptedServer(Say(HEAD + b"\r\n123", then="close")) as server:
+    async with ScriptedServer(Reply(HEAD + b"\r\n123", then="close")) as server:
         assert (await Backend(server).send()).answered.body == b"123"
 
 
@@ -342,7 +342,7 @@
         (whole(b"", busy), None),
     )
     for data, failure in cases:
-        async with ScriptedServer(Say(data)) as server:
+        async with ScriptedServer(Reply(data)) as server:
             sink = await Backend(server).send()
             assert sink.failure == failure, (data, sink)
             assert (sink.answered is None) == (failure is not None)
@@ -358,7 +358,7 @@
     """
     body = bytes(range(256)) * 8_000
     async with ScriptedServer(
-        Say(whole(b"1"), reads_body=False), Say(whole(b"2"))
+        Reply(whole(b"1"), reads_body=False), Reply(whole(b"2"))
     ) as server:
         backend = Backend(server)
         assert (await backend.send(body=body)).answered.body == b"1"
@@ -377,7 +377,7 @@
     """
     events = b"id: 3\ndata: a\n\nid: 4\ndata: b\n\nid: 5\nda"
     async with ScriptedServer(
-        Say(STREAM + CHUNKED + chunk(events), then="close")
+        Reply(STREAM + CHUNKED + chunk(events), then="close")
     ) as server:
         sink = await Backend(server).send(stamp=STAMP)
         assert [f.number for f in sink.frames_seen] == [3, 4]
@@ -391,7 +391,7 @@
     Sequence: two whole streams.
     Cause: the end looked for in the events.
     """
-    say = Say(STREAM + CHUNKED + chunk(b"id: 1\ndata: a\n\n") + b"0\r\n\r\n")
+    say = Reply(STREAM + CHUNKED + chunk(b"id: 1\ndata: a\n\n") + b"0\r\n\r\n")
     async with ScriptedServer(say, say) as server:
         backend = Backend(server)
         for name in ("r1", "r2"):
@@ -424,7 +424,7 @@
     Cause: the call follows the opening without a pause, so that nobody can
     say whether it ran.
     """
-    async with ScriptedServer(Say(whole(b"1")), turns_away=1) as server:
+    async with ScriptedServer(Reply(whole(b"1")), resets=1) as server:
         backend = Backend(server)
         sink = await backend.send(fresh_connection=True)
         assert sink.failure[0] is inputs.FailurePhase.CONNECT
@@ -441,7 +441,7 @@
     Cause: kept connections taken without a look.
     """
     async with ScriptedServer(
-        Say(whole(b"1"), then="close"), Say(whole(b"2"))
+        Reply(whole(b"1"), then="close"), Reply(whole(b"2"))
     ) as server:
         backend = Backend(server)
         await backend.send()
@@ -456,7 +456,7 @@
     Sequence: an attempt is cancelled before its answer.
     Cause: the connection kept for later use.
     """
-    async with ScriptedServer(Say(b"")) as server:
+    async with ScriptedServer(Reply(b"")) as server:
         backend = Backend(server)
         task = asyncio.create_task(backend.send())
         await asyncio.sleep(LATER_S)
--- a/tests/cases/fleet_bounds.py
+++ b/tests/cases/fleet_bounds.py
@@ -14,7 +14,7 @@
 from godwittack.limit import budget
 from godwittack.member import assignment, view
 from sim import loop
-from standins.scripted import Say, ScriptedServer
+from standins.scripted import Reply, ScriptedServer
 
 # Daemons up to which each hears of every server, as deployed.
 MESH_LIMIT = 100
@@ -127,8 +127,8 @@
         event=server_ejected failures=3 until_ms=4000
         event=refused reason=no_server attempts=0
     """
-    says = Say(connections.whole(b"1"))
-    async with ScriptedServer(says, turns_away=1) as server:
+    says = Reply(connections.whole(b"1"))
+    async with ScriptedServer(says, resets=1) as server:
         backend = connections.Backend(server)
         sink = await backend.send(fresh_connection=True)
     assert sink.failure == (
--- a/tests/cases/limited.py
+++ b/tests/cases/limited.py
@@ -60,7 +60,7 @@
 async def _limited(name: str, limited: str, other: str) -> None:
     async with Platform(daemons=3) as made:
         await _traffic(made, name, seconds=1)
-        made.replicas[limited].names_limit = str(LIMIT_PER_S)
+        made.replicas[limited].limit_header = str(LIMIT_PER_S)
         named_s = time.monotonic()
         statuses = await _traffic(made, name, seconds=TRAFFIC_S)
         settled_s = named_s + SETTLED_S
@@ -68,7 +68,7 @@
         assert most <= ALLOWED, (most, len(made.replicas[other].ran))
         assert most >= LIMIT_PER_S * WINDOW_S / 2, most
         assert statuses.count(200) == len(statuses), statuses
-        made.replicas[limited].names_limit = ""
+        made.replicas[limited].limit_header = ""
         await _traffic(made, name, seconds=4)
         lifted = _most_in_window(
             made.replicas[limited], since_s=time.monotonic() - 1
--- a/tests/cases/withdrawing.py
+++ b/tests/cases/withdrawing.py
@@ -17,7 +17,7 @@
 
 async def _leave(plan: repeats.Plan) -> None:
     session = await _play(plan)
-    assert session.heard, session.faults
+    assert session.leaving_signals_s, session.faults
 
 
 async def _rest(plan: repeats.Plan) -> None:
--- a/tests/soak/repeats.py
+++ b/tests/soak/repeats.py
@@ -1,8 +1,8 @@
-"""Seeded sessions that count repeats at the servers, with real processes.
+"""Seeded soak sessions that count repeated requests at the servers.
 
 `cd tests && python -m soak.repeats SEED [COUNT [DAEMONS [BUSY]]]` plays seeds
-by hand: daemons are killed and started in series, stopped, cut from the store,
-while servers decline, stall, lose answers and crash by what they are asked.
+by hand: real daemons are killed and restarted in series, paused and cut off
+from the store, while servers decline, stall, lose answers and crash.
 """
 
 from __future__ import annotations
@@ -25,16 +25,16 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-# Where the logs of sessions that went wrong are kept.
-KEPT_LOGS = platform.ROOT / "target" / "soak"
+# Directory for the logs of sessions with violations.
+LOG_DIRECTORY = platform.ROOT / "target" / "soak"
 PLAY_S = 16.0
 ENGINES = 6
 SERVICES = 3
 TARGETS = {"long": "llm", "short": "llm", "release": "app"}
 DEADLINE_MS = 3_000
 MAX_ATTEMPTS = 2
-DEADLY = b"deadly"
-# Drawn from at random, some more often than others.
+CRASHING_BODY = b"deadly"
+# Drawn at random; a fault that is listed twice is drawn twice as often.
 FAULTS = (
     "decline",
     "decline",
@@ -47,23 +47,23 @@
     "pause",
     "store_silent",
 )
-# What operators allow.
+# Limits that operators set.
 WINDOW_S = 10.0
 RATIO = 0.2
-MOST_LONGER_RUNS = 3
-EXCESS_MS = 500
-MOST_EXCESSES = 20
-EXCESS_SHARE = 0.2
-MOST_CRASHES = 3
-KNOWN_AFTER_S = 4.0
-# Time after a disturbance for which operators' bounds in time don't hold.
-STABLE_S = 4.0
-MOST_SENT_ON = 3
+MAX_REQUESTS_OVER_LIMIT = 3
+DEADLINE_TOLERANCE_MS = 500
+MAX_LATE_DEADLINES = 20
+MAX_LATE_DEADLINE_SHARE = 0.2
+CRASHES_TO_QUARANTINE = 3
+QUARANTINE_DELAY_S = 4.0
+# Time after a disturbance during which limits on time don't apply.
+DISTURBANCE_S = 4.0
+MAX_SENT_AFTER_KNOWN = 3
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Plan:
-    """What is asked, and what goes wrong with which pauses between."""
+    """Kinds of requests and faults of a session, and the gaps between them."""
 
     requests: tuple[str, ...] = (
         "release",
@@ -92,7 +92,7 @@
 
 
 class Session:
-    """Plays one seed and lists the bounds that did not hold."""
+    """Plays one seed and lists the violations of limits."""
 
     def __init__(
         self,
@@ -106,40 +106,41 @@
         self.plan = plan or Plan()
         self.rng = random.Random(seed)
         self.daemons = daemons
-        self.asked: dict[str, tuple[str, float]] = {}
-        self.asked_at: dict[str, int] = {}
-        # When a disturbance of a daemon or its way to the store has ended.
+        self.requests: dict[str, tuple[str, float]] = {}
+        self.daemon_by_request: dict[str, int] = {}
+        # End times of disturbances of daemons or of their store connection.
         self._disturbances: list[tuple[float, int]] = []
         self.statuses: collections.Counter[str] = collections.Counter()
         self.crashed_s: list[float] = []
         self.faults: list[str] = []
-        self.wrong: list[str] = []
-        # When a daemon's process went on after it was killed or stopped.
+        self.violations: list[str] = []
+        # Times at which daemons ran again after they were killed or paused.
         self._stops: list[tuple[float, int]] = []
-        # Repeats in the worst window, and how many were allowed, by target.
+        # Repeats in the worst window and the allowed number, by target.
         self.worst: dict[str, tuple[float, float]] = {}
-        # Sends of what crashes servers once that is known: all, and those by
-        # daemons that nothing had disturbed lately.
-        self.sent_on = (0, 0)
+        # Requests that crash servers, sent after that was known: all, and those
+        # by daemons without a recent disturbance.
+        self.sent_after_known = (0, 0)
         self._busy = busy
         self._stopping = False
         self._tasks: list[asyncio.Task] = []
         self._restarting = [asyncio.Lock() for _ in range(daemons)]
 
     async def play(self) -> list[str]:
-        """Returns what was wrong."""
+        """Plays the session and returns the violations."""
         async with Platform(
             daemons=self.daemons, engines=ENGINES, services=SERVICES
-        ) as made:
-            self.made = made
-            busy = [await _burn() for _ in range(self._busy)]
+        ) as fleet:
+            self.fleet = fleet
+            busy = [await _start_busy_process() for _ in range(self._busy)]
             callers = [
-                self._call_on(number) for number in range(self.plan.callers)
+                self._call_until_stopped(number)
+                for number in range(self.plan.callers)
             ]
-            callers += [self._supervise(), self._ask_deadly()]
+            callers += [self._supervise(), self._send_crashing_requests()]
             tasks = [asyncio.create_task(work) for work in callers]
             try:
-                await self._trouble()
+                await self._play_faults()
                 self._stopping = True
                 await asyncio.gather(*tasks)
             finally:
@@ -147,118 +148,121 @@
                     process.kill()
                     await process.wait()
             self._check()
-            if self.wrong:
+            if self.violations:
                 self._keep_logs()
-        return self.wrong
+        return self.violations
 
     def summary(self) -> str:
-        """Returns what a played session has counted."""
+        """Summarizes the counts of the finished session."""
         return (
-            f"{len(self.crashed_s)} crashes, {self.sent_on} sent on,"
+            f"{len(self.crashed_s)} crashes,"
+            f" {self.sent_after_known} crashing requests sent after these,"
             f" worst {self.worst}"
         )
 
     def _keep_logs(self) -> None:
-        """Copies the daemons' logs before their folder goes."""
-        folder = KEPT_LOGS / f"{type(self).__module__}-{self.seed}"
+        """Copies the daemons' logs before their directory is removed."""
+        folder = LOG_DIRECTORY / f"{type(self).__module__}-{self.seed}"
         folder.mkdir(parents=True, exist_ok=True)
-        for log in self.made.logs:
+        for log in self.fleet.logs:
             shutil.copy(log, folder)
         (folder / "faults.txt").write_text("\n".join(self.faults))
 
-    async def _call_on(self, number: int) -> None:
+    async def _call_until_stopped(self, number: int) -> None:
         count = 0
         while not self._stopping:
             count += 1
             kind = self.rng.choice(self.plan.requests)
-            await self._ask(f"c{number}-{count}", kind, b"b%d" % number)
+            await self._send_request(
+                f"c{number}-{count}", kind, b"b%d" % number
+            )
             await asyncio.sleep(self.rng.uniform(*self.plan.pause_s))
 
-    async def _ask_deadly(self) -> None:
+    async def _send_crashing_requests(self) -> None:
         count = 0
         while not self._stopping:
             count += 1
-            await self._ask(f"x-{count}", "release", DEADLY)
+            await self._send_request(f"x-{count}", "release", CRASHING_BODY)
             await asyncio.sleep(0.25)
 
-    async def _ask(self, name: str, kind: str, body: bytes) -> None:
-        self.asked[name] = (kind, time.monotonic())
-        daemon = self.asked_at[name] = self.rng.randrange(self.daemons)
+    async def _send_request(self, name: str, kind: str, body: bytes) -> None:
+        self.requests[name] = (kind, time.monotonic())
+        daemon = self.daemon_by_request[name] = self.rng.randrange(self.daemons)
         try:
             async with asyncio.timeout(4):
-                status, headers, _ = await self.made.call(
+                status, headers, _ = await self.fleet.call(
                     kind, name, daemon=daemon, body=body
                 )
             self.statuses[str(status)] += 1
-            self._answered(daemon, status, headers)
+            self._record_answer(daemon, status, headers)
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             self.statuses[type(error).__name__] += 1
 
-    def _answered(
+    def _record_answer(
         self, daemon: int, status: int, headers: dict[str, str]
     ) -> None:
-        """Takes in an answer that a daemon passed on."""
+        """Records an answer that a daemon returned."""
 
-    async def _trouble(self) -> None:
-        """Begins one fault after the other; each lasts for a while."""
-        for replica in self.made.replicas.values():
+    async def _play_faults(self) -> None:
+        """Starts faults one after the other; each lasts for some seconds."""
+        for replica in self.fleet.replicas.values():
             replica.faults.declined_share = self.plan.declined_share
         await asyncio.sleep(self.plan.calm_s)
         ends_s = time.monotonic() + PLAY_S - self.plan.calm_s
         while time.monotonic() < ends_s:
-            self._begin(self.rng.choice(self.plan.faults))
+            self._start_fault(self.rng.choice(self.plan.faults))
             await asyncio.sleep(self.rng.uniform(*self.plan.gaps_s))
         await asyncio.gather(*self._tasks)
 
-    def _begin(self, fault: str) -> None:
+    def _start_fault(self, fault: str) -> None:
         self.faults.append(f"{time.monotonic():.1f} {fault}")
         work = getattr(self, f"_{fault}")()
         self._tasks.append(asyncio.create_task(work))
 
-    async def _for_a_while(self, longest_s: float = 5.0) -> None:
-        await asyncio.sleep(self.rng.uniform(0.5, longest_s))
+    async def _hold_fault(self, max_s: float = 5.0) -> None:
+        await asyncio.sleep(self.rng.uniform(0.5, max_s))
 
-    def _some(self, plain: bool) -> list:
-        found = [
+    def _choose_replicas(self, plain: bool) -> list:
+        candidates = [
             replica
-            for replica in self.made.replicas.values()
+            for replica in self.fleet.replicas.values()
             if plain is not bool(replica.model)
         ]
-        return self.rng.sample(found, self.rng.randint(1, len(found)))
+        return self.rng.sample(candidates, self.rng.randint(1, len(candidates)))
 
     async def _decline(self) -> None:
-        chosen = self._some(plain=self.rng.random() < 0.7)
+        chosen = self._choose_replicas(plain=self.rng.random() < 0.7)
         for replica in chosen:
             replica.faults.declined_share = self.rng.uniform(0.4, 0.9)
-        await self._for_a_while(9.0)
+        await self._hold_fault(9.0)
         for replica in chosen:
             replica.faults.declined_share = 0.0
 
     async def _stall(self) -> None:
-        chosen = self._some(plain=False)
+        chosen = self._choose_replicas(plain=False)
         for replica in chosen:
             replica.event_gap_s = self.rng.uniform(1.05, 1.4)
-        await self._for_a_while()
+        await self._hold_fault()
         for replica in chosen:
             replica.event_gap_s = 0.01
 
     async def _lose_answers(self) -> None:
-        chosen = self._some(plain=True)
+        chosen = self._choose_replicas(plain=True)
         for replica in chosen:
             replica.faults.lose_answers = True
-        await self._for_a_while(2.0)
+        await self._hold_fault(2.0)
         for replica in chosen:
             replica.faults.lose_answers = False
 
     async def _crash(self) -> None:
-        for replica in self.made.replicas.values():
+        for replica in self.fleet.replicas.values():
             if not replica.model:
-                replica.crashes_on = DEADLY
+                replica.crashes_on = CRASHING_BODY
 
     async def _supervise(self) -> None:
-        """Starts what has crashed again, at its address and under its id."""
+        """Restarts crashed servers at their addresses, under their ids."""
         while not self._stopping:
-            for replica in self.made.replicas.values():
+            for replica in self.fleet.replicas.values():
                 if replica.has_crashed:
                     self.crashed_s.append(time.monotonic())
                     await replica.restart()
@@ -280,150 +284,158 @@
 
     async def _kill(self, number: int) -> None:
         async with self._restarting[number]:
-            process = self.made.processes[number]
+            process = self.fleet.processes[number]
             if process.returncode is None:
                 process.kill()
             await process.wait()
             await asyncio.sleep(self.rng.uniform(0.05, 0.5))
-            await self.made.restart_daemon(number)
-            self._note_stopped((number,))
+            await self.fleet.restart_daemon(number)
+            self._record_stop((number,))
 
     async def _pause(self) -> None:
         chosen = self.rng.sample(range(self.daemons), self.daemons // 4)
-        stopped = [self.made.processes[number] for number in chosen]
+        stopped = [self.fleet.processes[number] for number in chosen]
         _signal(stopped, signal.SIGSTOP)
-        await self._for_a_while(2.0)
+        await self._hold_fault(2.0)
         _signal(stopped, signal.SIGCONT)
-        self._note_stopped(chosen)
+        self._record_stop(chosen)
 
     async def _store_silent(self) -> None:
-        self.made.store.faults.silent = True
-        await self._for_a_while(3.0)
-        self.made.store.faults.silent = False
-        self._note_disturbed(range(self.daemons))
+        self.fleet.store.faults.silent = True
+        await self._hold_fault(3.0)
+        self.fleet.store.faults.silent = False
+        self._record_disturbance(range(self.daemons))
 
-    def _note_stopped(self, daemons: Iterable[int]) -> None:
+    def _record_stop(self, daemons: Iterable[int]) -> None:
         for number in daemons:
             self._stops.append((time.monotonic(), number))
-        self._note_disturbed(daemons)
+        self._record_disturbance(daemons)
 
-    def _note_disturbed(self, daemons: Iterable[int]) -> None:
+    def _record_disturbance(self, daemons: Iterable[int]) -> None:
         for number in daemons:
             self._disturbances.append((time.monotonic(), number))
 
-    def _is_in_touch(self, daemon: int, at_s: float) -> bool:
+    def _is_undisturbed(self, daemon: int, at_s: float) -> bool:
         return not any(
-            number == daemon and ended_s <= at_s < ended_s + STABLE_S
+            number == daemon and ended_s <= at_s < ended_s + DISTURBANCE_S
             for ended_s, number in self._disturbances
         )
 
     def _check(self) -> None:
         arrivals = collections.defaultdict(list)
-        for replica in self.made.replicas.values():
+        for replica in self.fleet.replicas.values():
             target = "llm" if replica.model else "app"
             arrivals[target].extend(replica.arrivals)
-        for target, found in arrivals.items():
-            found.sort(key=lambda arrival: arrival.at_s)
-            self._check_windows(target, found)
-            self._check_time_left(found)
+        for target, received in arrivals.items():
+            received.sort(key=lambda arrival: arrival.at_s)
+            self._check_windows(target, received)
+            self._check_deadlines(received)
         self._check_attempts()
-        self._check_deadly(arrivals["app"])
+        self._check_crashing_requests(arrivals["app"])
 
     def _check_windows(self, target: str, arrivals: list) -> None:
         slack = platform.BOUNDS["retry-slack"]
-        asked_s = sorted(
+        requests_s = sorted(
             at_s
-            for kind, at_s in self.asked.values()
+            for kind, at_s in self.requests.values()
             if TARGETS[kind] == target
         )
-        seen: set[str] = set()
-        again_s = []
+        known_ids: set[str] = set()
+        repeats_s = []
         for arrival in arrivals:
-            if arrival.request_id in seen:
-                again_s.append(arrival.at_s)
-            seen.add(arrival.request_id)
+            if arrival.request_id in known_ids:
+                repeats_s.append(arrival.at_s)
+            known_ids.add(arrival.request_id)
         worst = (-slack, 0, slack)
-        for from_s in again_s:
-            count = _between(again_s, from_s)
+        for start_s in repeats_s:
+            count = _count_in_window(repeats_s, start_s)
             requests = max(
-                _between(asked_s, from_s - before_s)
-                for before_s in (0.0, WINDOW_S / 2, WINDOW_S)
+                _count_in_window(requests_s, start_s - earlier_s)
+                for earlier_s in (0.0, WINDOW_S / 2, WINDOW_S)
             )
             allowed = RATIO * requests + slack
             worst = max(worst, (count - allowed, count, allowed))
         self.worst[target] = worst[1:]
         if worst[0] > 0:
-            self.wrong.append(
+            self.violations.append(
                 f"{target}: {worst[1]} repeats in {WINDOW_S:.0f} s,"
                 f" {worst[2]:.0f} allowed"
             )
 
-    def _check_time_left(self, arrivals: list) -> None:
-        excesses = 0
+    def _check_deadlines(self, arrivals: list) -> None:
+        late_deadlines = 0
         for arrival in arrivals:
-            sent_s = self.asked[arrival.request_id][1]
-            left_ms = DEADLINE_MS - (arrival.at_s - sent_s) * 1000
-            is_named = arrival.deadline_ms >= 0
-            excesses += (
-                not is_named or arrival.deadline_ms > left_ms + EXCESS_MS
+            requested_s = self.requests[arrival.request_id][1]
+            remaining_ms = DEADLINE_MS - (arrival.at_s - requested_s) * 1000
+            has_deadline = arrival.deadline_ms >= 0
+            late_deadlines += (
+                not has_deadline
+                or arrival.deadline_ms > remaining_ms + DEADLINE_TOLERANCE_MS
             )
-        if excesses > max(MOST_EXCESSES, EXCESS_SHARE * len(arrivals)):
-            self.wrong.append(
-                f"{excesses} of {len(arrivals)} sent with more time than left"
+        if late_deadlines > max(
+            MAX_LATE_DEADLINES, MAX_LATE_DEADLINE_SHARE * len(arrivals)
+        ):
+            self.violations.append(
+                f"{late_deadlines} of {len(arrivals)} requests were sent with"
+                " no deadline, or with a later one than the caller's"
             )
 
     def _check_attempts(self) -> None:
         ran = collections.defaultdict(set)
-        for replica in self.made.replicas.values():
-            for one in replica.ran:
-                if one.body != DEADLY:
-                    ran[one.request_id].add(replica.instance)
-        longer = [name for name, on in ran.items() if len(on) > MAX_ATTEMPTS]
-        if len(longer) > MOST_LONGER_RUNS:
-            self.wrong.append(
-                f"{len(longer)} requests ran on more than {MAX_ATTEMPTS}"
-                f" servers: {longer[:5]}"
+        for replica in self.fleet.replicas.values():
+            for execution in replica.ran:
+                if execution.body != CRASHING_BODY:
+                    ran[execution.request_id].add(replica.instance)
+        exceeding = [
+            name for name, servers in ran.items() if len(servers) > MAX_ATTEMPTS
+        ]
+        if len(exceeding) > MAX_REQUESTS_OVER_LIMIT:
+            self.violations.append(
+                f"{len(exceeding)} requests ran on more than {MAX_ATTEMPTS}"
+                f" servers: {exceeding[:5]}"
             )
 
-    def _check_deadly(self, arrivals: list) -> None:
-        if len(self.crashed_s) < MOST_CRASHES:
+    def _check_crashing_requests(self, arrivals: list) -> None:
+        if len(self.crashed_s) < CRASHES_TO_QUARANTINE:
             return
-        known_s = self.crashed_s[MOST_CRASHES - 1] + KNOWN_AFTER_S
-        after = [a for a in arrivals if a.body == DEADLY and a.at_s > known_s]
+        known_s = self.crashed_s[CRASHES_TO_QUARANTINE - 1] + QUARANTINE_DELAY_S
+        after = [
+            a for a in arrivals if a.body == CRASHING_BODY and a.at_s > known_s
+        ]
         late = [
             arrival
             for arrival in after
-            if self._is_in_touch(
-                self.asked_at[arrival.request_id], arrival.at_s
+            if self._is_undisturbed(
+                self.daemon_by_request[arrival.request_id], arrival.at_s
             )
         ]
-        self.sent_on = len(after), len(late)
-        if len(late) > MOST_SENT_ON:
-            self.wrong.append(
-                f"what crashes servers was sent {len(late)} times after"
-                f" {MOST_CRASHES} crashes were known"
+        self.sent_after_known = len(after), len(late)
+        if len(late) > MAX_SENT_AFTER_KNOWN:
+            self.violations.append(
+                f"crashing requests were sent {len(late)} times after"
+                f" {CRASHES_TO_QUARANTINE} crashes were known"
             )
 
 
-def _signal(processes: list, sign: signal.Signals) -> None:
+def _signal(processes: list, sent_signal: signal.Signals) -> None:
     for process in processes:
         if process.returncode is None:
-            process.send_signal(sign)
+            process.send_signal(sent_signal)
 
 
-def _between(moments_s: list[float], from_s: float) -> int:
-    return sum(from_s <= at_s < from_s + WINDOW_S for at_s in moments_s)
+def _count_in_window(moments_s: list[float], start_s: float) -> int:
+    return sum(start_s <= at_s < start_s + WINDOW_S for at_s in moments_s)
 
 
-async def _burn() -> asyncio.subprocess.Process:
-    """Starts a process that keeps a core busy."""
+async def _start_busy_process() -> asyncio.subprocess.Process:
+    """Starts a process that keeps a processor core busy."""
     return await asyncio.create_subprocess_exec(
         sys.executable, "-c", "while True: pass"
     )
 
 
 def read_arguments() -> tuple[int, int, int, int]:
-    """Returns first seed, count, daemons and busy processes to play with."""
+    """Returns first seed, count, daemons and busy processes as given."""
     first, count, daemons, busy = (
         int(sys.argv[n]) if len(sys.argv) > n else default
         for n, default in ((1, 0), (2, 1), (3, 12), (4, 0))
@@ -431,22 +443,22 @@
     return first, count, daemons, busy
 
 
-def play_seeds(make: Callable[..., Session]) -> int:
-    """Plays the seeds named on the command line; returns 1 if any is wrong."""
+def play_seeds(create_session: Callable[..., Session]) -> int:
+    """Plays the seeds of the command line; returns 1 if any has violations."""
     first, count, daemons, busy = read_arguments()
     failed = 0
     for seed in range(first, first + count):
-        session = make(seed, daemons=daemons, busy=busy)
-        wrong = asyncio.run(session.play())
+        session = create_session(seed, daemons=daemons, busy=busy)
+        violations = asyncio.run(session.play())
         print(
-            f"seed {seed}: {daemons} daemons, {len(session.asked)} asked,"
+            f"seed {seed}: {daemons} daemons, {len(session.requests)} requests,"
             f" {dict(session.statuses.most_common(4))},"
-            f" {session.summary()}, {len(wrong)} wrong",
+            f" {session.summary()}, {len(violations)} violations",
             flush=True,
         )
-        for line in wrong:
+        for line in violations:
             print(f"  {line}", flush=True)
-        if wrong:
+        if violations:
             print(f"  faults: {session.faults}", flush=True)
             failed += 1
     print(f"{count - failed} passed, {failed} failed")
--- a/tests/soak/session.py
+++ b/tests/soak/session.py
@@ -1,4 +1,4 @@
-"""One seeded session: traffic, faults in series that overlap, promises.
+"""Seeded soak sessions: traffic under overlapping faults, with checks.
 
 `cd tests && python -m soak.session FIRST [COUNT]` plays seeds by hand.
 """
@@ -21,17 +21,19 @@
 CALLERS = 6
 DAEMONS = 3
 KINDS = ("long", "short", "confirm", "release", "open")
-RUN_ONCE = ("short", "confirm")
-NOT_RUN = (408, 421, 429, 503)
-STREAM = b"".join(b"id: %d\ndata: e%d\n\n" % (n, n) for n in range(1, 6))
+AT_MOST_ONCE = ("short", "confirm")
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+COMPLETE_STREAM = b"".join(
+    b"id: %d\ndata: e%d\n\n" % (n, n) for n in range(1, 6)
+)
 SECOND_KEY = "second-key"
-KEY_BOUND_S = 5.0
-RECOVERED_S = 20.0
+KEY_REMOVAL_LIMIT_S = 5.0
+RECOVERY_LIMIT_S = 20.0
 
 
 @dataclasses.dataclass
-class Asked:
-    """One request and what its caller saw; status 0 for a broken answer."""
+class SentRequest:
+    """One request and its answer; status 0 if the answer was incomplete."""
 
     name: str
     kind: str
@@ -42,70 +44,72 @@
 
 
 class Session:
-    """Plays one seed and lists the promises that did not hold."""
+    """Plays one seed and lists the violations of promises."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.asked: list[Asked] = []
+        self.requests: list[SentRequest] = []
         self.faults: list[str] = []
-        self.wrong: list[str] = []
+        self.violations: list[str] = []
         self.version = 1
-        self.key_gone_at_s = 0.0
+        self.key_removed_at_s = 0.0
         self._stopping = False
         self._restarting = [asyncio.Lock() for _ in range(DAEMONS)]
         self._tasks: list[asyncio.Task] = []
 
     async def play(self) -> list[str]:
-        """Returns what was wrong."""
-        async with Platform(daemons=DAEMONS) as made:
-            self.made = made
-            made.store.put(
+        """Plays the session and returns the violations."""
+        async with Platform(daemons=DAEMONS) as fleet:
+            self.fleet = fleet
+            fleet.store.put(
                 "op", "config", platform.config(2, keys=(KEY, SECOND_KEY))
             )
             await asyncio.sleep(1.0)
             callers = [
-                asyncio.create_task(self._call_on(number))
+                asyncio.create_task(self._call_until_stopped(number))
                 for number in range(CALLERS)
             ]
-            await self._trouble()
-            await self._heal()
+            await self._play_faults()
+            await self._resume_all()
             await self._check_recovery()
             self._stopping = True
             await asyncio.gather(*callers)
             self._check_promises()
-        return self.wrong
+        return self.violations
 
-    async def _call_on(self, number: int) -> None:
+    async def _call_until_stopped(self, number: int) -> None:
         count = 0
         while not self._stopping:
             count += 1
             kind = self.rng.choice(KINDS)
             key = self.rng.choice((KEY, KEY, SECOND_KEY))
-            asked = Asked(f"c{number}-{count}", kind, key, time.monotonic())
-            self.asked.append(asked)
+            request = SentRequest(
+                f"c{number}-{count}", kind, key, time.monotonic()
+            )
+            self.requests.append(request)
             try:
                 async with asyncio.timeout(4):
-                    asked.status, _, asked.body = await self.made.call(
+                    request.status, _, request.body = await self.fleet.call(
                         kind,
-                        asked.name,
+                        request.name,
                         daemon=self.rng.randrange(DAEMONS),
                         key=key,
                     )
             except (aiohttp.ClientError, OSError, TimeoutError):
-                asked.status = 0
+                request.status = 0
             await asyncio.sleep(self.rng.uniform(0.0, 0.05))
 
-    async def _trouble(self) -> None:
-        """Begins a fault every half second; each lasts for a while."""
+    async def _play_faults(self) -> None:
+        """Starts a fault about every half second; each lasts up to 2 s."""
         ends = time.monotonic() + PLAY_S
         kinds = (
-            self._store_fails,
-            self._server_fails,
+            self._fail_store,
+            self._fail_server,
             self._pause,
             self._kill,
             self._stop,
-            self._name_weights,
-            self._take_key,
+            self._publish_weights,
+            self._remove_key,
         )
         while time.monotonic() < ends:
             fault = self.rng.choice(kinds)
@@ -113,11 +117,11 @@
             await asyncio.sleep(self.rng.uniform(0.2, 0.8))
         await asyncio.gather(*self._tasks)
 
-    async def _for_a_while(self, longest_s: float = 2.0) -> None:
-        await asyncio.sleep(self.rng.uniform(0.2, longest_s))
+    async def _hold_fault(self, max_s: float = 2.0) -> None:
+        await asyncio.sleep(self.rng.uniform(0.2, max_s))
 
-    async def _store_fails(self) -> None:
-        faults = self.made.store.faults
+    async def _fail_store(self) -> None:
+        faults = self.fleet.store.faults
         kind = self.rng.choice(("silent", "busy", "slow", "forgets"))
         self.faults.append(f"store {kind}")
         match kind:
@@ -128,12 +132,12 @@
             case "slow":
                 faults.latency_s = 0.3
             case "forgets":
-                faults.forgotten_up_to = self.made.store.version
-        await self._for_a_while()
+                faults.forgotten_up_to = self.fleet.store.version
+        await self._hold_fault()
         faults.silent, faults.status, faults.latency_s = False, 0, 0.0
 
-    async def _server_fails(self) -> None:
-        replica = self.rng.choice(list(self.made.replicas.values()))
+    async def _fail_server(self) -> None:
+        replica = self.rng.choice(list(self.fleet.replicas.values()))
         kind = self.rng.choice(("full", "cut", "silent", "lost", "orders"))
         self.faults.append(f"{replica.instance} {kind}")
         faults = replica.faults
@@ -148,7 +152,7 @@
                 faults.lose_answers = True
             case "orders":
                 faults.lose_orders = True
-        await self._for_a_while(1.0)
+        await self._hold_fault(1.0)
         faults.full = faults.silent = faults.lose_orders = False
         faults.lose_answers = False
         faults.cut_after = -1
@@ -157,7 +161,7 @@
         number = self.rng.randrange(DAEMONS)
         self.faults.append(f"daemon {number} paused")
         self._signal(number, signal.SIGSTOP)
-        await self._for_a_while()
+        await self._hold_fault()
         self._signal(number, signal.SIGCONT)
 
     async def _kill(self) -> None:
@@ -174,10 +178,10 @@
         await self._restart(number)
 
     async def _restart(self, number: int) -> None:
-        process = self.made.processes[number]
-        # Killed while it stops, a daemon is started once, not twice.
+        process = self.fleet.processes[number]
+        # A daemon that is killed while it stops is restarted only once.
         async with self._restarting[number]:
-            if self.made.processes[number] is process:
+            if self.fleet.processes[number] is process:
                 await self._restart_ended(number, process)
 
     async def _restart_ended(
@@ -187,97 +191,110 @@
             async with asyncio.timeout(10):
                 await process.wait()
         except TimeoutError:
-            # Paused by another fault; the platform kills it after the grace.
+            # Paused by another fault; the platform kills it after its grace.
             process.kill()
             await process.wait()
-        await self.made.restart_daemon(number)
+        await self.fleet.restart_daemon(number)
 
-    async def _name_weights(self) -> None:
+    async def _publish_weights(self) -> None:
         self.version += 1
         self.faults.append(f"weights {self.version}")
-        self.made.store.put(
+        self.fleet.store.put(
             "op", "version/m", {"model": "m", "version": self.version}
         )
 
-    async def _take_key(self) -> None:
-        if self.key_gone_at_s:
+    async def _remove_key(self) -> None:
+        if self.key_removed_at_s:
             return
-        self.faults.append("key taken away")
-        self.made.store.put("op", "config", platform.config(3))
-        self.key_gone_at_s = time.monotonic()
+        self.faults.append("key removed")
+        self.fleet.store.put("op", "config", platform.config(3))
+        self.key_removed_at_s = time.monotonic()
 
-    def _signal(self, number: int, sign: signal.Signals) -> None:
-        if self.made.processes[number].returncode is None:
-            self.made.signal(number, sign)
+    def _signal(self, number: int, sent_signal: signal.Signals) -> None:
+        if self.fleet.processes[number].returncode is None:
+            self.fleet.signal(number, sent_signal)
 
-    async def _heal(self) -> None:
+    async def _resume_all(self) -> None:
         for number in range(DAEMONS):
             self._signal(number, signal.SIGCONT)
 
     async def _check_recovery(self) -> None:
-        """Everything serves again, and all engines have the last weights."""
+        """Checks that all daemons serve and all engines are up to date."""
 
         async def serves() -> bool:
             for number in range(DAEMONS):
                 for kind in ("long", "release"):
                     name = f"after-{number}-{time.monotonic_ns()}"
-                    got = await self.made.call(kind, name, daemon=number)
-                    if got[0] != 200:
+                    answer = await self.fleet.call(kind, name, daemon=number)
+                    if answer[0] != 200:
                         return False
-            engines = [r for r in self.made.replicas.values() if r.model]
+            engines = [r for r in self.fleet.replicas.values() if r.model]
             return all(engine.version == self.version for engine in engines)
 
         try:
-            await platform.until("all is well", serves, seconds=RECOVERED_S)
+            await platform.until(
+                "the fleet has recovered", serves, seconds=RECOVERY_LIMIT_S
+            )
         except AssertionError as error:
-            versions = [r.version for r in self.made.replicas.values()]
-            self.wrong.append(f"{error}; versions {versions}")
+            versions = [r.version for r in self.fleet.replicas.values()]
+            self.violations.append(f"{error}; versions {versions}")
 
     def _check_promises(self) -> None:
-        for asked in self.asked:
-            ran = self.made.ran(asked.name)
-            what = f"{asked.name} {asked.kind} {asked.status}"
-            if asked.kind in RUN_ONCE and len(ran) > 1:
-                self.wrong.append(f"{what}: ran {len(ran)} times")
-            if asked.status in NOT_RUN and ran:
-                self.wrong.append(f"{what}: said not run, and ran")
-            if asked.status == 200:
-                streamed = asked.kind in ("long", "short")
-                expected = STREAM if streamed else b"ydob"
-                if asked.body != expected:
-                    self.wrong.append(f"{what}: not whole: {asked.body!r}")
-            late = asked.sent_at_s > self.key_gone_at_s + KEY_BOUND_S
-            gone = self.key_gone_at_s and asked.key == SECOND_KEY and late
-            if gone and ran and asked.kind != "open":
-                self.wrong.append(f"{what}: its key was gone for 5 s")
-            for one in ran:
-                scope = one.scope.partition("/")[0]
-                if scope and scope != f"v{one.version}":
-                    self.wrong.append(f"{what}: {scope} on {one.version}")
+        for request in self.requests:
+            ran = self.fleet.ran(request.name)
+            label = f"{request.name} {request.kind} {request.status}"
+            if request.kind in AT_MOST_ONCE and len(ran) > 1:
+                self.violations.append(f"{label}: ran {len(ran)} times")
+            if request.status in NOT_RUN_STATUSES and ran:
+                self.violations.append(f"{label}: reported as not run, but ran")
+            if request.status == 200:
+                streamed = request.kind in ("long", "short")
+                expected = COMPLETE_STREAM if streamed else b"ydob"
+                if request.body != expected:
+                    self.violations.append(
+                        f"{label}: incomplete: {request.body!r}"
+                    )
+            is_late = (
+                request.sent_at_s > self.key_removed_at_s + KEY_REMOVAL_LIMIT_S
+            )
+            lacks_key = (
+                self.key_removed_at_s and request.key == SECOND_KEY and is_late
+            )
+            if lacks_key and ran and request.kind != "open":
+                self.violations.append(
+                    f"{label}: its key was removed 5 s before"
+                )
+            for execution in ran:
+                scope = execution.scope.partition("/")[0]
+                if scope and scope != f"v{execution.version}":
+                    self.violations.append(
+                        f"{label}: {scope} on {execution.version}"
+                    )
 
 
 async def play(seed: int) -> Session:
-    """Plays a seed and returns its session."""
+    """Plays one seed and returns the finished session."""
     session = Session(seed)
     await session.play()
     return session
 
 
 def main() -> int:
-    """Plays seeds named on the command line."""
+    """Plays the seeds of the command line; returns 1 if any has violations."""
     first = int(sys.argv[1])
     count = int(sys.argv[2]) if len(sys.argv) > 2 else 1
     failed = 0
     for seed in range(first, first + count):
         session = asyncio.run(play(seed))
-        good = sum(asked.status == 200 for asked in session.asked)
+        served = sum(request.status == 200 for request in session.requests)
         print(
-            f"seed {seed}: {good} of {len(session.asked)} served,"
-            f" {len(session.faults)} faults, {len(session.wrong)} wrong"
+            f"seed {seed}: {served} of {len(session.requests)} served,"
+            f" {len(session.faults)} faults,"
+            f" {len(session.violations)} violations"
         )
-        for wrong in session.wrong:
-            print(f"  {wrong}")
-        if session.wrong:
+        for violation in session.violations:
+            print(f"  {violation}")
+        if session.violations:
             print(f"  faults: {session.faults}")
             failed += 1
     print(f"{count - failed} passed, {failed} failed")
--- a/tests/soak/signals.py
+++ b/tests/soak/signals.py
@@ -1,9 +1,9 @@
-"""Seeded sessions in which servers say that they leave, or ask for rest.
+"""Seeded soak sessions in which servers announce leaving or request rest.
 
 `cd tests && python -m soak.signals SEED [COUNT [DAEMONS [BUSY]]]` plays seeds
-by hand. What a server says with an answer binds the daemon that got the answer,
-whatever the store, the list and other daemons say; requests are counted at the
-servers, by daemon, beside kills, pauses and a silent store.
+by hand. A signal in an answer binds the daemon that received it, whatever the
+store, the server list and other daemons report. Requests are counted at the
+servers, by daemon, under kills, pauses and an unresponsive store.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 from cluster import platform
 from soak import repeats
 
-# What operators allow.
+# Limits that operators set.
 DRAIN_S = 2.0
 REST_BEGINS_S = 0.5
-MOST_IN_REST = 2
+MAX_IN_REST = 2
 SIGNATURE = "x-godwittack-response-signature"
 
 LEAVING = repeats.Plan(faults=("leave",), gaps_s=(13.2, 14.0), calm_s=3.0)
@@ -51,71 +51,73 @@
 
 
 class Session(repeats.Session):
-    """Plays one seed and lists where a server's word was not kept to."""
+    """Plays one seed and lists the signals of servers that were ignored."""
 
     async def play(self) -> list[str]:
-        """Returns what was wrong."""
-        # When a daemon passed on an answer of a server that said it leaves.
-        self.heard: dict[tuple[int, str], list[float]]
-        self.heard = collections.defaultdict(list)
-        self.without_return = 0
+        """Plays the session and returns the violations."""
+        # Times of answers with a leaving signal, by daemon and server.
+        self.leaving_signals_s: dict[tuple[int, str], list[float]]
+        self.leaving_signals_s = collections.defaultdict(list)
+        self.without_retry_after = 0
         self.after_leaving = self.rests = 0
-        self.most_in_rest = 0
+        self.max_in_rest = 0
         return await super().play()
 
-    def _answered(
+    def _record_answer(
         self, daemon: int, status: int, headers: dict[str, str]
     ) -> None:
         if headers.get("server-leaving"):
             server = headers.get(SIGNATURE, "").split(".")
             if len(server) > 1:
-                self.heard[daemon, server[1]].append(time.monotonic())
+                self.leaving_signals_s[daemon, server[1]].append(
+                    time.monotonic()
+                )
         if status == 503 and not headers.get("retry-after"):
-            self.without_return += 1
+            self.without_retry_after += 1
 
     def _staying(self, *, plain: bool) -> list:
         return [
             replica
-            for replica in self.made.replicas.values()
-            if plain is not bool(replica.model) and not replica.leaves
+            for replica in self.fleet.replicas.values()
+            if plain is not bool(replica.model) and not replica.is_leaving
         ]
 
-    def _some_leave(self) -> list:
-        """Lets an engine and a plain server leave where others stay."""
+    def _start_leaving(self) -> list:
+        """Lets an engine and a plain server leave, if others stay."""
         chosen = []
         for plain in (True, False):
             staying = self._staying(plain=plain)
             if len(staying) > 1:
                 chosen.append(self.rng.choice(staying))
         for replica in chosen:
-            replica.leaves = True
+            replica.is_leaving = True
         return chosen
 
     async def _leave(self) -> None:
-        """The list still shows the servers as ready."""
-        self._some_leave()
+        """Servers leave while the list still shows them as ready."""
+        self._start_leaving()
 
     async def _leave_unseen(self) -> None:
-        self._some_leave()
-        self.made.store.faults.silent = True
+        self._start_leaving()
+        self.fleet.store.faults.silent = True
         await asyncio.sleep(9.0)
-        self.made.store.faults.silent = False
+        self.fleet.store.faults.silent = False
 
     async def _lapse(self) -> None:
-        """Their entries go, and come back as ready."""
+        """Servers leave; their rows are deleted and return as ready."""
         rows = {
             replica.instance: self._row_of(replica.instance)
-            for replica in self._some_leave()
+            for replica in self._start_leaving()
         }
-        await self._for_a_while()
+        await self._hold_fault()
         for name in rows:
-            self.made.store.put("servers", name, None)
-        await self._for_a_while()
+            self.fleet.store.put("servers", name, None)
+        await self._hold_fault()
         for name, row in rows.items():
-            self.made.store.put("servers", name, row)
+            self.fleet.store.put("servers", name, row)
 
     def _row_of(self, server: str) -> dict:
-        stored = self.made.store.rows["servers", server]["value"]
+        stored = self.fleet.store.rows["servers", server]["value"]
         return json.loads(platform.decoded(stored))
 
     async def _rest(self) -> None:
@@ -138,61 +140,66 @@
             replica.faults.declined_share = replica.faults.rest_s = 0.0
 
     def summary(self) -> str:
-        """Returns what a played session has counted."""
+        """Summarizes the counts of the finished session."""
         return (
-            f"{sum(map(len, self.heard.values()))} signals of leaving,"
+            f"{sum(map(len, self.leaving_signals_s.values()))} leaving signals,"
             f" {self.after_leaving} sent after them,"
-            f" {self.rests} rests, most in one {self.most_in_rest}"
+            f" {self.rests} rests, at most {self.max_in_rest} requests in one"
         )
 
     def _check(self) -> None:
         stops = collections.defaultdict(list)
         for at_s, number in sorted(self._stops):
             stops[number].append(at_s)
-        for replica in self.made.replicas.values():
+        for replica in self.fleet.replicas.values():
             self._check_leaving(replica, stops)
             self._check_rests(replica, stops)
-        if self.without_return:
-            self.wrong.append(
-                f"{self.without_return} refusals don't say when to come back"
+        if self.without_retry_after:
+            self.violations.append(
+                f"{self.without_retry_after} refusals without Retry-After"
             )
 
     def _check_leaving(self, replica, stops: dict[int, list[float]]) -> None:
         late = 0
         for arrival in replica.arrivals:
-            daemon = self.asked_at[arrival.request_id]
-            sent_s = self.asked[arrival.request_id][1]
+            daemon = self.daemon_by_request[arrival.request_id]
+            requested_s = self.requests[arrival.request_id][1]
             stopped_s = _last_before(stops[daemon], arrival.at_s)
-            heard = sorted(self.heard[daemon, replica.instance])
-            first = bisect.bisect_right(heard, stopped_s)
-            if first < len(heard) and sent_s > heard[first] + DRAIN_S:
+            signals_s = sorted(self.leaving_signals_s[daemon, replica.instance])
+            first = bisect.bisect_right(signals_s, stopped_s)
+            if (
+                first < len(signals_s)
+                and requested_s > signals_s[first] + DRAIN_S
+            ):
                 late += 1
         self.after_leaving += late
         if late:
-            self.wrong.append(
+            self.violations.append(
                 f"{replica.instance}: {late} requests sent over {DRAIN_S} s"
-                " after their daemon had its word that it leaves"
+                " after their daemon received its leaving signal"
             )
 
     def _check_rests(self, replica, stops: dict[int, list[float]]) -> None:
         arrived = collections.defaultdict(list)
         for arrival in replica.arrivals:
-            arrived[self.asked_at[arrival.request_id]].append(arrival.at_s)
-        broken = 0
+            arrived[self.daemon_by_request[arrival.request_id]].append(
+                arrival.at_s
+            )
+        exceeded = 0
         for rest in replica.rests:
-            daemon = self.asked_at[rest.request_id]
+            daemon = self.daemon_by_request[rest.request_id]
             ends_s = rest.at_s + rest.rest_s
             if _last_before(stops[daemon], ends_s) > rest.at_s:
                 continue
             begins_s = rest.at_s + REST_BEGINS_S
             count = sum(begins_s < at_s < ends_s for at_s in arrived[daemon])
             self.rests += 1
-            self.most_in_rest = max(self.most_in_rest, count)
-            broken += count > MOST_IN_REST
-        if broken:
-            self.wrong.append(
-                f"{replica.instance}: over {MOST_IN_REST} requests in"
-                f" {broken} of {len(replica.rests)} rests that it asked for"
+            self.max_in_rest = max(self.max_in_rest, count)
+            exceeded += count > MAX_IN_REST
+        if exceeded:
+            self.violations.append(
+                f"{replica.instance}: over {MAX_IN_REST} requests in"
+                f" {exceeded} of {len(replica.rests)} rests that it requested"
             )
 
 
--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the systems around the product."""
+"""Stand-ins for the systems that daemons connect to."""
--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -15,43 +15,43 @@
 
 from standins import faults
 
-LINGER_S = 10.0
+FINISHED_STREAM_KEEP_S = 10.0
 
 
 @dataclasses.dataclass
 class Stream:
-    """One generation with its frames so far."""
+    """One generation with the frames produced so far."""
 
     stamp: dict[str, str]
     frames: list[bytes] = dataclasses.field(default_factory=list)
     done: bool = False
-    grown: asyncio.Condition = dataclasses.field(
+    changed: asyncio.Condition = dataclasses.field(
         default_factory=asyncio.Condition
     )
     task: asyncio.Task | None = None
 
 
 class Engine:
-    """Prefills one prompt at a time, decodes many, caches prompt levels."""
+    """Prefills one prompt at a time, decodes several, caches prompt levels."""
 
-    def __init__(self, asked: argparse.Namespace) -> None:
-        self.asked = asked
+    def __init__(self, options: argparse.Namespace) -> None:
+        self.options = options
         self.faults = faults.Faults()
-        self.random = random.Random(asked.seed)
-        self.weights = asked.weights
+        self.random = random.Random(options.seed)
+        self.weights = options.weights
         self.leaving = False
         self.fencing = 0
         self.orders: list[dict] = []
         self.runs = 0
         self.cancelled = 0
-        self.seen_headers: list[list[str]] = []
+        self.last_headers: list[list[str]] = []
         self.reports: collections.deque[tuple[float, dict]] = collections.deque(
             maxlen=100
         )
         self.start_empty()
 
     def start_empty(self) -> None:
-        """Begins a new incarnation with an empty cache."""
+        """Starts a new incarnation with an empty cache."""
         self.incarnation = secrets.token_hex(4)
         self.cache: collections.OrderedDict[int, int] = (
             collections.OrderedDict()
@@ -63,7 +63,7 @@
         self.waiting = 0
         self.running = 0
         self.prefill = asyncio.Lock()
-        self.slots = asyncio.Semaphore(self.asked.slots)
+        self.slots = asyncio.Semaphore(self.options.slots)
 
     def app(self) -> web.Application:
         """Returns the HTTP application."""
@@ -81,7 +81,7 @@
                 web.post("/orders", self.order),
                 web.get("/kv/{key}", self.export_kv),
                 web.post("/kv", self.import_kv),
-                web.post("/fault", self.faults.order),
+                web.post("/fault", self.faults.set_fault),
                 web.post("/fault/leave", self.leave),
                 web.post("/fault/restart", self.restart),
                 web.post("/fault/weights", self.set_weights),
@@ -91,9 +91,9 @@
         return app
 
     async def generate(self, request: web.Request) -> web.StreamResponse:
-        """Serves a generation, streamed or whole."""
+        """Serves a generation, streamed or as one answer."""
         body = await request.json()
-        self.seen_headers = [[k.lower(), v] for k, v in request.headers.items()]
+        self.last_headers = [[k.lower(), v] for k, v in request.headers.items()]
         if self.leaving:
             return web.Response(status=503)
         self.runs += 1
@@ -110,38 +110,38 @@
             "x-incarnation": self.incarnation,
             "x-stream-id": name,
         }
-        if self.faults.take("wrong_echo"):
+        if self.faults.consume("wrong_echo"):
             stamp["x-stream-id"] = "another-request"
         tokens = int(body.get("max_tokens") or 16)
         stream = self.streams[name] = Stream(stamp)
-        cached, uncached = self._look_up(levels)
+        cached, uncached = self._count_cached(levels)
         headers = {
             **stamp,
             "x-prompt-tokens": str(cached + uncached),
             "x-cached-tokens": str(cached),
         }
         if not body.get("stream"):
-            await self._compute(levels, uncached)
-            await asyncio.sleep(tokens * self.asked.decode_ms / 1000)
+            await self._prefill(levels, uncached)
+            await asyncio.sleep(tokens * self.options.decode_ms / 1000)
             return web.json_response(
-                _whole(body["model"], tokens, cached, uncached),
+                _completion(body["model"], tokens, cached, uncached),
                 headers=headers,
             )
         stream.task = asyncio.create_task(
             self._produce(stream, body["model"], tokens, levels, uncached)
         )
-        return await self._send(request, stream, headers, 0)
+        return await self._send_stream(request, stream, headers, 0)
 
     async def resume(self, request: web.Request) -> web.StreamResponse:
-        """Sends a stream on from the last frame the asker has."""
+        """Continues a stream after the last frame that the client has."""
         stream = self.streams.get(request.match_info["stream"])
         if stream is None:
             return web.Response(status=410)
         after = int(request.headers.get("last-event-id", "0"))
-        return await self._send(request, stream, stream.stamp, after)
+        return await self._send_stream(request, stream, stream.stamp, after)
 
     async def cancel(self, request: web.Request) -> web.Response:
-        """Ends a stream."""
+        """Cancels a stream."""
         stream = self.streams.pop(request.match_info["stream"], None)
         if stream and stream.task:
             stream.task.cancel()
@@ -149,7 +149,7 @@
         return web.json_response({})
 
     async def load(self, request: web.Request) -> web.Response:
-        """Returns a load report that is some time old."""
+        """Returns a load report that lags by `load_lag_ms`."""
         del request
         now = time.monotonic()
         report = {
@@ -158,23 +158,23 @@
             "running": self.running,
             "waiting": self.waiting,
             "waiting_tokens": self.waiting_tokens,
-            "prefill_us_per_token": self.asked.prefill_us,
-            "slots": self.asked.slots,
+            "prefill_us_per_token": self.options.prefill_us,
+            "slots": self.options.slots,
             "leaving": self.leaving,
         }
         self.reports.append((now, report))
         while (
             len(self.reports) > 1
-            and now - self.reports[1][0] >= self.asked.load_lag_ms / 1000
+            and now - self.reports[1][0] >= self.options.load_lag_ms / 1000
         ):
             self.reports.popleft()
-        old = self.reports[0][1]
-        if self.faults.numbers.get("hide_state"):
+        lagged_report = self.reports[0][1]
+        if self.faults.values.get("hide_state"):
             return web.Response(status=500)
-        # Identity and leaving are the process's own and never lag.
+        # Incarnation, weights and leaving are current in every report.
         return web.json_response(
             {
-                **old,
+                **lagged_report,
                 "incarnation": self.incarnation,
                 "weights_version": self.weights,
                 "leaving": self.leaving,
@@ -182,9 +182,9 @@
         )
 
     async def cache_events(self, request: web.Request) -> web.Response:
-        """Returns events after a sequence, late and with gaps."""
+        """Returns events after a sequence number, delayed and with gaps."""
         after = int(request.query.get("after", "0"))
-        due = time.monotonic() - self.asked.event_lag_ms / 1000
+        due = time.monotonic() - self.options.event_lag_ms / 1000
         for _ in range(20):
             ready = [
                 event
@@ -194,7 +194,7 @@
             if ready:
                 break
             await asyncio.sleep(0.05)
-            due = time.monotonic() - self.asked.event_lag_ms / 1000
+            due = time.monotonic() - self.options.event_lag_ms / 1000
         return web.json_response(
             {
                 "incarnation": self.incarnation,
@@ -208,14 +208,14 @@
         )
 
     async def order(self, request: web.Request) -> web.Response:
-        """Loads weights; refuses an old fencing number if it checks."""
-        told = await request.json()
-        if self.asked.check_fencing and told["fencing"] < self.fencing:
+        """Loads weights; refuses an old fencing number if it checks them."""
+        order = await request.json()
+        if self.options.check_fencing and order["fencing"] < self.fencing:
             return web.Response(status=409)
-        self.fencing = max(self.fencing, told["fencing"])
-        self.orders.append(told)
-        await asyncio.sleep(self.asked.load_weights_ms / 1000)
-        self._set_weights(told["value"])
+        self.fencing = max(self.fencing, order["fencing"])
+        self.orders.append(order)
+        await asyncio.sleep(self.options.load_weights_ms / 1000)
+        self._set_weights(order["value"])
         return web.json_response({})
 
     async def export_kv(self, request: web.Request) -> web.Response:
@@ -233,11 +233,11 @@
         )
 
     async def import_kv(self, request: web.Request) -> web.Response:
-        """Takes in cached state of the same weights only."""
-        told = await request.json()
-        if told["weights_version"] != self.weights:
+        """Imports cached state if it was computed with the same weights."""
+        state = await request.json()
+        if state["weights_version"] != self.weights:
             return web.Response(status=409)
-        self._store(told["key"], told["tokens"])
+        self._store(state["key"], state["tokens"])
         return web.json_response({})
 
     async def leave(self, request: web.Request) -> web.Response:
@@ -247,25 +247,25 @@
         return web.json_response({})
 
     async def restart(self, request: web.Request) -> web.Response:
-        """Crashes and comes back empty on the same address."""
+        """Simulates a crash and restart with an empty cache."""
         del request
         for stream in self.streams.values():
             if stream.task:
                 stream.task.cancel()
-            async with stream.grown:
+            async with stream.changed:
                 stream.done = True
-                stream.grown.notify_all()
+                stream.changed.notify_all()
         self.start_empty()
         self.leaving = False
         return web.json_response({"incarnation": self.incarnation})
 
     async def set_weights(self, request: web.Request) -> web.Response:
-        """Changes the weights at once, as an order nobody told of."""
+        """Changes the weights at once, without an order of a daemon."""
         self._set_weights((await request.json())["value"])
         return web.json_response({})
 
     async def counts(self, request: web.Request) -> web.Response:
-        """Returns what the engine has done."""
+        """Returns the engine's counters and state."""
         del request
         return web.json_response(
             {
@@ -274,7 +274,7 @@
                 "orders": self.orders,
                 "incarnation": self.incarnation,
                 "weights": self.weights,
-                "headers": self.seen_headers,
+                "headers": self.last_headers,
                 "open": sum(not s.done for s in self.streams.values()),
             }
         )
@@ -282,69 +282,69 @@
     def _set_weights(self, version: str) -> None:
         self.weights = version
         self.cache.clear()
-        self._event("cleared", 0)
+        self._record_event("cleared", 0)
 
     async def _produce(self, stream, model, tokens, levels, uncached) -> None:
-        await self._compute(levels, uncached)
+        await self._prefill(levels, uncached)
         async with self.slots:
             self.running += 1
             try:
                 for number in range(1, tokens + 1):
-                    if not self.faults.numbers.get("fast"):
-                        await asyncio.sleep(self.asked.decode_ms / 1000)
-                    await _grow(stream, _chunk(model, number, tokens))
-                await _grow(stream, b"data: [DONE]\n\n", done=True)
+                    if not self.faults.values.get("fast"):
+                        await asyncio.sleep(self.options.decode_ms / 1000)
+                    await _append_frame(stream, _chunk(model, number, tokens))
+                await _append_frame(stream, b"data: [DONE]\n\n", done=True)
             finally:
                 self.running -= 1
-        await asyncio.sleep(LINGER_S)
+        await asyncio.sleep(FINISHED_STREAM_KEEP_S)
         self.streams.pop(stream.stamp["x-stream-id"], None)
 
-    async def _compute(self, levels, uncached: int) -> None:
+    async def _prefill(self, levels, uncached: int) -> None:
         self.waiting += 1
         self.waiting_tokens += uncached
         async with self.prefill:
-            await asyncio.sleep(uncached * self.asked.prefill_us / 1e6)
+            await asyncio.sleep(uncached * self.options.prefill_us / 1e6)
         self.waiting -= 1
         self.waiting_tokens -= uncached
         for key, tokens in levels:
             self._store(key, tokens)
 
-    async def _send(
+    async def _send_stream(
         self, request: web.Request, stream: Stream, headers, after: int
     ) -> web.StreamResponse:
-        began = time.monotonic_ns()
+        started_ns = time.monotonic_ns()
         response = web.StreamResponse(
             headers={**headers, "content-type": "text/event-stream"}
         )
         await response.prepare(request)
         number = after
         while True:
-            async with stream.grown:
+            async with stream.changed:
                 while number >= len(stream.frames) and not stream.done:
-                    await stream.grown.wait()
+                    await stream.changed.wait()
             if number >= len(stream.frames):
                 if not stream.frames or b"[DONE]" not in stream.frames[-1]:
                     request.transport.abort()
                 return response
-            if self.faults.silent_since > began:
+            if self.faults.silent_since > started_ns:
                 await asyncio.sleep(3600)
             number += 1
-            await self._write(request, response, number, stream)
+            await self._write_frame(request, response, number, stream)
 
-    async def _write(self, request, response, number, stream) -> None:
+    async def _write_frame(self, request, response, number, stream) -> None:
         frame = b"id: %d\n" % number + stream.frames[number - 1]
-        if self.faults.numbers.get("cut_at") == number:
-            self.faults.numbers["cut_at"] = 0
+        if self.faults.values.get("cut_at") == number:
+            self.faults.values["cut_at"] = 0
             request.transport.abort()
             return
-        if self.faults.numbers.get("skip_at") == number:
-            self.faults.numbers["skip_at"] = 0
+        if self.faults.values.get("skip_at") == number:
+            self.faults.values["skip_at"] = 0
             return
         await response.write(frame)
-        if self.faults.numbers.get("double"):
+        if self.faults.values.get("double"):
             await response.write(frame)
 
-    def _look_up(self, levels) -> tuple[int, int]:
+    def _count_cached(self, levels) -> tuple[int, int]:
         cached = 0
         total = sum(tokens for _, tokens in levels)
         for key, tokens in levels:
@@ -356,16 +356,16 @@
 
     def _store(self, key: int, tokens: int) -> None:
         if key not in self.cache:
-            self._event("stored", key)
+            self._record_event("stored", key)
         self.cache[key] = tokens
         self.cache.move_to_end(key)
-        while sum(self.cache.values()) > self.asked.cache_tokens:
+        while sum(self.cache.values()) > self.options.cache_tokens:
             old, _ = self.cache.popitem(last=False)
-            self._event("removed", old)
+            self._record_event("removed", old)
 
-    def _event(self, kind: str, key: int) -> None:
+    def _record_event(self, kind: str, key: int) -> None:
         self.sequence += 1
-        if self.random.random() < self.asked.event_loss:
+        if self.random.random() < self.options.event_loss:
             return
         self.events.append(
             {
@@ -378,11 +378,13 @@
         del self.events[:-10_000]
 
 
-async def _grow(stream: Stream, data: bytes, *, done: bool = False) -> None:
-    async with stream.grown:
+async def _append_frame(
+    stream: Stream, data: bytes, *, done: bool = False
+) -> None:
+    async with stream.changed:
         stream.frames.append(data)
         stream.done = done
-        stream.grown.notify_all()
+        stream.changed.notify_all()
 
 
 def _chunk(model: str, number: int, total: int) -> bytes:
@@ -401,7 +403,7 @@
     return b"data: " + json.dumps(body).encode() + b"\n\n"
 
 
-def _whole(model: str, tokens: int, cached: int, uncached: int) -> dict:
+def _completion(model: str, tokens: int, cached: int, uncached: int) -> dict:
     text = "".join(f"t{n} " for n in range(1, tokens + 1))
     return {
         "id": "gen",
@@ -439,12 +441,12 @@
     parser.add_argument("--load-weights-ms", type=int, default=300)
     parser.add_argument("--check-fencing", action="store_true")
     parser.add_argument("--seed", type=int, default=1)
-    asked = parser.parse_args()
+    options = parser.parse_args()
 
     async def build() -> web.Application:
-        return Engine(asked).app()
+        return Engine(options).app()
 
-    faults.run(build(), asked.port)
+    faults.run(build(), options.port)
 
 
 if __name__ == "__main__":
--- a/tests/standins/faults.py
+++ b/tests/standins/faults.py
@@ -1,4 +1,4 @@
-"""Fault orders that every stand-in takes over HTTP."""
+"""Faults of a stand-in, which tests set over HTTP."""
 
 from __future__ import annotations
 
@@ -9,13 +9,15 @@
 
 
 class Faults:
-    """The faults in force at one stand-in.
+    """The active faults of one stand-in.
 
     Attributes:
-        down: Connections are closed without an answer.
-        slow_ms: Each answer waits this long first.
-        lose_replies: Writes still to be carried out whose reply is lost.
-        silent: Open streams write nothing more, ever; new ones work.
+        down: Whether connections are closed without an answer.
+        slow_ms: Delay before each answer.
+        lose_replies: Number of next writes whose reply is lost.
+        silent_since: Monotonic time in ns; streams opened earlier write
+            nothing more, later ones work.
+        values: Values of all other faults, by kind.
     """
 
     def __init__(self) -> None:
@@ -23,12 +25,12 @@
         self.slow_ms = 0
         self.lose_replies = 0
         self.silent_since = 0
-        self.numbers: dict[str, int] = {}
+        self.values: dict[str, int] = {}
 
-    async def order(self, request: web.Request) -> web.Response:
-        """Takes one order, such as {"kind": "slow", "value": 200}."""
-        told = await request.json()
-        kind, value = told["kind"], int(told.get("value", 1))
+    async def set_fault(self, request: web.Request) -> web.Response:
+        """Sets one fault, such as {"kind": "slow", "value": 200}."""
+        fault = await request.json()
+        kind, value = fault["kind"], int(fault.get("value", 1))
         match kind:
             case "down":
                 self.down = bool(value)
@@ -39,29 +41,29 @@
             case "silent":
                 self.silent_since = time.monotonic_ns()
             case "freeze":
-                # Blocks the whole process, as a stopped one would be.
+                # Blocks the whole process, as if it were stopped.
                 asyncio.get_running_loop().call_later(
                     0.01, time.sleep, value / 1000
                 )
             case _:
-                self.numbers[kind] = value
+                self.values[kind] = value
         return web.json_response({})
 
-    def take(self, kind: str) -> bool:
-        """Uses up one occurrence of a counted fault."""
-        left = self.numbers.get(kind, 0)
-        if left > 0:
-            self.numbers[kind] = left - 1
-        return left > 0
+    def consume(self, kind: str) -> bool:
+        """Uses up one occurrence of a counted fault, if any is left."""
+        remaining = self.values.get(kind, 0)
+        if remaining > 0:
+            self.values[kind] = remaining - 1
+        return remaining > 0
 
     @web.middleware
     async def middleware(self, request, handler):
-        """Applies the faults to each request but the orders."""
+        """Applies the faults to all requests except those to /fault."""
         if request.path.startswith("/fault"):
             return await handler(request)
         if self.slow_ms:
             await asyncio.sleep(self.slow_ms / 1000)
-        tables_down = self.numbers.get("tables_down")
+        tables_down = self.values.get("tables_down")
         if self.down or (tables_down and request.path.startswith("/tables")):
             request.transport.abort()
             return web.Response()
@@ -73,7 +75,7 @@
 
 
 def run(app: web.Application, port: int) -> None:
-    """Serves a stand-in on loopback until it is ended."""
+    """Serves a stand-in on loopback until it is stopped."""
     web.run_app(
         app,
         host="127.0.0.1",
--- a/tests/standins/link.py
+++ b/tests/standins/link.py
@@ -1,4 +1,4 @@
-"""Stand-in for what lies between two ends and may lose track of them."""
+"""Stand-in for a middlebox that may drop or stall TCP connections."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Link:
-    """Forwards TCP connections; cuts, silences or refuses them on order."""
+    """Forwards TCP connections; cuts, stalls or refuses them on request."""
 
     def __init__(self, target_port: int) -> None:
         self.target_port = target_port
@@ -17,14 +17,14 @@
         self.cut_reply_at = -1
         self.refuse = False
         self.generation = 0
-        self.silent_below = 0
+        self.stalled_below = 0
         self.open: set[asyncio.StreamWriter] = set()
         self.connections = 0
 
-    async def order(self, request: web.Request) -> web.Response:
-        """Takes one order; -1 takes a cut back."""
-        told = await request.json()
-        kind, value = told["kind"], int(told.get("value", 1))
+    async def set_fault(self, request: web.Request) -> web.Response:
+        """Sets one fault; for a cut, -1 clears it."""
+        fault = await request.json()
+        kind, value = fault["kind"], int(fault.get("value", 1))
         match kind:
             case "cut_request_at":
                 self.cut_request_at = value
@@ -35,15 +35,15 @@
                 if value:
                     self._abort_all()
             case "silent":
-                # Connections open now carry nothing more; new ones work.
+                # Connections that are open now stall; new ones work.
                 self.generation += 1
-                self.silent_below = self.generation
+                self.stalled_below = self.generation
             case "abort":
                 self._abort_all()
         return web.json_response({})
 
     async def counts(self, request: web.Request) -> web.Response:
-        """Returns how many connections were made."""
+        """Returns the number of connections."""
         del request
         return web.json_response({"connections": self.connections})
 
@@ -53,41 +53,49 @@
             writer.transport.abort()
             return
         self.connections += 1
-        born = self.generation
+        generation = self.generation
         try:
-            far_reader, far_writer = await asyncio.open_connection(
+            target_reader, target_writer = await asyncio.open_connection(
                 "127.0.0.1", self.target_port
             )
         except OSError:
             writer.transport.abort()
             return
-        self.open |= {writer, far_writer}
+        self.open |= {writer, target_writer}
         cut_request, cut_reply = self.cut_request_at, self.cut_reply_at
         await asyncio.wait(
             [
                 asyncio.create_task(
-                    self._pump(reader, far_writer, writer, cut_request, born)
+                    self._pump(
+                        reader, target_writer, writer, cut_request, generation
+                    )
                 ),
                 asyncio.create_task(
-                    self._pump(far_reader, writer, far_writer, cut_reply, born)
+                    self._pump(
+                        target_reader,
+                        writer,
+                        target_writer,
+                        cut_reply,
+                        generation,
+                    )
                 ),
             ],
             return_when=asyncio.FIRST_COMPLETED,
         )
-        for end in (writer, far_writer):
+        for end in (writer, target_writer):
             self.open.discard(end)
             end.close()
 
-    async def _pump(self, reader, writer, back, cut_at, born) -> None:
+    async def _pump(self, reader, writer, sender, cut_at, generation) -> None:
         sent = 0
         while data := await reader.read(65536):
-            if born < self.silent_below:
+            if generation < self.stalled_below:
                 await asyncio.sleep(3600)
             if 0 <= cut_at < sent + len(data):
                 writer.write(data[: cut_at - sent])
                 await writer.drain()
                 writer.transport.abort()
-                back.transport.abort()
+                sender.transport.abort()
                 return
             sent += len(data)
             writer.write(data)
@@ -98,21 +106,21 @@
             writer.transport.abort()
 
 
-async def serve(asked: argparse.Namespace) -> None:
-    """Runs the link and its control side until ended."""
-    link = Link(asked.target_port)
+async def serve(options: argparse.Namespace) -> None:
+    """Runs the link and its control server until stopped."""
+    link = Link(options.target_port)
     app = web.Application()
     app.add_routes(
         [
-            web.post("/fault", link.order),
+            web.post("/fault", link.set_fault),
             web.get("/fault/counts", link.counts),
         ]
     )
     runner = web.AppRunner(app, access_log=None)
     await runner.setup()
-    await web.TCPSite(runner, "127.0.0.1", asked.port).start()
+    await web.TCPSite(runner, "127.0.0.1", options.port).start()
     server = await asyncio.start_server(
-        link.forward, "127.0.0.1", asked.link_port
+        link.forward, "127.0.0.1", options.link_port
     )
     async with server:
         await server.serve_forever()
--- a/tests/standins/platform.py
+++ b/tests/standins/platform.py
@@ -12,12 +12,12 @@
 
 
 class Platform:
-    """Rows with versions, objects, and an instance list that lags."""
+    """Rows with versions, objects, weights versions and an instance list."""
 
     def __init__(self) -> None:
         self.faults = faults.Faults()
         self.rows: dict[str, dict[str, tuple[int, str]]] = {}
-        self.older: dict[str, dict[str, tuple[int, str]]] = {}
+        self.previous_rows: dict[str, dict[str, tuple[int, str]]] = {}
         self.objects: dict[str, bytes] = {}
         self.instances: dict[str, dict] = {}
         self.weights: dict[str, list[str]] = {}
@@ -42,40 +42,44 @@
                 web.get("/instances", self.list),
                 web.put("/instances/{name}", self.put_instance),
                 web.delete("/instances/{name}", self.delete_instance),
-                web.post("/fault", self.faults.order),
+                web.post("/fault", self.faults.set_fault),
                 web.get("/fault/counts", self.counts),
             ]
         )
         return app
 
     async def transact(self, request: web.Request) -> web.Response:
-        """Makes all writes if all conditions hold."""
-        asked = await request.json()
+        """Applies all writes if all conditions hold."""
+        transaction = await request.json()
         self.writes += 1
-        current = [self._row(c["table"], c["key"]) for c in asked["conditions"]]
-        holds = all(
+        current = [
+            self._row(c["table"], c["key"]) for c in transaction["conditions"]
+        ]
+        conditions_hold = all(
             row["version"] == condition["version"]
-            for row, condition in zip(current, asked["conditions"], strict=True)
+            for row, condition in zip(
+                current, transaction["conditions"], strict=True
+            )
         )
-        if not holds:
+        if not conditions_hold:
             return web.json_response(
                 {"committed": False, "rows": current, "now_ms": _now_ms()}
             )
-        for write in asked["writes"]:
+        for write in transaction["writes"]:
             table = self.rows.setdefault(write["table"], {})
-            old = self.older.setdefault(write["table"], {})
-            old[write["key"]] = table.get(write["key"], (0, ""))
+            previous = self.previous_rows.setdefault(write["table"], {})
+            previous[write["key"]] = table.get(write["key"], (0, ""))
             self.version += 1
             table[write["key"]] = (self.version, write["value"])
         return web.json_response({"committed": True, "now_ms": _now_ms()})
 
     async def read(self, request: web.Request) -> web.Response:
-        """Returns one row; a lagging replica returns the one before."""
+        """Returns one row; with stale reads, its previous version."""
         self.reads += 1
         table, key = request.match_info["table"], request.match_info["key"]
         row = self._row(table, key)
-        if self.faults.numbers.get("stale_reads"):
-            version, value = self.older.get(table, {}).get(key, (0, ""))
+        if self.faults.values.get("stale_reads"):
+            version, value = self.previous_rows.get(table, {}).get(key, (0, ""))
             row = {**row, "version": version, "value": value}
         return web.json_response({**row, "now_ms": _now_ms()})
 
@@ -90,7 +94,7 @@
         return web.json_response(rows)
 
     async def get(self, request: web.Request) -> web.Response:
-        """Returns an object, empty where there is none."""
+        """Returns an object; empty if it does not exist."""
         self.reads += 1
         return web.Response(
             body=self.objects.get(request.match_info["name"], b"")
@@ -130,7 +134,7 @@
         return web.json_response({})
 
     async def counts(self, request: web.Request) -> web.Response:
-        """Returns how much was read and written."""
+        """Returns the numbers of reads and writes, and the claims' states."""
         del request
         claims = {
             key: json.loads(value)["state"]
--- a/tests/standins/replica.py
+++ b/tests/standins/replica.py
@@ -1,4 +1,4 @@
-"""A backend server of the platform: streams, plain calls, orders, events."""
+"""Stand-in for a backend server of the platform, engine or plain server."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 from aiohttp import web
 
-PREFIX = "X-Godwittack-"
+HEADER_PREFIX = "X-Godwittack-"
 
 
 @dataclasses.dataclass
 class ReplicaFaults:
-    """How the server misbehaves.
+    """Faults of the server.
 
     Attributes:
         full: Whether it declines every request.
-        declined_share: Part of the requests that it declines.
-        cut_after: Events after which streams are cut; -1 for never.
-        silent: Whether it takes requests and answers nothing.
-        lose_answers: Requests that run and whose connection then breaks.
-        lose_orders: Orders that are carried out and not answered.
-        rest_s: Rest that it asks for with each request that it declines.
+        declined_share: Share of the requests that it declines.
+        cut_after: Number of events after which streams are cut; -1 for never.
+        silent: Whether it accepts requests and never answers.
+        lose_answers: Whether connections break after their requests have run.
+        lose_orders: Whether orders are executed and not answered.
+        rest_s: Rest requested with each declined request; 0 for none.
     """
 
     full: bool = False
@@ -37,8 +37,8 @@
 
 
 @dataclasses.dataclass
-class Ran:
-    """One request that ran."""
+class Execution:
+    """One request that was executed."""
 
     request_id: str
     workspace: str
@@ -52,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Arrival:
-    """One request as it came in, declined or not."""
+    """One request as it arrived, declined or not."""
 
     request_id: str
     deadline_ms: int
@@ -62,7 +62,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Rest:
-    """A request that was declined with the wish for a rest."""
+    """A request that was declined with Retry-After."""
 
     request_id: str
     at_s: float
@@ -70,7 +70,7 @@
 
 
 class Replica:
-    """One incarnation of a server; engines have a model."""
+    """One backend server; engines have a model."""
 
     def __init__(
         self, instance: str, *, model: str = "", events: int = 5
@@ -79,19 +79,19 @@
         self.model = model
         self.version = 1
         self.faults = ReplicaFaults()
-        self.ran: list[Ran] = []
+        self.ran: list[Execution] = []
         self.arrivals: list[Arrival] = []
         self.rests: list[Rest] = []
         self.orders: list[dict] = []
-        self.left: list[str] = []
+        self.cancelled: list[str] = []
         self.event_gap_s = 0.01
-        # Body whose run ends the process; empty for none.
+        # Request body that crashes the server; empty for none.
         self.crashes_on = b""
         self.has_crashed = False
-        # Value of the header that names its limit; empty for none.
-        self.names_limit = ""
-        # Whether all its answers say that it leaves.
-        self.leaves = False
+        # Value of the Server-Limit header; empty for none.
+        self.limit_header = ""
+        # Whether all its answers have the Server-Leaving header.
+        self.is_leaving = False
         self._events = events
         self._sequence = 0
         self._busy = False
@@ -100,7 +100,7 @@
         self._site: web.TCPSite | None = None
 
     async def start(self, port: int) -> None:
-        """Listens on a port of this machine."""
+        """Starts listening on a loopback port."""
         server = web.Server(self._serve, handler_cancellation=True)
         self._runner = web.ServerRunner(server, shutdown_timeout=0.1)
         await self._runner.setup()
@@ -113,14 +113,14 @@
             await self._runner.cleanup()
 
     async def restart(self) -> None:
-        """Starts again at its address after a crash, under the same id."""
+        """Restarts after a crash, at the same address and under the same id."""
         port = self._site.name.rpartition(":")[2]
         await self._runner.cleanup()
         self.has_crashed = False
         await self.start(int(port))
 
     async def _crash(self) -> None:
-        """Ends as a process does: nothing listens, all connections close."""
+        """Simulates the end of the process: closes listener and connections."""
         self.has_crashed = True
         await self._site.stop()
         for connection in self._runner.server.connections:
@@ -140,12 +140,12 @@
                 )
             case _:
                 return await self._request(request)
-        response.headers.update(self._words())
+        response.headers.update(self._state_headers())
         return response
 
-    def _words(self) -> dict[str, str]:
-        """Returns the headers by which all answers tell of the server."""
-        return {"Server-Leaving": "1"} if self.leaves else {}
+    def _state_headers(self) -> dict[str, str]:
+        """Returns the headers of the server's state, sent with all answers."""
+        return {"Server-Leaving": "1"} if self.is_leaving else {}
 
     def _report(self) -> web.Response:
         models = [{"name": self.model, "version": self.version, "adapters": []}]
@@ -172,45 +172,57 @@
         self._sequence += 1
         self._busy = True
         asyncio.get_running_loop().call_later(
-            0.2, self._loaded, order["version"]
+            0.2, self._finish_load, order["version"]
         )
         if self.faults.lose_orders:
             await asyncio.sleep(3_600)
         return web.Response(status=202)
 
-    def _loaded(self, version: int) -> None:
+    def _finish_load(self, version: int) -> None:
         self.version = version
         self._busy = False
 
     async def _request(self, request: web.BaseRequest) -> web.StreamResponse:
         body = await request.read()
-        name = request.headers.get(PREFIX + "Request-Id", "")
-        deadline_ms = int(request.headers.get(PREFIX + "Deadline-Ms", "-1"))
-        now_s = time.monotonic()
-        self.arrivals.append(Arrival(name, deadline_ms, body, now_s))
-        own = {PREFIX + "Request-Id": name, PREFIX + "Server-Load": "1,0,16"}
-        own.update(self._words())
-        if self.names_limit:
-            own[PREFIX + "Server-Limit"] = self.names_limit
-        if request.headers.get(PREFIX + "Expect-Instance") != self.instance:
-            own[PREFIX + "Instance-Id"] = self.instance
-            return web.Response(status=421, headers=own)
-        expected = request.headers.get(PREFIX + "Expect-Version")
+        request_id = request.headers.get(HEADER_PREFIX + "Request-Id", "")
+        deadline_ms = int(
+            request.headers.get(HEADER_PREFIX + "Deadline-Ms", "-1")
+        )
+        arrived_at_s = time.monotonic()
+        self.arrivals.append(
+            Arrival(request_id, deadline_ms, body, arrived_at_s)
+        )
+        headers = {
+            HEADER_PREFIX + "Request-Id": request_id,
+            HEADER_PREFIX + "Server-Load": "1,0,16",
+        }
+        headers.update(self._state_headers())
+        if self.limit_header:
+            headers[HEADER_PREFIX + "Server-Limit"] = self.limit_header
+        if (
+            request.headers.get(HEADER_PREFIX + "Expect-Instance")
+            != self.instance
+        ):
+            headers[HEADER_PREFIX + "Instance-Id"] = self.instance
+            return web.Response(status=421, headers=headers)
+        expected = request.headers.get(HEADER_PREFIX + "Expect-Version")
         if expected and int(expected) != self.version:
-            return web.Response(status=421, headers=own)
+            return web.Response(status=421, headers=headers)
         is_declined = random.random() < self.faults.declined_share
         if self.faults.full or self._busy or is_declined:
-            own[PREFIX + "Not-Executed"] = "1"
+            headers[HEADER_PREFIX + "Not-Executed"] = "1"
             if self.faults.rest_s:
-                own["Retry-After"] = f"{self.faults.rest_s:g}"
-                self.rests.append(Rest(name, now_s, self.faults.rest_s))
-            return web.Response(status=503, headers=own)
+                headers["Retry-After"] = f"{self.faults.rest_s:g}"
+                self.rests.append(
+                    Rest(request_id, arrived_at_s, self.faults.rest_s)
+                )
+            return web.Response(status=503, headers=headers)
         self.ran.append(
-            Ran(
-                name,
-                request.headers.get(PREFIX + "Tenant", ""),
+            Execution(
+                request_id,
+                request.headers.get(HEADER_PREFIX + "Tenant", ""),
                 str(self.version),
-                request.headers.get(PREFIX + "Cache-Salt", ""),
+                request.headers.get(HEADER_PREFIX + "Cache-Salt", ""),
                 request.raw_path,
                 body,
                 {k.lower(): v for k, v in request.headers.items()},
@@ -219,26 +231,28 @@
         if self.crashes_on and body == self.crashes_on:
             await self._crash()
             await asyncio.sleep(3_600)
-        own[PREFIX + "Response-Signature"] = f"sig.{self.instance}.{name}"
+        headers[HEADER_PREFIX + "Response-Signature"] = (
+            f"sig.{self.instance}.{request_id}"
+        )
         try:
             if self.faults.silent:
                 await asyncio.sleep(3_600)
             if self.faults.lose_answers:
                 request.transport.abort()
-                return web.Response(headers=own)
+                return web.Response(headers=headers)
             if self.model:
-                return await self._stream(request, own)
+                return await self._stream(request, headers)
             await asyncio.sleep(0.02)
-            return web.Response(body=body[::-1] or b"empty", headers=own)
+            return web.Response(body=body[::-1] or b"empty", headers=headers)
         except (asyncio.CancelledError, ConnectionError):
-            self.left.append(name)
+            self.cancelled.append(request_id)
             raise
 
     async def _stream(
-        self, request: web.BaseRequest, own: dict[str, str]
+        self, request: web.BaseRequest, headers: dict[str, str]
     ) -> web.StreamResponse:
         after = int(request.headers.get("Last-Event-Id", "0"))
-        response = web.StreamResponse(headers=own)
+        response = web.StreamResponse(headers=headers)
         response.content_type = "text/event-stream"
         response.enable_chunked_encoding()
         await response.prepare(request)
--- a/tests/standins/rows.py
+++ b/tests/standins/rows.py
@@ -1,4 +1,4 @@
-"""The platform's store of rows, with the faults that it may have."""
+"""Stand-in for the platform's row store, with configurable faults."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 @dataclasses.dataclass
 class StoreFaults:
-    """How the store misbehaves.
+    """Faults of the store.
 
     Attributes:
-        status: Status of all answers; 0 for the true one.
-        silent: Whether nothing is answered.
-        lose_writes: Writes that are done and not answered.
-        forgotten_up_to: Version up to which the history is gone.
-        latency_s: Time of each answer.
+        status: Status of all answers; 0 for the regular one.
+        silent: Whether requests are left unanswered.
+        lose_writes: Whether writes are applied and not answered.
+        forgotten_up_to: Version up to which the feed has no history.
+        latency_s: Delay of each answer.
     """
 
     status: int = 0
@@ -31,7 +31,7 @@
 
 
 class RowStore:
-    """Rows with versions, their feed, and transactions under conditions."""
+    """Rows with versions, their feed, and conditional transactions."""
 
     def __init__(self) -> None:
         self.rows: dict[tuple[str, str], dict] = {}
@@ -44,9 +44,9 @@
     async def start(self, port: int) -> None:
         """Listens on a port of this machine."""
         app = web.Application()
-        app.router.add_post("/rows-tx", self._guarded(self._transact))
-        app.router.add_get("/rows-get", self._guarded(self._get))
-        app.router.add_get("/rows-feed", self._guarded(self._feed))
+        app.router.add_post("/rows-tx", self._with_faults(self._transact))
+        app.router.add_get("/rows-get", self._with_faults(self._get))
+        app.router.add_get("/rows-feed", self._with_faults(self._feed))
         self._runner = web.AppRunner(app, shutdown_timeout=0.1)
         await self._runner.setup()
         await web.TCPSite(self._runner, "127.0.0.1", port).start()
@@ -57,7 +57,7 @@
             await self._runner.cleanup()
 
     def put(self, table: str, key: str, value: object | None) -> int:
-        """Writes a row, as the operator or a server does; None removes it."""
+        """Writes a row, as the operator or a server does; None deletes it."""
         self.version += 1
         self.rows[(table, key)] = {
             "table": table,
@@ -71,8 +71,8 @@
         self._changed = asyncio.Event()
         return self.version
 
-    def _guarded(self, handler):
-        async def guarded(request: web.Request) -> web.Response:
+    def _with_faults(self, handler):
+        async def handle(request: web.Request) -> web.Response:
             self.calls += 1
             faults = self.faults
             await asyncio.sleep(faults.latency_s)
@@ -82,26 +82,26 @@
                 return web.Response(status=faults.status)
             return await handler(request)
 
-        return guarded
+        return handle
 
     async def _transact(self, request: web.Request) -> web.Response:
-        asked = await request.json()
-        held = [self._condition(c) for c in asked["precondition"]]
-        wanted = [c["row-version"] for c in asked["precondition"]]
-        if [row["row-version"] for row in held] != wanted:
-            return self._answer(held, status=412)
-        for write in asked["writes"]:
+        transaction = await request.json()
+        rows = [self._current_row(c) for c in transaction["precondition"]]
+        expected = [c["row-version"] for c in transaction["precondition"]]
+        if [row["row-version"] for row in rows] != expected:
+            return self._answer(rows, status=412)
+        for write in transaction["writes"]:
             value = json.loads(base64.b64decode(write["value"]))
             self.put(write["table"], write["key"], value)
         if self.faults.lose_writes:
             await asyncio.sleep(3_600)
         return self._answer([])
 
-    def _condition(self, condition: dict) -> dict:
-        place = (condition["table"], condition["key"])
-        row = self.rows.get(place)
+    def _current_row(self, condition: dict) -> dict:
+        row_id = (condition["table"], condition["key"])
+        row = self.rows.get(row_id)
         if row is None or row["deleted"]:
-            return {"table": place[0], "key": place[1], "row-version": 0}
+            return {"table": row_id[0], "key": row_id[1], "row-version": 0}
         return row
 
     async def _get(self, request: web.Request) -> web.Response:
@@ -118,19 +118,19 @@
         after = int(request.query["after"])
         if after < self.faults.forgotten_up_to:
             return web.Response(status=410)
-        ends = time.monotonic() + int(request.query["wait-ms"]) / 1000
+        deadline_s = time.monotonic() + int(request.query["wait-ms"]) / 1000
         while True:
             found = [
                 row
                 for (name, _), row in self.rows.items()
                 if name == request.query["table"] and row["row-version"] > after
             ]
-            left_s = ends - time.monotonic()
-            if found or left_s <= 0:
+            remaining_s = deadline_s - time.monotonic()
+            if found or remaining_s <= 0:
                 found.sort(key=lambda row: row["row-version"])
                 return self._answer(found)
             try:
-                async with asyncio.timeout(left_s):
+                async with asyncio.timeout(remaining_s):
                     await self._changed.wait()
             except TimeoutError:
                 continue
--- a/tests/standins/scripted.py
+++ b/tests/standins/scripted.py
@@ -1,4 +1,4 @@
-"""A server that sends given bytes, for cases at the level of bytes."""
+"""A server that sends scripted bytes, for tests below the HTTP level."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 @dataclasses.dataclass
-class Say:
-    """What follows one request on a connection.
+class Reply:
+    """The reply to one request on a connection.
 
     Attributes:
-        data: Bytes sent; `{id}` stands for the request's id.
-        reads_body: Whether the request's body is read first.
-        then: "keep", "close" or "reset" the connection.
+        data: Bytes sent; `{id}` is replaced by the request's id.
+        reads_body: Whether the request's body is read before replying.
+        then: What follows: "keep", "close" or "reset" the connection.
         later: Bytes sent `LATER_S` after `data`.
     """
 
@@ -29,17 +29,17 @@
 
 
 class ScriptedServer:
-    """Answers the requests of all connections with a list of sayings.
+    """Answers the requests of all connections in turn with scripted replies.
 
     Attributes:
         requests: Heads and bodies received, in order.
         connections: Connections accepted.
     """
 
-    def __init__(self, *script: Say, turns_away: int = 0) -> None:
-        """Answers by `script`, after it has reset the first connections."""
+    def __init__(self, *script: Reply, resets: int = 0) -> None:
+        """Resets the first `resets` connections, then replies by `script`."""
         self._script = list(script)
-        self._turns_away = turns_away
+        self._resets = resets
         self.requests: list[tuple[bytes, bytes]] = []
         self.connections = 0
         self.address = ""
@@ -47,7 +47,7 @@
         self._writers: list[asyncio.StreamWriter] = []
 
     async def __aenter__(self) -> ScriptedServer:
-        """Listens."""
+        """Starts listening."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         port = self._server.sockets[0].getsockname()[1]
         self.address = f"127.0.0.1:{port}"
@@ -62,28 +62,30 @@
     async def _serve(self, reader, writer) -> None:
         self.connections += 1
         self._writers.append(writer)
-        if self.connections <= self._turns_away:
+        if self.connections <= self._resets:
             _reset(writer)
             return
         try:
             while self._script:
                 head = await reader.readuntil(b"\r\n\r\n")
-                say = self._script.pop(0)
+                reply = self._script.pop(0)
                 size = _length(head)
-                body = await reader.readexactly(size) if say.reads_body else b""
-                writer.write(say.data.replace(b"{id}", _id(head)))
+                body = (
+                    await reader.readexactly(size) if reply.reads_body else b""
+                )
+                writer.write(reply.data.replace(b"{id}", _id(head)))
                 await writer.drain()
-                if not say.reads_body:
+                if not reply.reads_body:
                     await asyncio.sleep(LATER_S)
                     body = await reader.readexactly(size)
                 self.requests.append((head, body))
-                if say.later:
+                if reply.later:
                     await asyncio.sleep(LATER_S)
-                    writer.write(say.later)
-                if say.then == "reset":
+                    writer.write(reply.later)
+                if reply.then == "reset":
                     _reset(writer)
                     return
-                if say.then == "close":
+                if reply.then == "close":
                     writer.close()
                     return
             await reader.read()
@@ -115,4 +117,4 @@
     writer.transport.abort()
 
 
-__all__ = ["LATER_S", "Say", "ScriptedServer"]
+__all__ = ["LATER_S", "Reply", "ScriptedServer"]
--- a/tests/standins/service.py
+++ b/tests/standins/service.py
@@ -22,7 +22,7 @@
         self.incarnation = secrets.token_hex(4)
         self.running = 0
         self.leaving = False
-        self.seen_headers: list[list[str]] = []
+        self.last_headers: list[list[str]] = []
 
     def app(self) -> web.Application:
         """Returns the HTTP application."""
@@ -30,7 +30,7 @@
         app.add_routes(
             [
                 web.get("/load", self.load),
-                web.post("/fault", self.faults.order),
+                web.post("/fault", self.faults.set_fault),
                 web.get("/fault/counts", self.counts),
                 web.post("/fault/leave", self.leave),
                 web.route("*", "/{path:.*}", self.call),
@@ -41,8 +41,8 @@
     async def call(self, request: web.Request) -> web.Response:
         """Runs one call."""
         body = await request.read()
-        self.seen_headers = [[k.lower(), v] for k, v in request.headers.items()]
-        if self.faults.take("die_before_run"):
+        self.last_headers = [[k.lower(), v] for k, v in request.headers.items()]
+        if self.faults.consume("die_before_run"):
             request.transport.abort()
             return web.Response()
         key = request.headers.get("idempotency-key", "")
@@ -50,11 +50,11 @@
         try:
             self.runs[key or request.path] += 1
             number = self.runs.total()
-            if self.faults.take("die_after_run"):
+            if self.faults.consume("die_after_run"):
                 request.transport.abort()
                 return web.Response()
-            wait_ms = self.faults.numbers.get("work_ms", self.work_ms)
-            # Shielded from the caller's leaving, as a real commit would be.
+            wait_ms = self.faults.values.get("work_ms", self.work_ms)
+            # Shielded from a disconnect of the caller, as a real commit is.
             await asyncio.shield(asyncio.sleep(wait_ms / 1000))
         finally:
             self.running -= 1
@@ -84,7 +84,7 @@
         """Returns runs by key and the last call's headers."""
         del request
         return web.json_response(
-            {"runs": dict(self.runs), "headers": self.seen_headers}
+            {"runs": dict(self.runs), "headers": self.last_headers}
         )
 
     async def leave(self, request: web.Request) -> web.Response:
@@ -99,8 +99,8 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--port", type=int, required=True)
     parser.add_argument("--work-ms", type=int, default=20)
-    asked = parser.parse_args()
-    faults.run(Service(asked.work_ms).app(), asked.port)
+    options = parser.parse_args()
+    faults.run(Service(options.work_ms).app(), options.port)
 
 
 if __name__ == "__main__":
