--- a/tests/sim/leads.py
+++ b/tests/sim/leads.py
@@ -95,10 +95,10 @@
         self.desired_version = version
         self.desired_since_s = self.loop.time()
 
-    def check_order(
+    def record_order(
         self, replica: FakeReplica, order: sent_orders.SentOrder
     ) -> None:
-        """Checks an order against earlier orders of other holders."""
+        """Records an order and its conflicts with those of other holders."""
         self.lease_conflicts += sent_orders.conflicts(
             replica.name, replica.orders, order
         )
@@ -289,7 +289,7 @@
             self.name, self.lease.fencing, world.loop.time()
         )
         if world.loop.time() - self.paused_until_s > RESUME_GRACE_S:
-            world.check_order(replica, order)
+            world.record_order(replica, order)
         world.spawn(
             world.load(
                 replica,
--- a/tests/sim/weights_promises.py
+++ b/tests/sim/weights_promises.py
@@ -27,6 +27,7 @@
         self.quiet_at_publication_s: dict[int, float] = {1: 0.0}
         self.disturbances: collections.Counter[str] = collections.Counter()
         self.undisturbed_since_s = 0.0
+        # Time without disturbances or unreachable engines.
         self.quiet_s = 0.0
         self.order_conflicts: list[str] = []
         self.requests_during_load: list[str] = []
@@ -63,7 +64,7 @@
     def record_order(
         self, engine: loading_engines.Engine, order: sent_orders.SentOrder
     ) -> None:
-        """Checks an order against earlier orders of other holders."""
+        """Records an order and its conflicts with those of other holders."""
         self.order_conflicts += sent_orders.conflicts(
             engine.name, engine.orders, order
         )
--- a/tests/soak/repeats.py
+++ b/tests/soak/repeats.py
@@ -49,7 +49,7 @@
 )
 # Limits that operators set.
 WINDOW_S = 10.0
-RATIO = 0.2
+REPEAT_RATIO = 0.2
 MAX_REQUESTS_OVER_LIMIT = 3
 DEADLINE_TOLERANCE_MS = 500
 MAX_LATE_DEADLINES = 20
@@ -73,20 +73,20 @@
         "short",
     )
     faults: tuple[str, ...] = FAULTS
-    gaps_s: tuple[float, float] = (0.4, 1.6)
+    fault_gaps_s: tuple[float, float] = (0.4, 1.6)
     declined_share: float = 0.0
-    pause_s: tuple[float, float] = (0.05, 0.3)
-    calm_s: float = 0.0
+    request_gap_s: tuple[float, float] = (0.05, 0.3)
+    initial_calm_s: float = 0.0
     callers: int = 40
 
 
 RESTARTS = Plan(
     requests=("release",),
     faults=("kill_all",),
-    gaps_s=(3.8, 4.2),
+    fault_gaps_s=(3.8, 4.2),
     declined_share=0.8,
-    pause_s=(0.2, 0.3),
-    calm_s=4.0,
+    request_gap_s=(0.2, 0.3),
+    initial_calm_s=4.0,
     callers=16,
 )
 
@@ -111,13 +111,13 @@
         # End times of disturbances of daemons or of their store connection.
         self._disturbances: list[tuple[float, int]] = []
         self.statuses: collections.Counter[str] = collections.Counter()
-        self.crashed_s: list[float] = []
+        self.crashes_s: list[float] = []
         self.faults: list[str] = []
         self.violations: list[str] = []
         # Times at which daemons ran again after they were killed or paused.
-        self._stops: list[tuple[float, int]] = []
+        self._resumed_at: list[tuple[float, int]] = []
         # Repeats in the worst window and the allowed number, by target.
-        self.worst: dict[str, tuple[float, float]] = {}
+        self.worst_windows: dict[str, tuple[float, float]] = {}
         # Requests that crash servers, sent after that was known: all, and those
         # by daemons without a recent disturbance.
         self.sent_after_known = (0, 0)
@@ -155,9 +155,9 @@
     def summary(self) -> str:
         """Summarizes the counts of the finished session."""
         return (
-            f"{len(self.crashed_s)} crashes,"
+            f"{len(self.crashes_s)} crashes,"
             f" {self.sent_after_known} crashing requests sent after these,"
-            f" worst {self.worst}"
+            f" worst {self.worst_windows}"
         )
 
     def _keep_logs(self) -> None:
@@ -176,7 +176,7 @@
             await self._send_request(
                 f"c{number}-{count}", kind, b"b%d" % number
             )
-            await asyncio.sleep(self.rng.uniform(*self.plan.pause_s))
+            await asyncio.sleep(self.rng.uniform(*self.plan.request_gap_s))
 
     async def _send_crashing_requests(self) -> None:
         count = 0
@@ -207,11 +207,11 @@
         """Starts faults one after the other; each lasts for some seconds."""
         for replica in self.fleet.replicas.values():
             replica.faults.declined_share = self.plan.declined_share
-        await asyncio.sleep(self.plan.calm_s)
-        ends_s = time.monotonic() + PLAY_S - self.plan.calm_s
+        await asyncio.sleep(self.plan.initial_calm_s)
+        ends_s = time.monotonic() + PLAY_S - self.plan.initial_calm_s
         while time.monotonic() < ends_s:
             self._start_fault(self.rng.choice(self.plan.faults))
-            await asyncio.sleep(self.rng.uniform(*self.plan.gaps_s))
+            await asyncio.sleep(self.rng.uniform(*self.plan.fault_gaps_s))
         await asyncio.gather(*self._tasks)
 
     def _start_fault(self, fault: str) -> None:
@@ -264,7 +264,7 @@
         while not self._stopping:
             for replica in self.fleet.replicas.values():
                 if replica.has_crashed:
-                    self.crashed_s.append(time.monotonic())
+                    self.crashes_s.append(time.monotonic())
                     await replica.restart()
             await asyncio.sleep(0.02)
 
@@ -308,7 +308,7 @@
 
     def _record_stop(self, daemons: Iterable[int]) -> None:
         for number in daemons:
-            self._stops.append((time.monotonic(), number))
+            self._resumed_at.append((time.monotonic(), number))
         self._record_disturbance(daemons)
 
     def _record_disturbance(self, daemons: Iterable[int]) -> None:
@@ -353,9 +353,9 @@
                 _count_in_window(requests_s, start_s - earlier_s)
                 for earlier_s in (0.0, WINDOW_S / 2, WINDOW_S)
             )
-            allowed = RATIO * requests + slack
+            allowed = REPEAT_RATIO * requests + slack
             worst = max(worst, (count - allowed, count, allowed))
-        self.worst[target] = worst[1:]
+        self.worst_windows[target] = worst[1:]
         if worst[0] > 0:
             self.violations.append(
                 f"{target}: {worst[1]} repeats in {WINDOW_S:.0f} s,"
@@ -396,9 +396,9 @@
             )
 
     def _check_crashing_requests(self, arrivals: list) -> None:
-        if len(self.crashed_s) < CRASHES_TO_QUARANTINE:
+        if len(self.crashes_s) < CRASHES_TO_QUARANTINE:
             return
-        known_s = self.crashed_s[CRASHES_TO_QUARANTINE - 1] + QUARANTINE_DELAY_S
+        known_s = self.crashes_s[CRASHES_TO_QUARANTINE - 1] + QUARANTINE_DELAY_S
         after = [
             a for a in arrivals if a.body == CRASHING_BODY and a.at_s > known_s
         ]
--- a/tests/soak/signals.py
+++ b/tests/soak/signals.py
@@ -25,14 +25,20 @@
 MAX_IN_REST = 2
 SIGNATURE = "x-godwittack-response-signature"
 
-LEAVING = repeats.Plan(faults=("leave",), gaps_s=(13.2, 14.0), calm_s=3.0)
+LEAVING = repeats.Plan(
+    faults=("leave",), fault_gaps_s=(13.2, 14.0), initial_calm_s=3.0
+)
 LEAVING_UNSEEN = repeats.Plan(
-    faults=("leave_unseen",), gaps_s=(13.2, 14.0), calm_s=3.0
+    faults=("leave_unseen",), fault_gaps_s=(13.2, 14.0), initial_calm_s=3.0
+)
+LAPSING = repeats.Plan(
+    faults=("lapse",), fault_gaps_s=(13.2, 14.0), initial_calm_s=3.0
+)
+RESTING = repeats.Plan(
+    faults=("rest",), fault_gaps_s=(13.2, 14.0), initial_calm_s=3.0
 )
-LAPSING = repeats.Plan(faults=("lapse",), gaps_s=(13.2, 14.0), calm_s=3.0)
-RESTING = repeats.Plan(faults=("rest",), gaps_s=(13.2, 14.0), calm_s=3.0)
 ALL_RESTING = repeats.Plan(
-    faults=("rest_all",), gaps_s=(13.2, 14.0), calm_s=3.0
+    faults=("rest_all",), fault_gaps_s=(13.2, 14.0), initial_calm_s=3.0
 )
 OVERLAPPING = repeats.Plan(
     faults=(
@@ -59,7 +65,7 @@
         self.leaving_signals_s: dict[tuple[int, str], list[float]]
         self.leaving_signals_s = collections.defaultdict(list)
         self.without_retry_after = 0
-        self.after_leaving = self.rests = 0
+        self.sent_after_leaving = self.rests = 0
         self.max_in_rest = 0
         return await super().play()
 
@@ -143,43 +149,45 @@
         """Summarizes the counts of the finished session."""
         return (
             f"{sum(map(len, self.leaving_signals_s.values()))} leaving signals,"
-            f" {self.after_leaving} sent after them,"
+            f" {self.sent_after_leaving} sent after them,"
             f" {self.rests} rests, at most {self.max_in_rest} requests in one"
         )
 
     def _check(self) -> None:
-        stops = collections.defaultdict(list)
-        for at_s, number in sorted(self._stops):
-            stops[number].append(at_s)
+        resumed_s = collections.defaultdict(list)
+        for at_s, number in sorted(self._resumed_at):
+            resumed_s[number].append(at_s)
         for replica in self.fleet.replicas.values():
-            self._check_leaving(replica, stops)
-            self._check_rests(replica, stops)
+            self._check_leaving(replica, resumed_s)
+            self._check_rests(replica, resumed_s)
         if self.without_retry_after:
             self.violations.append(
                 f"{self.without_retry_after} refusals without Retry-After"
             )
 
-    def _check_leaving(self, replica, stops: dict[int, list[float]]) -> None:
+    def _check_leaving(
+        self, replica, resumed_s: dict[int, list[float]]
+    ) -> None:
         late = 0
         for arrival in replica.arrivals:
             daemon = self.daemon_by_request[arrival.request_id]
             requested_s = self.requests[arrival.request_id][1]
-            stopped_s = _last_before(stops[daemon], arrival.at_s)
+            last_resumed_s = _last_before(resumed_s[daemon], arrival.at_s)
             signals_s = sorted(self.leaving_signals_s[daemon, replica.instance])
-            first = bisect.bisect_right(signals_s, stopped_s)
+            first = bisect.bisect_right(signals_s, last_resumed_s)
             if (
                 first < len(signals_s)
                 and requested_s > signals_s[first] + DRAIN_S
             ):
                 late += 1
-        self.after_leaving += late
+        self.sent_after_leaving += late
         if late:
             self.violations.append(
                 f"{replica.instance}: {late} requests sent over {DRAIN_S} s"
                 " after their daemon received its leaving signal"
             )
 
-    def _check_rests(self, replica, stops: dict[int, list[float]]) -> None:
+    def _check_rests(self, replica, resumed_s: dict[int, list[float]]) -> None:
         arrived = collections.defaultdict(list)
         for arrival in replica.arrivals:
             arrived[self.daemon_by_request[arrival.request_id]].append(
@@ -189,7 +197,7 @@
         for rest in replica.rests:
             daemon = self.daemon_by_request[rest.request_id]
             ends_s = rest.at_s + rest.rest_s
-            if _last_before(stops[daemon], ends_s) > rest.at_s:
+            if _last_before(resumed_s[daemon], ends_s) > rest.at_s:
                 continue
             begins_s = rest.at_s + REST_BEGINS_S
             count = sum(begins_s < at_s < ends_s for at_s in arrived[daemon])
