--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -148,7 +148,7 @@
 
 def _block_incoming(fleet: fleets.Fleet, victim: fleets.FleetDaemon) -> None:
     for address in fleet.seeds:
-        fleet.cuts.add((address, victim.address))
+        fleet.cut_links.add((address, victim.address))
 
 
 async def _wait_all_live(fleet: fleets.Fleet) -> float:
--- a/tests/cases/connections.py
+++ b/tests/cases/connections.py
@@ -18,7 +18,7 @@
     work,
 )
 from godwittack.platform import servers
-from standins.scripted import LATER_S, Say, ScriptedServer
+from standins.scripted import LATER_S, Reply, ScriptedServer
 
 HEAD = b"HTTP/1.1 200 OK\r\nX-Godwittack-Request-Id: {id}\r\n"
 OTHER = HEAD.replace(b"{id}", b"another")
@@ -117,7 +117,7 @@
 
 async def a_call_past_its_deadline_is_not_sent() -> None:
     """Guards against a send after connecting has used up the time left."""
-    async with ScriptedServer(Say(complete(b"1"))) as server:
+    async with ScriptedServer(Reply(complete(b"1"))) as server:
         backend = Backend(server)
         sink = await backend.send(ends_at_ms=SystemClock().now_ms())
         assert sink.failure == (
@@ -130,7 +130,7 @@
 async def a_call_is_not_sent_once_its_server_rests_or_leaves() -> None:
     """Guards against a send decided before its server requested a rest."""
     async with ScriptedServer(
-        Say(complete(b"1")), Say(complete(b"2"))
+        Reply(complete(b"1")), Reply(complete(b"2"))
     ) as server:
         backend = Backend(server)
         core = routed_core.Core(servers=0)
@@ -172,7 +172,7 @@
         b"", HEAD.replace(b"200 OK", b"503 Full") + signal_headers
     )
     reported: list[object] = []
-    async with ScriptedServer(Say(from_other), Say(from_server)) as server:
+    async with ScriptedServer(Reply(from_other), Reply(from_server)) as server:
         backend = Backend(server)
         backend.routed.signal_reporter.submit = reported.append
         await backend.send()
@@ -192,7 +192,7 @@
         target="t",
         server_id="i-1",
     )
-    async with ScriptedServer(*[Say(complete(b"", declined))] * 3) as server:
+    async with ScriptedServer(*[Reply(complete(b"", declined))] * 3) as server:
         backend = Backend(server)
         reported: list[object] = []
         backend.routed.signal_reporter.submit = reported.append
@@ -222,7 +222,7 @@
     )
     call = protocol.Call(method="POST", path="/x", headers=(), body=b"b")
     async with (
-        ScriptedServer(Say(full)) as server,
+        ScriptedServer(Reply(full)) as server,
         aiohttp.ClientSession() as session,
     ):
         backend = http.HttpBackend(
@@ -249,7 +249,7 @@
     a while.
     """
     async with ScriptedServer(
-        Say(complete(b"1")), Say(complete(b"2"))
+        Reply(complete(b"1")), Reply(complete(b"2"))
     ) as server:
         backend = Backend(server)
         assert (await backend.send()).answered.body == b"1"
@@ -267,12 +267,12 @@
     connection was assigned to the next request.
     """
     for say in (
-        Say(complete(b"1") + complete(b"x", OTHER)),
-        Say(complete(b"1"), later=complete(b"x", OTHER)),
-        Say(complete(b"1") + b"junk"),
-        Say(complete(b"1"), later=b"junk"),
+        Reply(complete(b"1") + complete(b"x", OTHER)),
+        Reply(complete(b"1"), later=complete(b"x", OTHER)),
+        Reply(complete(b"1") + b"junk"),
+        Reply(complete(b"1"), later=b"junk"),
     ):
-        async with ScriptedServer(say, Say(complete(b"2"))) as server:
+        async with ScriptedServer(say, Reply(complete(b"2"))) as server:
             backend = Backend(server)
             assert (await backend.send()).answered.body == b"1"
             await asyncio.sleep(3 * LATER_S)
@@ -288,7 +288,7 @@
     arrives just before the answer to the second.
     """
     async with ScriptedServer(
-        Say(complete(b"1")), Say(complete(b"x", OTHER) + complete(b"2"))
+        Reply(complete(b"1")), Reply(complete(b"x", OTHER) + complete(b"2"))
     ) as server:
         backend = Backend(server)
         await backend.send()
@@ -303,12 +303,12 @@
     reset where the end of the connection marks that of the body.
     """
     truncated = (
-        Say(b"", then="close"),
-        Say(b"HTTP/1.1 200 O", then="close"),
-        Say(complete(b"12345")[:-1], then="close"),
-        Say(HEAD + CHUNKED + chunk(b"123"), then="close"),
-        Say(HEAD + b"\r\n123", then="reset"),
-        Say(b"not an answer at all\r\n\r\n", then="close"),
+        Reply(b"", then="close"),
+        Reply(b"HTTP/1.1 200 O", then="close"),
+        Reply(complete(b"12345")[:-1], then="close"),
+        Reply(HEAD + CHUNKED + chunk(b"123"), then="close"),
+        Reply(HEAD + b"\r\n123", then="reset"),
+        Reply(b"not an answer at all\r\n\r\n", then="close"),
     )
     for say in truncated:
         async with ScriptedServer(say) as server:
@@ -323,7 +323,7 @@
     Guards against complete answers of old servers treated as truncated: no
     length, no chunks, and the connection is closed in order.
     """
-    async with ScriptedServer(Say(HEAD + b"\r\n123", then="close")) as server:
+    async with ScriptedServer(Reply(HEAD + b"\r\n123", then="close")) as server:
         assert (await Backend(server).send()).answered.body == b"123"
 
 
@@ -345,7 +345,7 @@
         (complete(b"", busy), None),
     )
     for data, failure in cases:
-        async with ScriptedServer(Say(data)) as server:
+        async with ScriptedServer(Reply(data)) as server:
             sink = await Backend(server).send()
             assert sink.failure == failure, (data, sink)
             assert (sink.answered is None) == (failure is not None)
@@ -360,7 +360,7 @@
     """
     body = bytes(range(256)) * 8_000
     async with ScriptedServer(
-        Say(complete(b"1"), reads_body=False), Say(complete(b"2"))
+        Reply(complete(b"1"), reads_body=False), Reply(complete(b"2"))
     ) as server:
         backend = Backend(server)
         assert (await backend.send(body=body)).answered.body == b"1"
@@ -379,7 +379,7 @@
     """
     events = b"id: 3\ndata: a\n\nid: 4\ndata: b\n\nid: 5\nda"
     async with ScriptedServer(
-        Say(STREAM + CHUNKED + chunk(events), then="close")
+        Reply(STREAM + CHUNKED + chunk(events), then="close")
     ) as server:
         sink = await Backend(server).send(stamp=STAMP)
         assert [f.number for f in sink.frames_seen] == [3, 4]
@@ -392,7 +392,7 @@
     Guards against streams that never end, or a new connection for each, because
     the end is expected in the events: two complete streams.
     """
-    say = Say(STREAM + CHUNKED + chunk(b"id: 1\ndata: a\n\n") + b"0\r\n\r\n")
+    say = Reply(STREAM + CHUNKED + chunk(b"id: 1\ndata: a\n\n") + b"0\r\n\r\n")
     async with ScriptedServer(say, say) as server:
         backend = Backend(server)
         for name in ("r1", "r2"):
@@ -422,7 +422,7 @@
     it at once. A call written right after connecting has been sent by then, and
     it is unknown whether it ran.
     """
-    async with ScriptedServer(Say(complete(b"1")), turns_away=1) as server:
+    async with ScriptedServer(Reply(complete(b"1")), resets=1) as server:
         backend = Backend(server)
         sink = await backend.send(fresh_connection=True)
         assert sink.failure[0] is inputs.FailurePhase.CONNECT
@@ -439,7 +439,7 @@
     were not checked before use.
     """
     async with ScriptedServer(
-        Say(complete(b"1"), then="close"), Say(complete(b"2"))
+        Reply(complete(b"1"), then="close"), Reply(complete(b"2"))
     ) as server:
         backend = Backend(server)
         await backend.send()
@@ -454,7 +454,7 @@
     attempt is cancelled before its answer, and its connection was kept for
     reuse.
     """
-    async with ScriptedServer(Say(b"")) as server:
+    async with ScriptedServer(Reply(b"")) as server:
         backend = Backend(server)
         task = asyncio.create_task(backend.send())
         await asyncio.sleep(LATER_S)
--- a/tests/cases/fleet_bounds.py
+++ b/tests/cases/fleet_bounds.py
@@ -14,7 +14,7 @@
 from godwittack.limit import budget
 from godwittack.member import assignment, view
 from sim import loop
-from standins.scripted import Say, ScriptedServer
+from standins.scripted import Reply, ScriptedServer
 
 # Fleet size up to which each daemon receives every server's reports,
 # as deployed.
@@ -128,8 +128,8 @@
         event=server_ejected failures=3 until_ms=4000
         event=refused reason=no_server attempts=0
     """
-    script = Say(connections.complete(b"1"))
-    async with ScriptedServer(script, turns_away=1) as server:
+    script = Reply(connections.complete(b"1"))
+    async with ScriptedServer(script, resets=1) as server:
         backend = connections.Backend(server)
         sink = await backend.send(fresh_connection=True)
     assert sink.failure == (
--- a/tests/cases/leading.py
+++ b/tests/cases/leading.py
@@ -241,7 +241,7 @@
     async def read(self, row_id):
         """Reads a row, or does not answer."""
         if self.is_lossy:
-            return await self._silence("read")
+            return await self._time_out("read")
         return await super().read(row_id)
 
 
--- a/tests/cases/limited.py
+++ b/tests/cases/limited.py
@@ -62,7 +62,7 @@
 async def _check_limit(name: str, limited: str, other: str) -> None:
     async with Platform(daemons=3) as platform:
         await _traffic(platform, name, seconds=1)
-        platform.replicas[limited].names_limit = str(LIMIT_PER_S)
+        platform.replicas[limited].limit_header = str(LIMIT_PER_S)
         limited_s = time.monotonic()
         statuses = await _traffic(platform, name, seconds=TRAFFIC_S)
         settled_s = limited_s + PROPAGATION_S
@@ -75,7 +75,7 @@
         )
         assert max_count >= LIMIT_PER_S * WINDOW_S / 2, max_count
         assert statuses.count(200) == len(statuses), statuses
-        platform.replicas[limited].names_limit = ""
+        platform.replicas[limited].limit_header = ""
         await _traffic(platform, name, seconds=4)
         max_after_lift = _max_in_window(
             platform.replicas[limited], since_s=time.monotonic() - 1
--- a/tests/cases/withdrawing.py
+++ b/tests/cases/withdrawing.py
@@ -17,7 +17,7 @@
 
 async def _check_leaving(plan: repeats.Plan) -> None:
     session = await _play(plan)
-    assert session.heard, session.faults
+    assert session.leaving_signals_s, session.faults
 
 
 async def _check_rest(plan: repeats.Plan) -> None:
