--- a/tests/features/steps/caller_steps.py
+++ b/tests/features/steps/caller_steps.py
@@ -1,4 +1,4 @@
-"""Steps on callers, strangers and forwarded calls."""
+"""Steps on callers, unauthorized access and forwarded calls."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 from godwittack.daemon import observer
 from godwittack.peer import datagram, exchange, peer_pb2
 
-SMUGGLED = {
+# Headers that only a daemon may set towards backend servers.
+FORGED_HEADERS = {
     "X-Workspace": "fair",
     "X-Incarnation": "mine",
     "X-Weights-Version": "9",
@@ -28,7 +29,7 @@
 
 
 def client(context, token="token-desk") -> openai.OpenAI:
-    """Returns the registry's client for the first daemon."""
+    """Returns an OpenAI client of the first daemon."""
     return openai.OpenAI(
         base_url=context.cluster.url("entry-1", "/v1"),
         api_key=token,
@@ -36,51 +37,53 @@
     )
 
 
-ASK = [{"role": "user", "content": "Does it qualify?"}]
+MESSAGES = [{"role": "user", "content": "Does it qualify?"}]
 
 
-@when("the OpenAI client asks for a whole and for a streamed chat completion")
-def ask_both(context):
+@when("the OpenAI client makes a plain and a streamed chat completion")
+def complete_plain_and_streamed(context):
     """Makes both calls."""
     create = client(context).chat.completions.create
-    whole = create(model="rulebook", messages=ASK, max_tokens=12)
-    stream = create(model="rulebook", messages=ASK, max_tokens=12, stream=True)
-    context.whole = whole.choices[0].message.content
+    plain = create(model="rulebook", messages=MESSAGES, max_tokens=12)
+    stream = create(
+        model="rulebook", messages=MESSAGES, max_tokens=12, stream=True
+    )
+    context.plain = plain.choices[0].message.content
     context.streamed = "".join(
         chunk.choices[0].delta.content or "" for chunk in stream
     )
 
 
-@then("both answers are whole")
-def both_whole(context):
+@then("both answers are complete")
+def check_both_complete(context):
     """Compares the texts."""
-    wanted = "".join(f"t{n} " for n in range(1, 13))
-    assert context.whole == wanted, context.whole
-    assert context.streamed == wanted, context.streamed
+    expected = "".join(f"t{n} " for n in range(1, 13))
+    assert context.plain == expected, context.plain
+    assert context.streamed == expected, context.streamed
 
 
 @then("the models are listed")
-def models_listed(context):
+def check_models_listed(context):
     """Lists the models."""
     names = [model.id for model in client(context).models.list()]
     assert names == ["rulebook"], names
 
 
 @then('a wrong model is a NotFoundError with outcome "{outcome}"')
-def wrong_model(context, outcome):
-    """Asks for a model without a row."""
+def check_wrong_model(context, outcome):
+    """Requests a model that has no row in the table."""
     try:
-        client(context).chat.completions.create(model="no", messages=ASK)
+        client(context).chat.completions.create(model="no", messages=MESSAGES)
     except openai.NotFoundError as error:
-        told = error.response.json()
-        assert told["outcome"] == outcome, told
+        body = error.response.json()
+        assert body["outcome"] == outcome, body
         return
     raise AssertionError("no error")
 
 
 @then("a wrong token is an AuthenticationError")
-def wrong_token(context):
-    """Asks with a token of nobody."""
+def check_wrong_token(context):
+    """Lists the models with an unknown token."""
     try:
         client(context, "nobody").models.list()
     except openai.AuthenticationError:
@@ -89,11 +92,11 @@
 
 
 @when("the OpenAI client reads a stream whose engine crashes")
-def read_crashing(context):
-    """Crashes the engine after some chunks."""
+def read_crashing_stream(context):
+    """Restarts the engine after the sixth chunk."""
     context.error = None
     stream = client(context).chat.completions.create(
-        model="rulebook", messages=ASK, max_tokens=400, stream=True
+        model="rulebook", messages=MESSAGES, max_tokens=400, stream=True
     )
     try:
         for number, _ in enumerate(stream):
@@ -105,13 +108,16 @@
 
 
 @then("the client raises an APIError")
-def raises_api_error(context):
+def check_api_error(context):
     """Checks the error."""
     assert context.error is not None
 
 
-@given("a daemon that takes bodies of {limit:d} bytes within {wait_ms:d} ms")
-def small_bodies(context, limit, wait_ms):
+@given(
+    "a daemon that accepts bodies of up to {limit:d} bytes within {wait_ms:d}"
+    " ms"
+)
+def start_with_body_limits(context, limit, wait_ms):
     """Starts a cluster with small limits."""
     cluster_steps.start_cluster(
         context,
@@ -122,29 +128,31 @@
     )
 
 
-@when("wrong bodies are sent")
-def wrong_bodies(context):
+@when("invalid bodies are sent")
+def send_invalid_bodies(context):
     """Sends each body of the table."""
     url = context.cluster.url("entry-1", "/v1/chat/completions")
     context.results = []
     for row in context.table:
-        got = processes.call(
+        answer = processes.call(
             "POST", url, row["body"].encode(), cluster_steps.auth(context)
         )
-        context.results.append((row["status"], got[0], json.loads(got[2])))
+        context.results.append(
+            (row["status"], answer[0], json.loads(answer[2]))
+        )
 
 
-@then("each is refused as not run with its status")
+@then("each is refused as not_run with the given status")
 def refused_with_status(context):
     """Checks the refusals."""
-    for wanted, status, told in context.results:
-        assert status == int(wanted), (wanted, status, told)
-        assert told["outcome"] == "not_run", told
+    for expected, status, body in context.results:
+        assert status == int(expected), (expected, status, body)
+        assert body["outcome"] == "not_run", body
 
 
 @then("a body that is too long gets 413")
 def too_long(context):
-    """Sends a long body, with and without a length."""
+    """Sends a body over the limit."""
     url = context.cluster.url("entry-1", "/v1/chat/completions")
     body = b"x" * 30_000
     status, _, _ = processes.call(
@@ -155,7 +163,7 @@
 
 @then("a body that never ends gets 408")
 def never_ends(context):
-    """Promises more bytes than it sends."""
+    """Sends fewer bytes than its Content-Length."""
     port = context.cluster.ports["entry-1"]
     with socket.create_connection(("127.0.0.1", port), timeout=20) as sock:
         sock.sendall(
@@ -166,15 +174,17 @@
         assert b" 408 " in sock.recv(4096).split(b"\r\n")[0]
 
 
-@when("a PATCH with a query, own headers and smuggled headers is sent")
-def patch_call(context):
-    """Makes the call by hand, so that nothing is added."""
+@when(
+    "a PATCH with a query, custom headers and forged internal headers is sent"
+)
+def send_patch(context):
+    """Makes the call with http.client, which adds no headers of its own."""
     connection = http.client.HTTPConnection(
         "127.0.0.1", context.cluster.ports["entry-1"], timeout=20
     )
     headers = {
         **cluster_steps.auth(context),
-        **SMUGGLED,
+        **FORGED_HEADERS,
         "Idempotency-Key": "patch-1",
         "Connection": "close, X-Hop",
         "X-Hop": "1",
@@ -185,30 +195,32 @@
         "PATCH", "/svc/portal/a%2Fb/c?x=1&y=%20", b"body", headers
     )
     context.response = connection.getresponse()
-    context.told = json.loads(context.response.read())
-    seen = context.cluster.counts("portal-1")["headers"]
-    context.seen = {name: value for name, value in seen}
-
-
-@then("the service saw method, path and own headers")
-def saw_call(context):
-    """Checks the service's own account."""
-    assert context.told["method"] == "PATCH"
-    assert context.told["path"] == "/a%2Fb/c?x=1&y=%20", context.told
-    assert context.seen["x-own"] == "kept"
-    assert context.seen["content-type"] == "text/odd"
-
-
-@then("the service saw none of the smuggled headers")
-def saw_no_smuggled(context):
-    """Checks the service's own account."""
-    hidden = {name.lower() for name in SMUGGLED}
-    hidden |= {"authorization", "x-hop"}
-    assert not hidden & context.seen.keys(), context.seen
+    context.call = json.loads(context.response.read())
+    headers = context.cluster.counts("portal-1")["headers"]
+    context.received_headers = {name: value for name, value in headers}
+
+
+@then("the service received the method, path and custom headers")
+def received_call(context):
+    """Checks the call that the service recorded."""
+    assert context.call["method"] == "PATCH"
+    assert context.call["path"] == "/a%2Fb/c?x=1&y=%20", context.call
+    assert context.received_headers["x-own"] == "kept"
+    assert context.received_headers["content-type"] == "text/odd"
+
+
+@then("the service received none of the forged headers")
+def received_no_forged(context):
+    """Checks the headers that the service recorded."""
+    removed = {name.lower() for name in FORGED_HEADERS}
+    removed |= {"authorization", "x-hop"}
+    assert not removed & context.received_headers.keys(), (
+        context.received_headers
+    )
 
 
-@then("the caller got the service's own headers")
-def got_headers(context):
+@then("the caller received the service's headers")
+def received_response_headers(context):
     """Checks the answer."""
     assert context.response.status == 200
     assert context.response.headers["x-service"] == "stand-in"
@@ -218,7 +230,7 @@
 def post_without_key(context):
     """Makes the call."""
     url = context.cluster.url("entry-1", "/svc/portal/claims")
-    context.got = processes.call(
+    context.answer = processes.call(
         "POST", url, {"a": 1}, cluster_steps.auth(context)
     )
 
@@ -226,11 +238,11 @@
 @then('it is refused with status {status:d} and reason "{reason}"')
 def refused_reason(context, status, reason):
     """Checks the refusal."""
-    told = json.loads(context.got[2])
-    assert (context.got[0], told["reason"]) == (status, reason), told
+    body = json.loads(context.answer[2])
+    assert (context.answer[0], body["reason"]) == (status, reason), body
 
 
-@then("a key used again for another body gets 422")
+@then("a key that is reused for another body gets 422")
 def key_reused(context):
     """Sends one key with two bodies."""
     url = context.cluster.url("entry-1", "/svc/portal/claims")
@@ -242,68 +254,68 @@
 
 def _generate(context, headers):
     url = context.cluster.url("entry-1", "/v1/chat/completions")
-    body = {"model": "rulebook", "messages": ASK, "max_tokens": 1}
+    body = {"model": "rulebook", "messages": MESSAGES, "max_tokens": 1}
     return processes.call("POST", url, body, headers)
 
 
 @then("a generation without a token gets {status:d}")
 def no_token(context, status):
-    """Asks without a token."""
+    """Makes a call without a token."""
     assert _generate(context, {})[0] == status
 
 
 @then("a generation with an operator's token gets {status:d}")
 def operator_token(context, status):
-    """Asks with an operator's token."""
+    """Makes a call with an operator's token."""
     headers = {"authorization": "Bearer operator-ana"}
     assert _generate(context, headers)[0] == status
 
 
-@then("where with another workspace's name gets {status:d}")
+@then("a /v1/where request for another workspace gets {status:d}")
 def foreign_where(context, status):
-    """Asks where for another workspace."""
+    """Requests the addresses for another workspace."""
     url = context.cluster.url("entry-1", "/v1/where?workspace=fair")
-    got = processes.call("GET", url, headers=cluster_steps.auth(context))
-    assert got[0] == status
+    answer = processes.call("GET", url, headers=cluster_steps.auth(context))
+    assert answer[0] == status
 
 
 @then("each operator call with a workspace's token gets {status:d}")
 def operator_calls(context, status):
-    """Asks every operator path."""
+    """Calls every path of the operators' interface."""
     for path in ("table", "history", "status", "report"):
         url = context.cluster.url("entry-1", f"/operator/{path}")
-        got = processes.call("GET", url, headers=cluster_steps.auth(context))
-        assert got[0] == status, path
+        answer = processes.call("GET", url, headers=cluster_steps.auth(context))
+        assert answer[0] == status, path
     url = context.cluster.url("entry-1", "/operator/table")
-    got = processes.call("POST", url, {}, cluster_steps.auth(context))
-    assert got[0] == status
+    answer = processes.call("POST", url, {}, cluster_steps.auth(context))
+    assert answer[0] == status
 
 
 @then("a peer without the secret is refused")
-def stranger_peer(context):
+def unauthorized_peer(context):
     """Sends an envelope with another secret."""
     address = f"127.0.0.1:{context.cluster.peer_ports['entry-1']}"
 
     async def send():
         peers = exchange.PeerClient(secret=b"x" * 32, timeout_ms=5_000)
-        got = await peers.exchange(
+        reply = await peers.exchange(
             address,
             peer_pb2.Envelope(sender=peer_pb2.Member(member_id="stranger")),
         )
         await peers.close()
-        return got
+        return reply
 
-    got = asyncio.run(send())
-    assert "status 401" in got.err_value.detail, got
+    reply = asyncio.run(send())
+    assert "status 401" in reply.err_value.detail, reply
     assert "stranger" not in context.cluster.ready("entry-1")["members"]
 
 
-@then("a datagram without the secret gets no answer, with it one")
-def stranger_datagram(context):
+@then("a datagram without the secret gets no answer, one with it does")
+def unauthorized_datagram(context):
     """Probes with a wrong secret, then with the right one."""
-    right = (context.cluster.path / "secret").read_bytes().strip()
+    secret = (context.cluster.path / "secret").read_bytes().strip()
     assert not asyncio.run(_probe(context, b"x" * 32)).is_ok()
-    assert asyncio.run(_probe(context, right)).is_ok()
+    assert asyncio.run(_probe(context, secret)).is_ok()
     assert "stranger" not in context.cluster.ready("entry-1")["members"]
 
 
@@ -321,7 +333,7 @@
         peers.close()
 
 
-@then("the log holds no token")
+@then("the log contains no token")
 def no_token_in_log(context):
     """Searches the log."""
     log = context.cluster.log("entry-1")
@@ -329,27 +341,30 @@
         assert secret not in log, secret
 
 
-@when("a generation with smuggled state headers is sent")
-def smuggle_to_engine(context):
-    """Sends the daemon's own header names."""
-    headers = {**cluster_steps.auth(context), **SMUGGLED}
+@when("a generation with forged state headers is sent")
+def send_forged_headers(context):
+    """Sends the headers that a daemon sends to engines."""
+    headers = {**cluster_steps.auth(context), **FORGED_HEADERS}
     assert _generate(context, headers)[0] == 200
 
 
-@then("the engine saw the daemon's own state headers once each")
-def engine_saw(context):
-    """Checks the engine's own account."""
+@then("the engine received only the daemon's state headers, once each")
+def engine_received(context):
+    """Checks the headers that the engine recorded."""
     counts = context.cluster.counts("engine-1")
-    for name in SMUGGLED:
+    for name in FORGED_HEADERS:
         values = [v for k, v in counts["headers"] if k == name.lower()]
-        assert len(values) == 1 and values[0] != SMUGGLED[name], (name, values)
+        assert len(values) == 1 and values[0] != FORGED_HEADERS[name], (
+            name,
+            values,
+        )
     workspace = [v for k, v in counts["headers"] if k == "x-workspace"]
     assert workspace == ["desk"], workspace
 
 
 @then("a log line quotes line breaks")
 def quoted_lines(context):
-    """Forms a line with a value that came from outside."""
+    """Formats a line with a value that a caller chose."""
     del context
     event = effects.Event(
         "x", "", (effects.Field("detail", "a\nevent=forged b=1"),)
@@ -360,10 +375,10 @@
 
 @when("streams and submissions are served")
 def serve_some(context):
-    """Makes a few calls of each kind."""
+    """Makes five calls of each kind."""
     for number in range(5):
         assert _generate(context, cluster_steps.auth(context))[0] == 200
         status, _ = cluster_steps.send_key(context, f"k{number}", daemon=1)
         assert status == 200
-    # The recording's last lines are written as the calls end.
+    # The recording's last lines are written when the calls end.
     time.sleep(0.3)
