--- a/tests/features/promises/no_cold_start.feature
+++ b/tests/features/promises/no_cold_start.feature
@@ -1,15 +1,15 @@
 @promise_no_cold_start
-Feature: A restarted router serves with no cold start
+Feature: A restarted daemon keeps using cached prefixes
 
-  Scenario Outline: Daemons restart and go on where the prefixes are
+  Scenario Outline: Restarted daemons place prompts where they are cached
     # Symptom: after a deployment every rulebook is computed again.
     # Sequence: prompts with many prefixes have been served; <who> killed
-    #   and started anew <platform>; the same prefixes are asked for at once.
-    # Cause: where a prefix stands is known to the old process only.
+    #   and restarted <platform>; the same prefixes are requested at once.
+    # Cause: only the old process knows where a prefix is cached.
     Given a cluster of 3 daemons and 3 engines
     And 24 long prefixes were served through all daemons
-    When <who> killed and started anew <platform>
-    Then at least 23 of the 24 prefixes are found cached at the first try
+    When <who> killed and restarted <platform>
+    Then at least 23 of the 24 prefixes are found cached on the first request
     And the platform answered fewer than 200 reads meanwhile
 
     Examples:
--- a/tests/features/promises/not_run_is_true.feature
+++ b/tests/features/promises/not_run_is_true.feature
@@ -1,16 +1,16 @@
 @promise_not_run_is_true
-Feature: A refusal that says "not run" is true
-  A caller that is told "not run" may send the call again without harm.
+Feature: A call refused as not_run has not run
+  A caller that receives not_run may safely send the call again.
 
-  Scenario Outline: Each way in which a refusal arises
-    # Symptom: a caller repeats a call that has run, or gives one up that a
-    #   repetition would have served.
-    # Sequence: a call is refused for the reason named; the reason goes away;
+  Scenario Outline: Each reason for a refusal
+    # Symptom: a caller repeats a call that has run, or gives up a call that a
+    #   retry would have served.
+    # Sequence: a call is refused for the given reason; the reason disappears;
     #   the same key is sent again.
-    # Cause: the refusal and the claim or dispatch disagree.
+    # Cause: the refusal disagrees with the claim or the dispatch.
     When a call is refused because of "<reason>"
-    Then the refusal says "not_run" for "<reason>"
-    And the service's count agrees
+    Then the refusal has outcome "not_run" and reason "<reason>"
+    And the service has not run the call
     And the same key can run afterwards
 
     Examples:
@@ -23,31 +23,31 @@
       | table_not_current  |
 
   Scenario: The connection breaks at each byte of the request
-    # Symptom: "not run" is said of a call that a service has run.
+    # Symptom: a call that a service has run is refused as not_run.
     # Sequence: the link to the service cuts the connection after n bytes of
     #   the request, for every n.
-    # Cause: a half-sent request taken for an unsent one.
+    # Cause: a partly sent request is treated as unsent.
     Given a cluster of 1 daemons and a plain service behind a link
-    When calls are cut after each number of bytes of their request
-    Then no call that was told "not_run" has run
+    When calls are cut at successive byte offsets of their request
+    Then no call refused as "not_run" has run
     And no call has run twice
-    And at least 1 call was told "unknown" and at least 1 got its answer
+    And at least 1 call was refused as "unknown" and at least 1 was answered
 
   Scenario: The connection breaks at each byte of the answer
-    # Symptom: a call that ran is said not to have run.
+    # Symptom: a call that has run is refused as not_run.
     # Sequence: the link cuts the connection after n bytes of the answer.
-    # Cause: a half-read answer taken for none.
+    # Cause: a partly read answer is treated as no answer.
     Given a cluster of 1 daemons and a plain service behind a link
-    When calls are cut after each number of bytes of their answer
+    When calls are cut at successive byte offsets of their answer
     Then every call has run once
-    And no call was told "not_run"
+    And no call was refused as "not_run"
 
   Scenario: The link refuses connections
-    # Symptom: calls are said to be unknown although nothing was sent.
-    # Sequence: connecting to the service fails outright, then works again.
-    # Cause: every failure taken for a broken answer.
+    # Symptom: calls are refused as unknown although nothing was sent.
+    # Sequence: connecting to the service fails at once, then works again.
+    # Cause: every failure is treated as a broken answer.
     Given a cluster of 1 daemons and a plain service
     When the service's process is killed
     And key "claim-21" is sent with method "POST" through daemon 1
-    Then the answers say the outcome is "not_run"
+    Then every answer has outcome "not_run"
     And the same key runs once after the service is back
--- a/tests/features/steps/cluster_steps.py
+++ b/tests/features/steps/cluster_steps.py
@@ -12,7 +12,7 @@
 
 
 def start_cluster(context, daemons, *, engines=0, services=0, **settings):
-    """Starts a cluster with the standard table and waits until it works."""
+    """Starts a cluster with the standard table and waits until it serves."""
     cluster = context.cluster = processes.Cluster()
     cluster.extra.update(settings)
     cluster.start_platform()
@@ -34,7 +34,10 @@
 
 
 def send_key(context, key, *, daemon, method="POST"):
-    """Makes one keyed call; returns status and body, or the break."""
+    """Makes one keyed call; returns status and body.
+
+    If the connection breaks, the status is 0 and the body the error.
+    """
     url = context.cluster.url(f"entry-{daemon}", "/svc/portal/claims")
     headers = {**auth(context), "idempotency-key": key}
     try:
@@ -57,16 +60,16 @@
 
 
 @when("the service breaks the connection after running the next call")
-def die_after_run(context):
-    """Orders the fault."""
+def break_after_run(context):
+    """Injects the fault."""
     context.cluster.fault("portal-1", "die_after_run")
 
 
-@when('the platform\'s claim of key "{key}" says "{state}"')
-def claim_says(context, key, state):
+@when('the platform\'s claim of key "{key}" has state "{state}"')
+def wait_claim_state(context, key, state):
     """Waits until the outcome is written.
 
-    Until then a second caller is told "in_progress", which is true as well.
+    Until then a second caller gets "in_progress", which is also true.
     """
     name = f"4.desk.portal.{key}"
     processes.wait_until(
@@ -77,7 +80,7 @@
 
 @when("the service takes {work_ms:d} ms for each call")
 def slow_service(context, work_ms):
-    """Orders the delay."""
+    """Sets the delay."""
     context.cluster.fault("portal-1", "work_ms", work_ms)
 
 
@@ -88,14 +91,15 @@
 
 
 @when(
-    'key "{key}" is sent through daemon {daemon:d}, which is killed meanwhile'
+    'key "{key}" is sent through daemon {daemon:d}, which is killed during the'
+    " call"
 )
 def keyed_call_killed(context, key, daemon):
-    """Kills the daemon once the service works on the call."""
+    """Kills the daemon once the service runs the call."""
     cluster = context.cluster
     call = context.pool.submit(send_key, context, key, daemon=daemon)
     processes.wait_until(
-        "the service works on the call",
+        "the service runs the call",
         lambda: key in cluster.counts("portal-1")["runs"],
     )
     cluster.kill(f"entry-{daemon}")
@@ -122,18 +126,18 @@
     context.answers.extend(call.result() for call in calls)
 
 
-@then('the answers say the outcome is "{outcome}"')
+@then('every answer has outcome "{outcome}"')
 def check_outcomes(context, outcome):
     """Checks the refusals."""
     assert context.answers
     for status, body in context.answers:
-        told = json.loads(body)
-        assert told["outcome"] == outcome, (status, told)
+        parsed = json.loads(body)
+        assert parsed["outcome"] == outcome, (status, parsed)
 
 
 @then('the service ran key "{key}" {times:d} times')
 def check_runs(context, key, times):
-    """Checks the service's own count, after a late second run had time."""
+    """Checks the service's count, 0.3 s later to include a late second run."""
     time.sleep(0.3)
     runs = context.cluster.counts("portal-1")["runs"]
     assert runs.get(key, 0) == times, runs
--- a/tests/features/steps/refusal_steps.py
+++ b/tests/features/steps/refusal_steps.py
@@ -1,4 +1,4 @@
-"""Steps on refusals and what they say."""
+"""Steps on refusals and their outcomes."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 
 @when('a call is refused because of "{reason}"')
 def refuse_for(context, reason):
-    """Plays the session that brings the refusal about."""
+    """Plays the session that causes the refusal."""
     context.refused = loop.run(refusals.refused_for(reason))
 
 
-@then('the refusal says "{outcome}" for "{reason}"')
-def refusal_says(context, outcome, reason):
+@then('the refusal has outcome "{outcome}" and reason "{reason}"')
+def check_refusal(context, outcome, reason):
     """Checks the refusal."""
     refusal = context.refused.first.final
     assert refusal.outcome.value == outcome, refusal
     assert refusal.reason.value == reason, refusal
 
 
-@then("the service's count agrees")
-def count_agrees(context):
-    """Checks that the refused request did not run."""
+@then("the service has not run the call")
+def not_run(context):
+    """Checks the service's count of runs."""
     assert not context.refused.first_ran
 
 
 @then("the same key can run afterwards")
 def runs_afterwards(context):
-    """Checks the second try and the count."""
+    """Checks the second call and the count of runs."""
     assert context.refused.second.outcome == "answer", context.refused.second
     assert context.refused.runs == 1, context.refused.runs
 
@@ -55,28 +55,28 @@
     )
 
 
-@when("calls are cut after each number of bytes of their {part}")
-def cut_each_byte(context, part):
-    """Sends one call for each byte of the request or the answer."""
+@when("calls are cut at successive byte offsets of their {part}")
+def cut_each_offset(context, part):
+    """Sends a call per byte of the request, or per third byte of the answer."""
     cluster = context.cluster
-    context.told = {}
-    order = "cut_request_at" if part == "request" else "cut_reply_at"
+    context.outcomes = {}
+    fault = "cut_request_at" if part == "request" else "cut_reply_at"
     for number in range(0, 420, 1 if part == "request" else 3):
         key = f"cut-{part}-{number}"
-        # After cuts in a row the service is paused; each cut must reach it.
+        # Successive cuts eject the service; each further cut must reach it.
         processes.wait_until(
             "the service is used",
-            lambda: _reads(context),
+            lambda: _can_read(context),
         )
-        cluster.fault("link", order, number)
+        cluster.fault("link", fault, number)
         status, body = cluster_steps.send_key(context, key, daemon=1)
-        cluster.fault("link", order, -1)
-        context.told[key] = (
+        cluster.fault("link", fault, -1)
+        context.outcomes[key] = (
             "answer" if status == 200 else json.loads(body)["outcome"]
         )
 
 
-def _reads(context) -> bool:
+def _can_read(context) -> bool:
     """Returns whether a read through the daemon is answered."""
     url = context.cluster.url("entry-1", "/svc/portal/ping")
     return (
@@ -85,46 +85,46 @@
     )
 
 
-@then('no call that was told "{outcome}" has run')
+@then('no call refused as "{outcome}" has run')
 def none_ran(context, outcome):
-    """Checks the service's own count."""
+    """Checks the service's count of runs."""
     runs = context.cluster.counts("portal-1")["runs"]
-    for key, told in context.told.items():
-        assert told != outcome or key not in runs, (key, told)
+    for key, received in context.outcomes.items():
+        assert received != outcome or key not in runs, (key, received)
 
 
 @then("no call has run twice")
 def none_twice(context):
-    """Checks the service's own count."""
+    """Checks the service's count of runs."""
     runs = context.cluster.counts("portal-1")["runs"]
-    assert all(runs.get(key, 0) <= 1 for key in context.told), runs
+    assert all(runs.get(key, 0) <= 1 for key in context.outcomes), runs
 
 
 @then(
-    'at least {some:d} call was told "{outcome}" and at least {others:d} got'
-    " its answer"
+    'at least {min_refused:d} call was refused as "{outcome}" and at least'
+    " {min_answered:d} was answered"
 )
-def some_told(context, some, outcome, others):
-    """Checks that the cuts reached the cases they are meant for."""
-    told = list(context.told.values())
-    assert told.count(outcome) >= some, told
-    assert told.count("answer") >= others, told
+def some_refused(context, min_refused, outcome, min_answered):
+    """Checks that the cuts led to both outcomes."""
+    outcomes = list(context.outcomes.values())
+    assert outcomes.count(outcome) >= min_refused, outcomes
+    assert outcomes.count("answer") >= min_answered, outcomes
 
 
 @then("every call has run once")
 def all_ran(context):
-    """Checks the service's own count of calls that were sent."""
+    """Checks the service's count of runs of calls that were sent."""
     runs = context.cluster.counts("portal-1")["runs"]
-    sent = {k: t for k, t in context.told.items() if t != "not_run"}
+    sent = {k: o for k, o in context.outcomes.items() if o != "not_run"}
     assert sent
     assert all(runs.get(key, 0) == 1 for key in sent), runs
 
 
-@then('no call was told "{outcome}"')
-def none_told(context, outcome):
-    """Checks what the callers were told."""
-    told = [k for k, t in context.told.items() if t == outcome]
-    assert not told, told
+@then('no call was refused as "{outcome}"')
+def none_refused(context, outcome):
+    """Checks the outcomes that the callers received."""
+    refused = [k for k, o in context.outcomes.items() if o == outcome]
+    assert not refused, refused
 
 
 @when("the service's process is killed")
--- a/tests/features/steps/sim_steps.py
+++ b/tests/features/steps/sim_steps.py
@@ -1,4 +1,4 @@
-"""Steps of sessions on virtual time."""
+"""Steps of sessions of one key on virtual time."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
             assert session.world.runs(key) <= 1, (session.seed, key)
 
 
-@then("what every caller was told is true")
-def told_true(context):
+@then("every reported outcome is true")
+def outcomes_true(context):
     """Checks each refusal against the services' count of runs."""
     for session in context.sessions:
         for told in session.world.told:
@@ -51,13 +51,13 @@
             }
             assert len(bodies) <= 1, (session.seed, bodies)
             answered += len(bodies)
-    # The sessions must not pass because nothing was ever answered.
+    # The check must not pass because no call was answered.
     assert answered > len(context.sessions) // 2, answered
 
 
-@then("a key that never ran can run once the faults are over")
+@then("a key that never ran can run after the faults end")
 def can_run(context):
-    """Checks the call made at each session's quiet end."""
+    """Checks the call made after each session's faults."""
     for session in context.sessions:
         if session.killed or session.world.runs(session.keys[0]) == 0:
             continue
@@ -75,7 +75,7 @@
 
 @given("a daemon that is paused after its claim, before {before}")
 def paused_holder(context, before):
-    """Plays the session: the key is sent elsewhere, then the daemon wakes."""
+    """Plays the session: the key is sent elsewhere, then the daemon resumes."""
     context.sessions = [loop.run(worlds.paused_holder(KEY, before=before))]
 
 
@@ -85,8 +85,8 @@
     assert len(context.sessions[0].world.told) == 2
 
 
-@then('the callers were told "{first}" and "{second}"')
-def told_both(context, first, second):
+@then('the callers received the outcomes "{first}" and "{second}"')
+def outcomes_of_both(context, first, second):
     """Checks both outcomes, in the order of the calls."""
     outcomes = [told.outcome for told in context.sessions[0].world.told]
     assert outcomes == [first, second], outcomes
@@ -94,19 +94,19 @@
 
 @given("a table service that loses the reply of the next write")
 def lost_reply(context):
-    """Chooses the fault."""
+    """Sets the fault."""
     context.fault = "lose_reply"
 
 
 @given("a table service that is down")
 def table_down(context):
-    """Chooses the fault."""
+    """Sets the fault."""
     context.fault = "down"
 
 
 @given("a table service on which writes take effect after 3 seconds")
 def late_writes(context):
-    """Chooses the fault."""
+    """Sets the fault."""
     context.fault = "late_apply"
 
 
@@ -126,10 +126,10 @@
 
 
 @then(
-    'the caller is told "{outcome}" with a time to come back within'
-    " {limit_ms:d} ms"
+    'the caller is refused as "{outcome}" within {limit_ms:d} ms, with a retry'
+    " delay"
 )
-def told_outcome(context, outcome, limit_ms):
+def refused_in_time(context, outcome, limit_ms):
     """Checks the first caller's refusal and how long it took."""
     first = context.session.world.told[0]
     assert first.outcome == outcome, first
--- a/tests/features/steps/state_steps.py
+++ b/tests/features/steps/state_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what an answer is built on and whose it is."""
+"""Steps on the state that an answer uses and on matching answers to calls."""
 
 from __future__ import annotations
 
@@ -32,23 +32,23 @@
     )
 
 
-@then('"{name}" found most of it cached the second time')
+@then('most of the prompt was cached for "{name}" the second time')
 def found_most(context, name):
-    """Checks the engine's own count."""
+    """Checks the engine's count of cached tokens."""
     assert context.cached[name] > 1000, context.cached
 
 
-@then('"{name}" found nothing cached')
+@then('none of the prompt was cached for "{name}"')
 def found_nothing(context, name):
-    """Checks the engine's own count."""
+    """Checks the engine's count of cached tokens."""
     assert context.cached[name] == 0, context.cached
 
 
-@when("the engine {change} unseen, and a stream is asked for at once")
-def changes_unseen(context, change):
-    """Changes the engine's state and asks before a report can tell."""
+@when("the engine {change} unreported, and a stream is requested at once")
+def change_unreported(context, change):
+    """Changes the engine's state and opens a stream before the next report."""
     cluster = context.cluster
-    # The next load report must not come in between.
+    # No load report may arrive before the stream is opened.
     cluster.fault("engine-1", "hide_state")
     if change == "restarts empty":
         processes.call("POST", cluster.url("engine-1", "/fault/restart"))
@@ -60,9 +60,9 @@
     reader.read_to_end()
 
 
-@then("the answer is whole and stamped with the engine's state of now")
-def stamped_now(context):
-    """Checks the words, and the state in the engine's count."""
+@then("the answer is complete and stamped with the engine's current state")
+def stamped_current(context):
+    """Checks the words, and the daemon's state against the engine's."""
     stream_steps.whole(context, 30)
     counts = context.cluster.counts("engine-1")
     assert counts["cancelled"] >= 1, counts
@@ -71,15 +71,15 @@
     assert server["weights_version"] == counts["weights"], (server, counts)
 
 
-@then("the log says that the state had changed")
-def log_says(context):
-    """Looks for the event."""
+@then("the log reports the changed state")
+def log_reports_change(context):
+    """Checks the log for the event."""
     assert "event=state_changed" in context.cluster.log("entry-1")
 
 
 @when("the engines echo another request's id once")
 def wrong_echo(context):
-    """Orders the fault at the engine chosen next, whichever it is."""
+    """Injects the fault at both engines; either may be chosen next."""
     for name in ("engine-1", "engine-2"):
         context.cluster.fault(name, "wrong_echo", 1)
 
@@ -114,10 +114,10 @@
 
 @then("each got the answer to its own call")
 def own_answers(context):
-    """Compares the path that the service saw with the one sent."""
-    for name, number, status, told in context.results:
-        assert status == 200, told
-        assert told["path"] == f"/{name}/{number}", told
+    """Compares the path that the service received with the one sent."""
+    for name, number, status, answer in context.results:
+        assert status == 200, answer
+        assert answer["path"] == f"/{name}/{number}", answer
 
 
 @given('the recorded session "{name}"')
@@ -130,7 +130,7 @@
 
 @when("it is replayed")
 def replay(context):
-    """Makes all decisions anew."""
+    """Feeds the recorded inputs to a new core."""
     context.replayed = record.replay(context.recording)
 
 
@@ -149,9 +149,9 @@
     assert data and all(text.startswith("second") for text in data), data
 
 
-@then("nothing is relayed after the caller has gone")
+@then("nothing is relayed after the caller has disconnected")
 def nothing_after(context):
-    """Checks the effects after the caller's going."""
+    """Checks the effects after the input CallerGone."""
     lines = context.replayed
     gone = next(n for n, line in enumerate(lines) if "CallerGone" in line)
     after = [line for line in lines[gone:] if '"Relay"' in line]
@@ -159,9 +159,9 @@
 
 
 def _effects(context, kind):
-    told = [
+    emitted = [
         json.loads(line[2:])
         for line in context.replayed
         if line.startswith("< ")
     ]
-    return [effect for effect in told if effect["type"] == kind]
+    return [effect for effect in emitted if effect["type"] == kind]
--- a/tests/features/steps/stop_steps.py
+++ b/tests/features/steps/stop_steps.py
@@ -20,7 +20,7 @@
 
 @when("all daemons are replaced one after another under steady load")
 def rolling(context):
-    """Stops each daemon in order and starts its successor."""
+    """Stops and restarts each daemon in turn."""
     cluster = context.cluster
     context.load = load.Load(cluster, callers=8)
     context.load.wait_more(30)
@@ -34,16 +34,16 @@
     context.load.stop()
 
 
-@when("engine {number:d} leaves in order under steady load")
-def engine_leaves(context, number):
-    """Lets an engine leave, waits until it is unused, and ends it."""
+@when("engine {number:d} shuts down gracefully under steady load")
+def shut_down_engine(context, number):
+    """Marks an engine as leaving, waits until it is idle, and ends it."""
     cluster = context.cluster
     name = f"engine-{number}"
     context.load = load.Load(cluster, callers=8)
     context.load.wait_more(30)
     processes.call("POST", cluster.url(name, "/fault/leave"))
     processes.wait_until(
-        "the engine has nothing left",
+        "the engine is idle",
         lambda: cluster.counts(name)["open"] == 0,
     )
     context.load.wait_more(30)
@@ -54,14 +54,14 @@
 
 @then("no request was cut and no connection refused")
 def no_failures(context):
-    """Checks the callers' stories."""
+    """Checks the failures that the callers saw."""
     assert context.load.finished > 60
     assert not context.load.failures, context.load.failures[:3]
 
 
 @then("every submission ran once")
 def submissions_once(context):
-    """Checks the service's own count."""
+    """Checks the service's count of runs."""
     runs = context.cluster.counts("portal-1")["runs"]
     assert context.load.keys
     assert all(runs[key] == 1 for key in context.load.keys), runs
@@ -74,17 +74,17 @@
 
 
 @when(
-    'key "{key}" is sent through daemon {daemon:d}, which is told to stop'
-    " meanwhile"
+    'key "{key}" is sent through daemon {daemon:d}, which gets SIGTERM'
+    " during the call"
 )
 def keyed_call_stopped(context, key, daemon):
-    """Sends SIGTERM once the service works on the call."""
+    """Sends SIGTERM once the service runs the call."""
     cluster = context.cluster
     call = context.pool.submit(
         cluster_steps.send_key, context, key, daemon=daemon
     )
     processes.wait_until(
-        "the service works on the call",
+        "the service runs the call",
         lambda: key in cluster.counts("portal-1")["runs"],
     )
     cluster.signal(f"entry-{daemon}", signal.SIGTERM)
@@ -97,17 +97,17 @@
     assert context.answers[-1][0] == status, context.answers[-1]
 
 
-@when("engine {number:d} is leaving by its own word")
-def leaves_by_word(context, number):
-    """Marks the engine itself."""
+@when("engine {number:d} is marked as leaving in its load reports only")
+def mark_in_reports(context, number):
+    """Makes the engine report that it is leaving."""
     context.cluster.counts(f"engine-{number}")
     processes.call(
         "POST", context.cluster.url(f"engine-{number}", "/fault/leave")
     )
 
 
-@when("engine {number:d} is leaving by the platform's list only")
-def leaves_by_list(context, number):
+@when("engine {number:d} is marked as leaving in the platform's list only")
+def mark_in_list(context, number):
     """Marks the entry of the list."""
     context.cluster.list_instance(
         f"engine-{number}", "engine", "rulebook", leaving=True
@@ -122,7 +122,7 @@
     cluster.start_engine(f"engine-{number}", "rulebook")
 
 
-def _servers_say(context, number, leaving):
+def _wait_leaving(context, number, leaving):
     for name in context.names:
         processes.wait_until(
             f"{name} counts the engine as leaving={leaving}",
@@ -138,14 +138,14 @@
 @when("every daemon counts engine {number:d} as leaving")
 @then("every daemon counts engine {number:d} as leaving")
 def counts_leaving(context, number):
-    """Checks each daemon's own account."""
-    _servers_say(context, number, True)
+    """Checks each daemon's readiness report."""
+    _wait_leaving(context, number, True)
 
 
 @then("every daemon counts engine {number:d} as usable")
 def counts_usable(context, number):
-    """Checks each daemon's own account."""
-    _servers_say(context, number, False)
+    """Checks each daemon's readiness report."""
+    _wait_leaving(context, number, False)
 
 
 @then("none of {count:d} new streams goes to engine {number:d}")
@@ -161,11 +161,11 @@
 
 
 @when(
-    "a stream of {tokens:d} tokens is read, and its engine begins to leave"
+    "a stream of {tokens:d} tokens is read, and its engine starts to leave"
     " meanwhile"
 )
 def read_while_leaving(context, tokens):
-    """Marks the engine as leaving in mid-stream."""
+    """Marks the engine as leaving while the stream runs."""
     thread = stream_steps.begin(context, tokens).in_background()
     processes.call("POST", context.cluster.url("engine-1", "/fault/leave"))
     thread.join(processes.WAIT_S)
@@ -173,7 +173,7 @@
 
 @given("{count:d} long prefixes were served through all daemons")
 def prefixes_served(context, count):
-    """Sends a prompt a prefix, twice, so that it is cached where it belongs."""
+    """Sends each prefix twice, so that its home server has it cached."""
     context.prefixes = [f"Rulebook {n}. " * 200 for n in range(count)]
     for turn, prefix in enumerate(context.prefixes * 2):
         daemon = context.names[turn % len(context.names)]
@@ -181,7 +181,7 @@
         assert status == 200
 
 
-@when("{who} killed and started anew {platform}")
+@when("{who} killed and restarted {platform}")
 def restarted(context, who, platform):
     """Kills daemons and starts new ones on their addresses."""
     cluster = context.cluster
@@ -199,23 +199,23 @@
 
 
 @then(
-    "at least {least:d} of the {count:d} prefixes are found cached at the"
-    " first try"
+    "at least {min_hits:d} of the {count:d} prefixes are found cached on the"
+    " first request"
 )
-def found_cached(context, least, count):
-    """Asks each prefix once through a restarted daemon."""
+def found_cached(context, min_hits, count):
+    """Sends each prefix once through a restarted daemon."""
     hits = 0
     for turn, prefix in enumerate(context.prefixes):
         daemon = context.restarted[turn % len(context.restarted)]
         status, cached = _complete(context, daemon, "again", prefix)
         assert status == 200
         hits += cached > 100
-    assert hits >= least and count == len(context.prefixes), hits
+    assert hits >= min_hits and count == len(context.prefixes), hits
 
 
 @then("the platform answered fewer than {limit:d} reads meanwhile")
 def few_reads(context, limit):
-    """Checks the platform's own count."""
+    """Checks the platform's count of reads."""
     reads = context.cluster.counts("platform")["reads"] - context.reads
     assert reads < limit, reads
 
--- a/tests/features/steps/stream_steps.py
+++ b/tests/features/steps/stream_steps.py
@@ -10,7 +10,7 @@
 from cluster import processes, streams
 from features.steps import cluster_steps
 
-# Logged where a server is listed at another address than before.
+# Logged when a listed server's address changes.
 RELISTED = "event=server_gone server=engine-1"
 GAP_MS = 400
 
@@ -27,9 +27,9 @@
         "the daemons use the link",
         lambda: cluster.counts("link")["connections"] > 0,
     )
-    # One daemon follows the engine and uses the link at once. Until another
-    # has read the new address as well, it would show the engine as known, and
-    # drop it for a moment in the middle of the stream's first request.
+    # One daemon follows the engine and uses the link at once. Another daemon
+    # lists the engine at its old address until it reads the new one, and then
+    # drops it for a moment, in the middle of the stream's first request.
     for name in context.names:
         processes.wait_until(
             f"{name} has read the link's address",
@@ -49,12 +49,12 @@
 
 @when(
     "a stream of {tokens:d} tokens is read while the engine's connection"
-    " {trouble}"
+    " {fault}"
 )
-def read_with_trouble(context, tokens, trouble):
-    """Reads a stream during one trouble of the connection."""
+def read_with_connection_fault(context, tokens, fault):
+    """Reads a stream during one fault of the connection."""
     cluster = context.cluster
-    match trouble:
+    match fault:
         case "is cut":
             cluster.fault("engine-1", "cut_at", 20)
         case "loses a frame":
@@ -63,26 +63,27 @@
             cluster.fault("engine-1", "double")
     reader = begin(context, tokens)
     thread = reader.in_background()
-    if "silent" in trouble:
+    if "stalls" in fault:
         cluster.fault("link", "silent")
-    if "twice" in trouble:
-        seen = len(reader.words())
+    if "twice" in fault:
+        word_count = len(reader.words())
         processes.wait_until(
-            "the stream goes on", lambda: len(reader.words()) > seen
+            "the stream continues",
+            lambda: len(reader.words()) > word_count,
         )
         cluster.fault("link", "silent")
     thread.join(processes.WAIT_S)
 
 
-@when("a stream of {tokens:d} tokens is read while the engine {trouble}")
-def read_with_lost_engine(context, tokens, trouble):
+@when("a stream of {tokens:d} tokens is read while the engine {fault}")
+def read_with_lost_engine(context, tokens, fault):
     """Reads a stream whose engine is lost."""
     cluster = context.cluster
     thread = begin(context, tokens).in_background()
-    # Another engine stands ready, and must not go on with the stream.
+    # Another engine is ready, and must not continue the stream.
     cluster.start_engine("engine-2", "rulebook")
     cluster.wait_ready("entry-1")
-    if trouble == "is killed":
+    if fault == "is killed":
         cluster.kill("engine-1")
     else:
         processes.call("POST", cluster.url("engine-1", "/fault/restart"))
@@ -103,7 +104,7 @@
     " {seconds:d} s"
 )
 def read_with_paused_daemon(context, tokens, seconds):
-    """Reads a stream whose daemon is stopped and goes on."""
+    """Reads a stream whose daemon is stopped and resumed."""
     thread = begin(context, tokens).in_background()
     context.cluster.signal("entry-1", signal.SIGSTOP)
     time.sleep(seconds)
@@ -119,9 +120,9 @@
     context.reader.read_to_end()
 
 
-@when("a stream of {tokens:d} tokens is begun")
+@when("a stream of {tokens:d} tokens is started")
 def begin_only(context, tokens):
-    """Opens a stream and reads a part of it."""
+    """Opens a stream and reads it in the background."""
     begin(context, tokens).in_background()
 
 
@@ -136,13 +137,13 @@
 
 @then('resuming it as workspace "{name}" is refused with status {status:d}')
 def foreign(context, name, status):
-    """Sends the right token as another workspace."""
+    """Sends the valid token as another workspace."""
     assert _resume_status(context, context.reader.token, name) == status
 
 
 @when("a caller opens a stream of {tokens:d} tokens and does not read it")
 def unread(context, tokens):
-    """Opens a fast stream and leaves it."""
+    """Opens a fast stream and leaves it unread for 5 s."""
     context.cluster.fault("engine-1", "fast")
     context.before_mb = _memory_mb(context)
     context.unread = streams.StreamReader(
@@ -162,19 +163,19 @@
 def whole(context, tokens):
     """Checks every word."""
     words = context.reader.words()
-    wanted = [f"t{n}" for n in range(1, tokens + 1)]
-    assert words == wanted, (words[:3], words[-3:], context.reader.broken)
+    expected = [f"t{n}" for n in range(1, tokens + 1)]
+    assert words == expected, (words[:3], words[-3:], context.reader.broken)
     assert context.reader.raw.endswith(b"data: [DONE]\n\n")
 
 
-@then("the caller has a beginning of the tokens in order")
-def beginning(context):
-    """Checks the words that came."""
+@then("the caller has the first tokens in order")
+def first_tokens(context):
+    """Checks the words received."""
     words = context.reader.words()
     assert words and words == [f"t{n}" for n in range(1, len(words) + 1)]
 
 
-@then('the stream ends with an error that says the outcome is "{outcome}"')
+@then('the stream ends with an error whose outcome is "{outcome}"')
 def ends_with_error(context, outcome):
     """Checks the last event."""
     error = context.reader.error()
@@ -182,9 +183,9 @@
     assert error["outcome"] == outcome, error
 
 
-@then("it has no end mark")
+@then("the stream has no end mark")
 def no_end_mark(context):
-    """Checks that the stream does not look whole."""
+    """Checks that the stream does not look complete."""
     assert b"[DONE]" not in context.reader.raw
 
 
--- a/tests/features/steps/table_steps.py
+++ b/tests/features/steps/table_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the table, its versions and who may serve on it."""
+"""Steps on the table, its versions and the daemons that may serve under it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,16 @@
 from sim import fleets, loop
 
 SOURCE = processes.TESTS.parent / "src" / "godwittack"
-DECIDING = ("core", "limit", "member", "placement", "claim", "peer", "backend")
+# Packages whose decisions must not depend on the wall clock.
+DECISION_PACKAGES = (
+    "core",
+    "limit",
+    "member",
+    "placement",
+    "claim",
+    "peer",
+    "backend",
+)
 
 
 @when("{count:d} seeded sessions of a fleet are played")
@@ -26,24 +35,24 @@
     ]
 
 
-@when("a daemon {trouble}")
-def play_script(context, trouble):
+@when("a daemon {fault}")
+def play_script(context, fault):
     """Plays one scripted session."""
-    context.fleets = [loop.run(fleets.scripted(trouble))]
+    context.fleets = [loop.run(fleets.scripted(fault))]
 
 
-@then("no daemon took work on an older table than one accepted")
+@then("no daemon accepted work under a table older than an accepted change")
 def none_stale(context):
-    """Checks what the sampler saw."""
+    """Checks what the sampler recorded."""
     for fleet in context.fleets:
         assert not fleet.stale, (fleet.seed, fleet.stale[:3])
     accepted = sum(len(fleet.accepted) for fleet in context.fleets)
     assert accepted >= len(context.fleets), accepted
 
 
-@then("no daemon's table went back")
-def none_back(context):
-    """Checks what the sampler saw."""
+@then("no daemon's table reverted")
+def none_reverted(context):
+    """Checks what the sampler recorded."""
     for fleet in context.fleets:
         assert not [s for s in fleet.stale if "went back" in s]
 
@@ -68,9 +77,9 @@
         assert len(set(nonces)) == len(nonces), (fleet.seed, nonces)
 
 
-@then("once all is well every daemon has the last change")
+@then("after all faults end every daemon has the last change")
 def all_newest(context):
-    """Checks the quiet end of each session."""
+    """Checks each session's end without faults."""
     for fleet in context.fleets:
         newest = max(d.version for d in fleet.alive())
         last = fleet.results[-1].ok_value
@@ -81,7 +90,7 @@
 
 
 def post_change(context, who, column, before, after, *, daemon=1):
-    """Sends one cell's change as an operator who saw `before`."""
+    """Sends one cell's change as an operator who read `before`."""
     body = {
         "why": "a trial",
         "changes": [
@@ -107,11 +116,11 @@
 
 
 @when(
-    '"{one}" and "{other}" both set max_in_flight of "desk" having seen the'
-    " same table"
+    '"{one}" and "{other}" both set max_in_flight of "desk" from the same'
+    " table version"
 )
 def race_one_cell(context, one, other):
-    """Two changes of one cell at once, through two daemons."""
+    """Changes one cell twice at once, through two daemons."""
     context.entries = len(history(context))
     calls = [
         context.pool.submit(
@@ -123,11 +132,11 @@
 
 
 @when(
-    '"{one}" sets max_in_flight and "{other}" sets weight of "desk" having'
-    " seen the same table"
+    '"{one}" sets max_in_flight and "{other}" sets weight of "desk" from the'
+    " same table version"
 )
 def race_two_cells(context, one, other):
-    """Two changes of different cells at once, through two daemons."""
+    """Changes two cells at once, through two daemons."""
     calls = [
         context.pool.submit(
             post_change, context, one, "max_in_flight", 200, 11, daemon=1
@@ -139,25 +148,27 @@
     context.results = [call.result() for call in calls]
 
 
-@then("one of them is told of the other's change and of the value that stands")
-def told_conflict(context):
-    """Checks the loser's answer."""
+@then(
+    "one of them gets a conflict with the other's change and the current value"
+)
+def check_conflict(context):
+    """Checks the answer to the change that was not made."""
     statuses = sorted(status for status, _ in context.results)
     assert statuses == [200, 409], context.results
-    loser = next(told for status, told in context.results if status == 409)
-    assert loser["cells"][0]["before"] == 200
-    assert loser["cells"][0]["after"] in (11, 22)
-    assert loser["others"][0]["who"] in ("ana", "bilal")
+    conflict = next(body for status, body in context.results if status == 409)
+    assert conflict["cells"][0]["before"] == 200
+    assert conflict["cells"][0]["after"] in (11, 22)
+    assert conflict["others"][0]["who"] in ("ana", "bilal")
 
 
-@then("both are told that their change is accepted")
+@then("both changes are reported as accepted")
 def both_accepted(context):
     """Checks both answers."""
-    for status, told in context.results:
-        assert status == 200 and told["result"] == "accepted", told
+    for status, body in context.results:
+        assert status == 200 and body["result"] == "accepted", body
 
 
-@then("the history has one entry more")
+@then("the history has one more entry")
 def one_more(context):
     """Checks the audit trail's length."""
     entries = history(context)
@@ -179,14 +190,14 @@
 
 @when("the platform loses the next reply")
 def lose_reply(context):
-    """Orders the fault."""
+    """Injects the fault."""
     context.entries = len(history(context))
     context.cluster.fault("platform", "lose_replies", 1)
 
 
 @when("reads of the platform lag from now on")
 def lagging_reads(context):
-    """Orders the fault."""
+    """Injects the fault."""
     context.cluster.fault("platform", "stale_reads", 1)
 
 
@@ -206,9 +217,9 @@
     )
 
 
-@then("the command says that it is in force")
-def says_in_force(context):
-    """Checks exit code and sentence."""
+@then("the command reports that the change is in effect")
+def check_in_effect(context):
+    """Checks exit code and output."""
     done = context.done
     assert done.returncode == 0, done.stderr + done.stdout
     assert "is in effect on" in done.stdout, done.stdout
@@ -221,44 +232,44 @@
     """Stops a daemon, then changes the table without it."""
     context.cluster.signal(f"entry-{number}", signal.SIGSTOP)
     set_cell(context, who, 0)
-    says_in_force(context)
+    check_in_effect(context)
 
 
 @when(
     'daemon 1 is paused and "{who}" sets max_in_flight of "desk" to {value:d}'
-    " by 1 or 2"
+    " through daemon 1 or 2"
 )
 def set_by_paused(context, who, value):
     """Runs the command with a paused daemon named first."""
     context.entries = len(history(context))
-    context.carried = _carried_by_first(context)
+    context.changes_by_first = _changes_by_first(context)
     context.cluster.signal("entry-1", signal.SIGSTOP)
     set_cell(context, who, value, via="entry-1,entry-2")
 
 
-@when('"{who}" sets max_in_flight of "desk" to {value:d} by 2')
+@when('"{who}" sets max_in_flight of "desk" to {value:d} through daemon 2')
 def set_by_second(context, who, value):
     """Runs the command through the second daemon."""
     set_cell(context, who, value, via="entry-2")
-    says_in_force(context)
+    check_in_effect(context)
 
 
-@when("daemon 1 wakes and has answered the change that waited")
-def wake_first(context):
-    """Lets the paused daemon go on."""
+@when("daemon 1 resumes and has processed the waiting change")
+def resume_first(context):
+    """Resumes the paused daemon."""
     context.cluster.signal("entry-1", signal.SIGCONT)
     processes.wait_until(
-        "the first daemon has carried the change through",
-        lambda: _carried_by_first(context) > context.carried,
+        "the first daemon has made the change",
+        lambda: _changes_by_first(context) > context.changes_by_first,
     )
 
 
-def _carried_by_first(context) -> int:
+def _changes_by_first(context) -> int:
     return context.cluster.log("entry-1").count("event=table_changed")
 
 
 @then(
-    'the history has two entries more and max_in_flight of "desk" is {value:d}'
+    'the history has two more entries and max_in_flight of "desk" is {value:d}'
 )
 def two_more(context, value):
     """Checks the audit trail and the cell."""
@@ -268,13 +279,13 @@
     assert last["after"] == value, entries[-1]
 
 
-@when("a request waits in daemon {number:d}'s socket while it goes on")
+@when("a request waits in daemon {number:d}'s socket until the daemon resumes")
 def request_waits(context, number):
-    """Sends a request to the stopped daemon, then lets it go on."""
+    """Sends a request to the stopped daemon, then resumes it."""
     call = context.pool.submit(
         cluster_steps.send_key, context, "waiting", daemon=number
     )
-    # Long enough for the request to reach the socket of the stopped process.
+    # In this time the request reaches the socket of the stopped process.
     time.sleep(0.5)
     context.cluster.signal(f"entry-{number}", signal.SIGCONT)
     context.answer = call.result()
@@ -284,16 +295,16 @@
 def not_old_limit(context):
     """Checks the refusal."""
     status, body = context.answer
-    told = json.loads(body)
-    assert status in (429, 503), (status, told)
-    assert told["reason"] in ("limit", "table_not_current"), told
+    refusal = json.loads(body)
+    assert status in (429, 503), (status, refusal)
+    assert refusal["reason"] in ("limit", "table_not_current"), refusal
 
 
 @then("no decision reads the wall clock")
 def no_wall_clock(context):
-    """Searches the packages that decide."""
+    """Searches the packages for uses of the wall clock."""
     del context
-    for package in DECIDING:
+    for package in DECISION_PACKAGES:
         for file in pathlib.Path(SOURCE / package).rglob("*.py"):
             text = file.read_text()
             assert "wall_ms(" not in text, file
