--- a/tests/features/callers.feature
+++ b/tests/features/callers.feature
@@ -9,7 +9,7 @@
     And a wrong token is an AuthenticationError
 
   Scenario: A stream that breaks is an error for the OpenAI client
-    # Symptom: a program built on the client treats half an answer as a complete one.
+    # Symptom: a program built on the client treats half an answer as complete.
     # Sequence: the engine crashes in mid-stream.
     # Cause: the error has a format that the client does not recognize.
     Given a cluster of 1 daemons and 1 engines
--- a/tests/features/environment.py
+++ b/tests/features/environment.py
@@ -1,4 +1,4 @@
-"""Hooks of behave: every scenario gets and loses its own processes."""
+"""Hooks of behave: processes that a scenario starts end with it."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 def before_all(context):
-    """Keeps the log lines of sessions in this process out of the output."""
+    """Keeps log lines of sessions in this process out of the output."""
     del context
     logging.set_verbosity(logging.ERROR)
 
 
 def after_scenario(context, scenario):
-    """Ends what the scenario started, also when it failed."""
+    """Ends the scenario's processes; prints their logs if it failed."""
     cluster = getattr(context, "cluster", None)
     if cluster is None:
         return
-    # Whatever is no failed assertion, such as a wait that timed out, is an
-    # error to behave and no failure: asked for failures alone, it would leave
-    # nothing to trace it by.
+    # behave counts any exception but a failed assertion, such as a wait that
+    # timed out, as an error instead of a failure. has_failed() covers both, so
+    # that both print logs.
     if scenario.status.has_failed():
         for name in cluster.processes:
             if name in cluster.peer_ports or cluster.has_ended(name):
--- a/tests/features/golden.feature
+++ b/tests/features/golden.feature
@@ -1,5 +1,5 @@
-Feature: Recorded sessions decide the same today
-  `scripts/golden.sh` makes them anew and shows the difference.
+Feature: Replays of recorded sessions make the same decisions
+  `scripts/golden.sh` records the sessions again and shows the difference.
 
   Scenario Outline: Replay
     Given the recorded session "<name>"
--- a/tests/features/operators.feature
+++ b/tests/features/operators.feature
@@ -1,27 +1,27 @@
-Feature: What operators and scripts see
+Feature: The operators' commands and settings
 
-  Scenario: The table by command and by spreadsheet
+  Scenario: Changes of the table by command and by CSV file
     Given a cluster of 2 daemons and a plain service
     Then "table show" prints the rows
     And an export can be imported again and changes nothing
     And "table set workspace desk max_in_flight=-1" exits 2 and says "max_in_flight"
     And "table set workspace desk colour=red" exits 2 and says "columns"
     And "table set model new-model weights_version=2" without a reason exits 2
-    And a spreadsheet with a wrong cell exits 2 and names its line
-    And a changed cell can be undone and both stand in the history
+    And importing an invalid CSV file exits 2 and names the fault
+    And a changed cell can be undone and the history lists both changes
     And "table status" exits 0
     And "report --json" exits 0
 
-  Scenario: Weights that nobody has
+  Scenario: Weights that do not exist
     # Symptom: replica after replica is drained and fails to load.
-    # Sequence: a newcomer types a wrong weights version; or the right one
-    #   while the platform is down.
-    # Cause: the version found out to be wrong by the engines only.
+    # Sequence: an operator sets a wrong weights version, or a right one while
+    #   the platform is down.
+    # Cause: only the engines find out that the version does not exist.
     Given a cluster of 1 daemons and 1 engines
     Then "table set model rulebook weights_version=7" exits 2 and says "it has 1, 2"
     And "table set model rulebook weights_version=2" is accepted
 
-  Scenario: Settings that are wrong
+  Scenario: Invalid settings
     Then settings with these faults are refused in one line with exit code 2
       | fault                          | says                 |
       | unknown key                    | did you mean         |
@@ -32,13 +32,13 @@
       | unknown decision               | no number is named   |
       | platform unreachable           | platform_url         |
       | peer port in use by datagrams  | peer_address         |
-    And good settings pass the check
+    And valid settings pass the check
     And every setting is printed with its default
 
   Scenario: A recording of a daemon replays byte for byte
-    # Symptom: a fault seen in the field can't be found again.
+    # Symptom: a fault seen in production can't be reproduced.
     # Sequence: a daemon records real requests; the recording is replayed.
-    # Cause: a decision that depends on more than its inputs.
-    Given a cluster of 1 daemons that records, 1 engines and a plain service
+    # Cause: a decision depends on more than its inputs.
+    Given a cluster of 1 recording daemons, 1 engines and a plain service
     When streams and submissions are served
-    Then "replay" of the recording says that it is the same
+    Then "replay" of the recording reports the same effects
--- a/tests/features/platform.feature
+++ b/tests/features/platform.feature
@@ -1,10 +1,10 @@
-Feature: Requests by routes, between the platform's callers and servers
+Feature: Routed requests between the platform's callers and servers
 
   Scenario Outline: <case>
     # Each case opens with its symptom, sequence and cause; see tests/cases.
     When the case "<case>" of "<group>" is played
 
-    Examples: requests
+    Examples: routed requests
       | group  | case |
       | routed | a route without keys is served |
       | routed | many requests without keys are served |
@@ -51,7 +51,7 @@
       | peers | a table passed on is the same table |
       | peers | a damaged table is not taken in |
 
-    Examples: patience
+    Examples: timeouts of callers' connections
       | group    | case |
       | patience | a head that never ends is not waited for |
       | patience | a connection kept for nothing is closed |
@@ -59,14 +59,14 @@
       | patience | no limit ends nothing |
       | patience | a compressed body is passed on as it came |
 
-    Examples: bytes
+    Examples: split and malformed bytes
       | group | case |
       | fuzz  | an answer is whole or none however it is cut |
       | fuzz  | bytes that are no answer are none |
       | fuzz  | events are the same however they are cut |
       | fuzz  | a spoiled request is answered or closed |
 
-    Examples: entries
+    Examples: rows of the instance list
       | group   | case |
       | entries | a bad entry names no server and the others hold |
       | entries | bytes of any kind in a row hurt no other |
@@ -80,7 +80,7 @@
       | entries | reports and events bear the start |
       | entries | an engine that tells no weights gets no work |
 
-    Examples: pace of engines
+    Examples: prefill cost of engines
       | group | case |
       | paces | a pace is learnt within seconds |
       | paces | one cached prompt does not make engines look fast |
@@ -105,7 +105,7 @@
       | weights | news after a long silence leaves a quarter of the limit |
       | weights | a calm daemon dates a naming a second early at most |
 
-    Examples: a server's bytes
+    Examples: connections to backend servers
       | group | case |
       | connections | what is out of time is not sent |
       | connections | what its server wants no more is not sent |
@@ -126,7 +126,7 @@
       | connections | a connection closed while idle is not used |
       | connections | a cancelled attempt closes its connection |
 
-    Examples: the store's rows
+    Examples: the feed of the store's rows
       | group | case |
       | following | changes are merged and told |
       | following | lost history is read anew |
@@ -166,7 +166,7 @@
       | rollouts | a pause of the lead is no slow load |
       | rollouts | a server that refuses each order serves between them |
 
-    Examples: what peers say of the store
+    Examples: freshness confirmed by peers
       | group | case |
       | freshness | an answer that waited is not fresh |
       | freshness | a peer with a newer version confirms nothing |
@@ -211,7 +211,7 @@
       | sourcing | each part is kept by one of several stores |
       | sourcing | a daemon that heard of no save asks the store that has it |
 
-    Examples: bounds of roll-outs
+    Examples: limits of roll-outs
       | group          | case |
       | rollout_bounds | leads that see different waits do not take turns |
       | rollout_bounds | loads longer than their limit take no more out of service |
@@ -239,11 +239,11 @@
       | starts | a wait for members tells whom each daemon sees |
       | starts | a daemon that has ended is not waited for |
 
-    Examples: daemons that start
+    Examples: daemons that join
       | group   | case |
       | joining | a daemon that does not listen yet is named to nobody |
 
-    Examples: daemons that carry the traffic
+    Examples: serving daemons
       | group   | case |
       | serving | callers of a large fleet are sent to few daemons |
       | serving | all daemons of a small fleet serve |
--- a/tests/features/platform_path.feature
+++ b/tests/features/platform_path.feature
@@ -1,11 +1,11 @@
-Feature: The whole path on the platform, with real processes
+Feature: Requests end to end on the platform, with real processes
 
   Scenario Outline: <case>
     # Each case opens with its symptom, sequence and cause; see
     # tests/cases/adapter.py.
     When the case "<case>" of "<group>" is played
 
-    Examples: the path
+    Examples: end to end
       | group | case |
       | adapter | every kind of request is served whole |
       | adapter | what is not allowed is said so |
--- a/tests/features/promises/leaving_server.feature
+++ b/tests/features/promises/leaving_server.feature
@@ -11,9 +11,9 @@
     And none of 12 new streams goes to engine 1
 
     Examples:
-      | mark                                            |
-      | marked as leaving in its load reports only      |
-      | marked as leaving in the platform's list only   |
+      | mark                                          |
+      | marked as leaving in its load reports only    |
+      | marked as leaving in the platform's list only |
 
   Scenario: An engine comes back on the same address
     # Symptom: a restarted engine never gets work again.
--- a/tests/features/promises/own_answer.feature
+++ b/tests/features/promises/own_answer.feature
@@ -1,5 +1,5 @@
 @promise_own_answer
-Feature: Each caller gets the whole answer to its own request
+Feature: Each caller gets the complete answer to its own request
 
   Scenario: An engine answers with another request's answer
     # Symptom: an officer reads the answer to somebody else's question.
--- a/tests/features/promises/table_in_force.feature
+++ b/tests/features/promises/table_in_force.feature
@@ -63,7 +63,8 @@
     And every daemon has the newest version
 
   Scenario: The commit's reply is lost
-    # Symptom: a change is made twice, or reported as failed though it is stored.
+    # Symptom: a change is made twice, or is reported as failed although it is
+    #   stored.
     # Sequence: the platform commits a change and its reply is lost.
     # Cause: a commit is retried without checking whether it is stored already.
     Given a cluster of 2 daemons and a plain service
--- a/tests/features/quickstart.feature
+++ b/tests/features/quickstart.feature
@@ -1,7 +1,7 @@
-Feature: A newcomer's first minute
+Feature: The quickstart
   One command shows a request, a submission, a table change, a report and a
-  stop going through real processes.
+  stop with real processes.
 
   Scenario: The quickstart shows every step
     When the quickstart runs
-    Then it says that all of it was seen
+    Then it reports that every step succeeded
--- a/tests/features/steps/case_steps.py
+++ b/tests/features/steps/case_steps.py
@@ -9,6 +9,6 @@
 
 @when('the case "{name}" of "{group}" is played')
 def play(context, name, group):
-    """Plays it; a failed check fails the step."""
+    """Plays the case; a failed check fails the step."""
     del context
     registry.play(group, name)
--- a/tests/features/steps/fleet_steps.py
+++ b/tests/features/steps/fleet_steps.py
@@ -19,14 +19,14 @@
 
 @given("a fleet of {daemons:d} daemons on virtual time")
 def given_fleet(context, daemons):
-    """Notes the size; the steps play whole sessions."""
+    """Stores the size; the steps play whole sessions."""
     context.daemons = daemons
 
 
-@when("one of its daemons {trouble}")
-def one_in_trouble(context, trouble):
-    """Plays the trouble and 6 s more."""
-    context.fleet = loop.run(_trouble(context.daemons, trouble))
+@when("one of its daemons {fault}")
+def play_daemon_fault(context, fault):
+    """Plays the fault and 6 s more."""
+    context.fleet = loop.run(_fault_session(context.daemons, fault))
 
 
 @then("no other daemon counts it as live after 6 s")
@@ -39,9 +39,9 @@
 
 
 @when("{count:d} daemons are cut off from the others for 30 s")
-def part_cut_off(context, count):
+def play_partition(context, count):
     """Plays the partition and 5 s more."""
-    context.fleet = loop.run(_partition(context.daemons, count))
+    context.fleet = loop.run(_partition_session(context.daemons, count))
 
 
 @then("every daemon counts every other as live after 5 s")
@@ -52,31 +52,33 @@
         assert len(live) == context.daemons, (daemon.name, len(live))
 
 
-@when("servers come and go while <news is lost, readers die, links are cut>")
-def list_changes(context):
+@when(
+    "servers come and go while updates are lost, readers die and links are cut"
+)
+def play_list_changes(context):
     """Plays 180 s of changes and faults."""
     context.fleet = loop.run(_list_session(context.daemons))
 
 
 @then("every daemon has the platform's list")
 def same_list(context):
-    """Checks the servers that each core knows."""
+    """Checks the servers of each core."""
     listed = set(context.fleet.listed)
     for daemon in context.fleet.alive():
         known = set(daemon.runtime.core.world.servers)
         assert known == listed, (daemon.name, known ^ listed)
 
 
-@then("the list was read fewer than {most:d} times in 180 s")
-def few_reads(context, most):
-    """Checks the platform's count."""
-    assert 0 < context.fleet.list_reads < most, context.fleet.list_reads
+@then("the list was read fewer than {limit:d} times in 180 s")
+def few_reads(context, limit):
+    """Checks the platform's count of reads."""
+    assert 0 < context.fleet.list_reads < limit, context.fleet.list_reads
 
 
-@when("one of its servers is leaving {told}")
-def server_leaving(context, told):
-    """Plays the news of it and 3 s more."""
-    context.fleet = loop.run(_leaving(context.daemons, told))
+@when("one of its servers is marked as leaving in {source}")
+def play_leaving(context, source):
+    """Plays the mark and 3 s more."""
+    context.fleet = loop.run(_leaving_session(context.daemons, source))
 
 
 @then("every daemon counts it as leaving after 3 s")
@@ -88,62 +90,67 @@
 
 
 @when(
-    'workspace "desk" wants more than its limit of 100 at its three daemons and'
-    " a fourth"
+    'workspace "desk" sends more than its limit of 100 through its three'
+    " daemons and a fourth"
 )
-def demand(context):
+def play_demand(context):
     """Plays steady demand until the shares are settled."""
     context.fleet = loop.run(_demand_session(context.daemons))
 
 
 @then(
-    "these let {least:d} to {most:d} through before they have heard of each"
-    " other"
+    "these admit {at_least:d} to {at_most:d} before they receive each other's"
+    " demand"
 )
-def first_shares(context, least, most):
-    """Checks what the four let through at once."""
+def check_first_shares(context, at_least, at_most):
+    """Checks how many requests the four admit at first."""
     first = context.fleet.first_shares
-    assert least <= sum(first) <= most, first
+    assert at_least <= sum(first) <= at_most, first
 
 
 @then(
-    "the shares of the four add up to at most {most:d} and to at least"
-    " {least:d}"
+    "the shares of the four add up to at most {at_most:d} and to at least"
+    " {at_least:d}"
 )
-def shares_add_up(context, most, least):
-    """Checks what the four would let through."""
+def shares_add_up(context, at_most, at_least):
+    """Checks how many requests the four admit in the end."""
     total = sum(context.fleet.shares)
-    assert least <= total <= most, context.fleet.shares
+    assert at_least <= total <= at_most, context.fleet.shares
 
 
-@then("no other daemon was told of the demand")
-def untold(context):
-    """Checks the figures that the others hold."""
+@then("no other daemon received the demand")
+def demand_not_sent(context):
+    """Checks the demand that the others recorded."""
     for daemon in context.fleet.alive():
-        told = daemon.runtime.core.world.shares.reported[CELL]
-        assert daemon in context.fleet.users or not told, (daemon.name, told)
+        demand = daemon.runtime.core.world.shares.reported[CELL]
+        assert daemon in context.fleet.users or not demand, (
+            daemon.name,
+            demand,
+        )
 
 
 @then(
     "of {daemons:d} daemons each serves {served:d} of {models:d} models, and"
-    " each model has {least:d} or more"
+    " each model has {min_daemons:d} or more"
 )
-def even_duties(context, daemons, served, models, least):
-    """Checks who hears of which model."""
-    context.audiences = heard = _audiences(daemons, models)
+def even_assignments(context, daemons, served, models, min_daemons):
+    """Checks which daemons receive the updates of which model."""
+    context.audiences = audiences = _audiences(daemons, models)
     for name in _names(daemons):
-        serving = [m for m, names in heard.items() if name in names]
+        serving = [m for m, names in audiences.items() if name in names]
         assert len(serving) == served, (name, serving)
-    assert min(len(names) for names in heard.values()) >= least, heard
+    assert min(len(names) for names in audiences.values()) >= min_daemons, (
+        audiences
+    )
 
 
-@then("a daemon that goes moves no other")
-def no_moves(context):
+@then("removing a daemon reassigns no other")
+def no_reassignment(context):
     """Checks the audiences without one daemon."""
-    gone = _names(340)[200]
-    for model, names in _audiences(340, 15, without=gone).items():
+    removed = _names(340)[200]
+    for model, names in _audiences(340, 15, without=removed).items():
         before = context.audiences[model]
-        assert set(before) - {gone} == set(names), model
+        assert set(before) - {removed} == set(names), model
 
 
 def _names(daemons: int) -> tuple[str, ...]:
@@ -156,28 +163,28 @@
     return {t: assignment.audience_ids(t, names, targets) for t in targets}
 
 
-async def _started(daemons: int) -> fleets.Fleet:
+async def _start_fleet(daemons: int) -> fleets.Fleet:
     fleet = fleets.Fleet(seed=3, size=daemons)
     await asyncio.sleep(10)
     return fleet
 
 
-async def _trouble(daemons: int, trouble: str) -> fleets.Fleet:
-    fleet = await _started(daemons)
+async def _fault_session(daemons: int, fault: str) -> fleets.Fleet:
+    fleet = await _start_fleet(daemons)
     fleet.victim = victim = fleet.daemons[daemons // 2]
-    match trouble:
+    match fault:
         case "is killed":
             victim.kill()
         case "is paused":
             victim.pause()
-        case "hears nobody":
+        case "receives nothing":
             fleet.cuts |= {(a, victim.address) for a in fleet.seeds}
     await asyncio.sleep(6)
     return fleet
 
 
-async def _partition(daemons: int, count: int) -> fleets.Fleet:
-    fleet = await _started(daemons)
+async def _partition_session(daemons: int, count: int) -> fleets.Fleet:
+    fleet = await _start_fleet(daemons)
     fleet.partition(fleet.daemons[:count])
     await asyncio.sleep(30)
     fleet.heal()
@@ -186,30 +193,30 @@
 
 
 async def _list_session(daemons: int) -> fleets.Fleet:
-    fleet = await _started(daemons)
-    _list(fleet, *range(20))
+    fleet = await _start_fleet(daemons)
+    _add_listed(fleet, *range(20))
     await asyncio.sleep(10)
-    deaf, cut = fleet.daemons[5], fleet.daemons[6]
-    fleet.deaf_to_news.add(deaf.address)
+    lossy, cut = fleet.daemons[5], fleet.daemons[6]
+    fleet.deaf_to_news.add(lossy.address)
     fleet.partition([cut])
-    _list(fleet, 20, 21)
+    _add_listed(fleet, 20, 21)
     del fleet.listed["server-3"]
     await asyncio.sleep(30)
     fleet.heal()
-    members = deaf.gossiper.members.live()
+    members = lossy.gossiper.members.live()
     for reader in assignment.list_readers(members):
         next(d for d in fleet.alive() if d.name == reader.member_id).kill()
-    _list(fleet, 22)
+    _add_listed(fleet, 22)
     await asyncio.sleep(20)
     fleet.table.faults.down = True
     await asyncio.sleep(20)
     fleet.table.faults.down = False
-    _list(fleet, 23)
+    _add_listed(fleet, 23)
     await asyncio.sleep(100)
     return fleet
 
 
-def _list(fleet: fleets.Fleet, *numbers: int) -> None:
+def _add_listed(fleet: fleets.Fleet, *numbers: int) -> None:
     for number in numbers:
         name = f"server-{number}"
         fleet.listed[name] = platform.Instance(
@@ -220,12 +227,12 @@
         )
 
 
-async def _leaving(daemons: int, told: str) -> fleets.Fleet:
-    fleet = await _started(daemons)
-    _list(fleet, *range(20))
+async def _leaving_session(daemons: int, source: str) -> fleets.Fleet:
+    fleet = await _start_fleet(daemons)
+    _add_listed(fleet, *range(20))
     await asyncio.sleep(5)
-    if told == "by its own word":
-        # Its watcher alone reads it in a load report.
+    if source == "its load report":
+        # Only its watcher reads the load report.
         fleet.daemons[2].news.publish_leaving("server-7")
         fleet.daemons[2].runtime.submit(
             server_inputs.ServerLeaving(fleet.clock.now_ms(), "server-7")
@@ -238,38 +245,38 @@
 
 
 async def _demand_session(daemons: int) -> fleets.Fleet:
-    fleet = await _started(daemons)
+    fleet = await _start_fleet(daemons)
     live = fleet.daemons[0].gossiper.members.live()
     names = tuple(member.member_id for member in live)
     group = assignment.workspace_group_ids("desk", "rulebook", names, ())
-    stray = next(d for d in fleet.alive() if d.name not in group)
-    fleet.users = [d for d in fleet.alive() if d.name in group] + [stray]
+    outsider = next(d for d in fleet.alive() if d.name not in group)
+    fleet.users = [d for d in fleet.alive() if d.name in group] + [outsider]
     for daemon in fleet.users:
-        _want(daemon, 40)
+        _run_requests(daemon, 40)
     fleet.first_shares = [_share(daemon) for daemon in fleet.users]
     for _ in range(100):
         for daemon in fleet.users:
-            _want(daemon, 40)
+            _run_requests(daemon, 40)
         await asyncio.sleep(0.1)
     fleet.shares = [_share(daemon) for daemon in fleet.users]
     return fleet
 
 
-def _want(daemon: fleets.FleetDaemon, wanted: int) -> None:
-    """Ends a fifth of a daemon's requests and begins what it may of others."""
+def _run_requests(daemon: fleets.FleetDaemon, demand: int) -> None:
+    """Ends a fifth of a daemon's requests and starts those that it admits."""
     world = daemon.runtime.core.world
     use = world.shares.cells[CELL]
     splitting.record_groups(world, _request())
     for _ in range(use.in_flight // 5):
         world.shares.record_end(CELL)
-    for _ in range(wanted - use.in_flight):
+    for _ in range(demand - use.in_flight):
         if world.shares.allows_request(CELL, limit=LIMIT):
             world.shares.record_start(CELL)
     daemon.runtime.submit(inputs.Tick(daemon.fleet.clock.now_ms()))
 
 
 def _request() -> entities.RequestRow:
-    """Returns a request that shows which target the demand is for."""
+    """Returns a request that names the target of the demand."""
     return entities.RequestRow(
         request_id="r",
         work=work.Work(
--- a/tests/features/steps/hint_steps.py
+++ b/tests/features/steps/hint_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what daemons believe of an engine's cache."""
+"""Steps on the daemons' hints of what an engine has cached."""
 
 from __future__ import annotations
 
@@ -23,47 +23,47 @@
 
 @when('an engine\'s events are read as "{events}"')
 def read_events(context, events):
-    """Takes the pieces in at the watcher and, as messages, at a daemon."""
+    """Applies the batches at the watcher and, as messages, at a daemon."""
     context.cores = [_core("watcher"), _core("told")]
     digester = digest.Digester(SERVER)
     writer, reader = wire.NewsWriter(), wire.NewsReader()
-    for now_ms, piece in enumerate(events.split("/"), start=1):
-        told = _piece(piece)
+    for now_ms, text in enumerate(events.split("/"), start=1):
+        batch = _parse_batch(text)
         for core in context.cores:
-            core.step(_report(told.incarnation, now_ms))
-        summed = digester.digest(told, now_ms=now_ms)
-        if summed is None:
+            core.step(_report(batch.incarnation, now_ms))
+        cache_digest = digester.digest(batch, now_ms=now_ms)
+        if cache_digest is None:
             continue
         message = writer.write(
-            pending.PendingNews(digests=[summed]), now_ms=now_ms
+            pending.PendingNews(digests=[cache_digest]), now_ms=now_ms
         )
         message = peer_pb2.News.FromString(message.SerializeToString())
-        context.cores[0].step(summed)
-        for digested in reader.digests(message, now_ms=now_ms):
-            context.cores[1].step(digested)
+        context.cores[0].step(cache_digest)
+        for received in reader.digests(message, now_ms=now_ms):
+            context.cores[1].step(received)
 
 
-@then('the watcher and the daemon it tells believe "{held}" to be cached')
-@then('the watcher and the daemon it tells believe "" to be cached')
-def believed(context, held=""):
+@then('the watcher and the daemon that it updates have "{cached}" as cached')
+@then('the watcher and the daemon that it updates have "" as cached')
+def check_cached(context, cached=""):
     """Checks the hints of both cores."""
     for core in context.cores:
         cache = core.world.servers[SERVER].cache
         known = [k for k in LEVELS if cache.cached_at_ms(ord(k)) is not None]
-        assert known == held.split(), (core.world.daemon, known)
+        assert known == cached.split(), (core.world.daemon, known)
 
 
-def _piece(text: str) -> backend.CacheEvents:
-    found = [EVENT.fullmatch(word) for word in text.split()]
+def _parse_batch(text: str) -> backend.CacheEvents:
+    matches = [EVENT.fullmatch(word) for word in text.split()]
     return backend.CacheEvents(
-        incarnation=found[0]["process"],
+        incarnation=matches[0]["process"],
         weights_version="1",
         oldest=0,
         events=tuple(
             backend.CacheEvent(
-                int(one["number"]), KINDS[one["kind"]], ord(one[4] or "0")
+                int(match["number"]), KINDS[match["kind"]], ord(match[4] or "0")
             )
-            for one in found
+            for match in matches
         ),
     )
 
@@ -83,8 +83,8 @@
 
 
 def _report(incarnation: str, now_ms: int) -> server_inputs.LoadReported:
-    # The first process is heard of last by a report that lingered: its age
-    # says so.
+    # From 3 ms on, a report of the first process "a" is a delayed one, with
+    # an age of 100 ms.
     return server_inputs.LoadReported(
         at_ms=now_ms,
         age_ms=100 if incarnation == "a" and now_ms > 2 else 0,
--- a/tests/features/steps/large_fleet_steps.py
+++ b/tests/features/steps/large_fleet_steps.py
@@ -1,4 +1,4 @@
-"""Steps on leads of large fleets under load."""
+"""Steps on roll-outs to large fleets under load."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 @when(
-    "{count:d} seeded sessions of large fleets and session {one:d} are played"
+    "{count:d} seeded sessions of large fleets and session {extra:d} are played"
 )
-def play(context, count, one):
+def play(context, count, extra):
     """Plays sessions that differ in their seed only."""
     context.fleets = {
         seed: loop.run(large_fleet_sessions.random_session(seed))
-        for seed in (*range(count), one)
+        for seed in (*range(count), extra)
     }
 
 
@@ -24,16 +24,16 @@
     context.fleets = {seed: loop.run(large_fleet_sessions.random_session(seed))}
 
 
-@then("in 10 s without trouble every engine has replaced weights replaced")
+@then("within 10 s without faults no engine keeps replaced weights")
 def none_too_old(context):
-    """Checks each engine against the first naming of newer weights."""
+    """Checks each engine against the first publication of newer weights."""
     for seed, fleet in context.fleets.items():
         assert not fleet.promises.too_old, (seed, fleet.promises.too_old)
 
 
-@then("in 14 s without trouble nine in ten engines have the last weights")
+@then("within 14 s without faults nine in ten engines have the last weights")
 def fleet_in_time(context):
-    """Checks each naming."""
+    """Checks each publication of weights."""
     for seed, fleet in context.fleets.items():
         assert not fleet.promises.behind, (seed, fleet.promises.behind)
 
@@ -42,28 +42,28 @@
 def one_at_a_time(context):
     """Checks all orders."""
     for seed, fleet in context.fleets.items():
-        twice = fleet.promises.two_at_once
-        assert not twice, (seed, twice[:3])
+        conflicts = fleet.promises.two_at_once
+        assert not conflicts, (seed, conflicts[:3])
 
 
-@then("no request was sent to an engine that loads")
+@then("no request was sent to an engine that loads weights")
 def none_cut(context):
-    """Checks requests at times without trouble."""
+    """Checks requests at times without faults."""
     for seed, fleet in context.fleets.items():
         assert not fleet.promises.cut, (seed, fleet.promises.cut[:3])
 
 
-@then("never more engines loaded than the store bears")
+@then("never more engines loaded at a time than the weight store allows")
 def not_crowded(context):
-    """Checks loads, also in trouble."""
+    """Checks loads, also during faults."""
     for seed, fleet in context.fleets.items():
         crowded = fleet.promises.crowded
         assert not crowded, (seed, crowded[:3])
 
 
-@then("after 30 quiet seconds every engine has the last weights")
-def all_wanted(context):
-    """Checks the quiet end."""
+@then("after 30 s without faults every engine has the last weights")
+def all_current(context):
+    """Checks each session's end without faults."""
     for seed, fleet in context.fleets.items():
         behind = fleet.behind()
         assert not behind, (seed, behind)
--- a/tests/features/steps/lead_steps.py
+++ b/tests/features/steps/lead_steps.py
@@ -18,36 +18,39 @@
     ]
 
 
-@when("the holder is cut from the table service and weights are named")
+@when(
+    "the lease holder is cut off from the table service and weights are"
+    " published"
+)
 def cut_holder(context):
     """Plays that one session."""
     context.worlds = [loop.run(leads.cut_holder_session())]
 
 
 @then("all replicas have them within {seconds:d} seconds")
-def soon_in_force(context, seconds):
-    """Checks when the last version was in force."""
+def active_in_time(context, seconds):
+    """Checks when the last version was active on all replicas."""
     (world,) = context.worlds
     assert world.in_force_s.get("3", 1e9) <= seconds, world.in_force_s
 
 
 @then("no replica was ordered by two leads within a lease")
 def one_at_a_time(context):
-    """Checks orders, and who might have sent one, all the time."""
+    """Checks the conflicts of orders recorded during the sessions."""
     for seed, world in enumerate(context.worlds):
         assert not world.two_at_once, (seed, world.two_at_once[:3])
 
 
-@then("no request was cut and never more than two replicas loaded")
+@then("no request was cut and at most two replicas loaded at a time")
 def nothing_wrong(context):
-    """Checks what was looked at all the time."""
+    """Checks the faults recorded during the sessions."""
     for seed, world in enumerate(context.worlds):
         assert not world.wrong, (seed, world.wrong[:3])
 
 
-@then("every replica has the last version wanted")
-def all_wanted(context):
-    """Checks the quiet end."""
+@then("every replica has the last published version")
+def all_current(context):
+    """Checks each session's end without faults."""
     for seed, world in enumerate(context.worlds):
         versions = [replica.version for replica in world.replicas]
         assert versions == ["3"] * 5, (seed, versions)
@@ -58,7 +61,7 @@
     " killed"
 )
 def roll_out(context, version):
-    """Sets the cell, and kills whichever daemon gave the first order."""
+    """Sets the cell, and kills the daemon that sends the first order."""
     cluster = context.cluster
     context.load = load.Load(cluster, callers=6)
     context.load.wait_more(20)
@@ -73,7 +76,7 @@
     )
     assert done.returncode == 0, done.stderr
     context.killed = processes.wait_until(
-        "a first order is given",
+        "the first order is sent",
         lambda: next(
             (
                 name
@@ -96,25 +99,28 @@
 
 
 @then(
-    'every engine runs version "{version}", ordered once or anew by the next'
+    'every engine runs version "{version}", ordered once or again by the next'
     " lead"
 )
 def ordered_once(context, version):
-    """Checks each engine's own account.
+    """Checks the orders that each engine recorded.
 
     An order whose connection broke with the killed lead may not have been
-    carried out; the next lead gives it again under a higher number.
+    executed; the next lead sends it again with a higher fencing number.
     """
     for name in ENGINES:
         counts = context.cluster.counts(name)
         assert counts["weights"] == version, counts
         orders = counts["orders"]
         assert {order["value"] for order in orders} == {version}, orders
-        numbers = [order["fencing"] for order in orders]
-        assert numbers == sorted(set(numbers)), (name, numbers)
+        fencing_numbers = [order["fencing"] for order in orders]
+        assert fencing_numbers == sorted(set(fencing_numbers)), (
+            name,
+            fencing_numbers,
+        )
 
 
-@then("no request was cut but those through the killed daemon")
+@then("no request was cut except those through the killed daemon")
 def only_killed(context):
     """Leaves out callers whose daemon was killed."""
     port = context.cluster.ports[context.killed]
--- a/tests/features/steps/operator_steps.py
+++ b/tests/features/steps/operator_steps.py
@@ -37,7 +37,7 @@
 
 @then('"table set {words}" exits {code:d} and says "{text}"')
 def set_fails(context, words, code, text):
-    """Runs the command; a wrong cell is one line of error."""
+    """Runs the command; an invalid cell leads to one line of error."""
     done = context.cluster.command(
         "table", "set", *words.split(), "--why", "trial"
     )
@@ -47,7 +47,7 @@
 
 @then('"table set {words}" is accepted')
 def set_works(context, words):
-    """Runs the command with a right cell."""
+    """Runs the command with a valid cell."""
     done = context.cluster.command(
         "table", "set", *words.split(), "--why", "trial"
     )
@@ -61,11 +61,11 @@
     assert done.returncode == code and "--why" in done.stderr, done.stderr
 
 
-@then("a spreadsheet with a wrong cell exits {code:d} and names its line")
-def wrong_sheet(context, code):
-    """Imports a sheet with a wrong kind and one with a wrong number."""
+@then("importing an invalid CSV file exits {code:d} and names the fault")
+def import_invalid_files(context, code):
+    """Imports files with a wrong kind, number, column or a repeated row."""
     file = context.cluster.path / "wrong.csv"
-    for text, said in (
+    for text, message in (
         ("kind,name\nworkspace,a\nworkspce,b\n", "line 3"),
         ("kind,name,weight\nworkspace,a,heavy\n", "weight"),
         ("kind,name,colour\nworkspace,a,red\n", "colour"),
@@ -75,12 +75,12 @@
         done = context.cluster.command(
             "table", "import", str(file), "--why", "trial"
         )
-        assert done.returncode == code and said in done.stderr, done.stderr
+        assert done.returncode == code and message in done.stderr, done.stderr
 
 
-@then("a changed cell can be undone and both stand in the history")
+@then("a changed cell can be undone and the history lists both changes")
 def undo(context):
-    """Changes, undoes and looks."""
+    """Changes a cell, undoes the change and reads the history."""
     run = context.cluster.command
     done = run(
         "table", "set", "model", "rulebook", "max_queue=7", "--why", "few"
@@ -88,9 +88,9 @@
     assert done.returncode == 0, done.stderr
     version = done.stdout.split("version ")[1].split()[0]
     assert run("table", "undo", version, who="bilal").returncode == 0
-    told = run("table", "history").stdout
-    assert "max_queue: 200 -> 7" in told and "max_queue: 7 -> 200" in told
-    assert "bilal: undo of version" in told, told
+    printed = run("table", "history").stdout
+    assert "max_queue: 200 -> 7" in printed and "max_queue: 7 -> 200" in printed
+    assert "bilal: undo of version" in printed, printed
 
 
 @then('"{words}" exits {code:d}')
@@ -124,7 +124,7 @@
 
 @contextlib.contextmanager
 def _busy_port():
-    """Gives a port that is taken, for streams and for datagrams."""
+    """Yields a port that is in use, by TCP and by UDP."""
     with (
         socket.socket() as listener,
         socket.socket(type=socket.SOCK_DGRAM) as other,
@@ -147,7 +147,7 @@
     )
 
 
-def _spoil(fault: str, settings: dict, folder: pathlib.Path, busy: int):
+def _inject_fault(fault: str, settings: dict, folder: pathlib.Path, busy: int):
     match fault:
         case "unknown key":
             settings["http_adress"] = "127.0.0.1:1"
@@ -171,13 +171,13 @@
     "settings with these faults are refused in one line with exit code {code:d}"
 )
 def wrong_settings(context, code):
-    """Checks one file a fault."""
+    """Checks one settings file per fault."""
     with _platform() as url, _busy_port() as busy:
         for row in context.table:
             with tempfile.TemporaryDirectory() as name:
                 folder = pathlib.Path(name)
                 settings = {**_settings(folder), "platform_url": url}
-                _spoil(row["fault"], settings, folder, busy)
+                _inject_fault(row["fault"], settings, folder, busy)
                 done = _check(folder, settings)
             assert done.returncode == code, (row["fault"], done.stderr)
             lines = done.stderr.strip().splitlines()
@@ -186,9 +186,9 @@
             assert "settings.yaml" in lines[0], lines
 
 
-@then("good settings pass the check")
-def good_settings(context):
-    """Checks a right file while the platform answers."""
+@then("valid settings pass the check")
+def valid_settings(context):
+    """Checks a valid file while the platform answers."""
     del context
     with _platform() as url, tempfile.TemporaryDirectory() as name:
         folder = pathlib.Path(name)
@@ -197,7 +197,7 @@
 
 
 @then("every setting is printed with its default")
-def printed(context):
+def print_settings(context):
     """Runs `godwittack settings`."""
     del context
     done = subprocess.run(
@@ -212,11 +212,11 @@
 
 
 @given(
-    "a cluster of {daemons:d} daemons that records, {engines:d} engines and a"
+    "a cluster of {daemons:d} recording daemons, {engines:d} engines and a"
     " plain service"
 )
 def recording_cluster(context, daemons, engines):
-    """Starts a cluster whose daemon records."""
+    """Starts a cluster whose daemon records its session."""
     folder = tempfile.mkdtemp(prefix="godwittack-record-")
     context.recording_file = str(pathlib.Path(folder) / "daemon.session")
     cluster_steps.start_cluster(
@@ -228,17 +228,17 @@
     )
 
 
-@then('"replay" of the recording says that it is the same')
+@then('"replay" of the recording reports the same effects')
 def replay_recording(context):
-    """Copies the recording, so that it stands still, and replays it."""
+    """Replays a copy of the recording, which no longer grows."""
     path = pathlib.Path(context.recording_file)
     lines = path.read_text().splitlines()
-    # The daemon goes on writing: an input whose effects are not all written
-    # yet is left out.
+    # The daemon still writes: the last input, whose effects may not all be
+    # written yet, is left out.
     last = max(n for n, line in enumerate(lines) if line.startswith("> "))
-    still = path.with_suffix(".still")
-    still.write_text("\n".join(lines[:last]) + "\n")
-    done = context.cluster.command("replay", str(still))
+    copy = path.with_suffix(".still")
+    copy.write_text("\n".join(lines[:last]) + "\n")
+    done = context.cluster.command("replay", str(copy))
     assert done.returncode == 0, done.stdout[-2000:]
     assert "same" in done.stdout
     assert sum('"Reply"' in line for line in lines) >= 10
--- a/tests/features/steps/quickstart_steps.py
+++ b/tests/features/steps/quickstart_steps.py
@@ -19,8 +19,8 @@
     context.output = output.getvalue()
 
 
-@then("it says that all of it was seen")
-def saw_all(context):
+@then("it reports that every step succeeded")
+def check_success(context):
     """Checks its exit code and last line."""
     assert context.code == 0, context.output
     assert "All of it was seen" in context.output
--- a/tests/features/steps/state_steps.py
+++ b/tests/features/steps/state_steps.py
@@ -33,13 +33,13 @@
 
 
 @then('most of the prompt was cached for "{name}" the second time')
-def found_most(context, name):
+def most_cached(context, name):
     """Checks the engine's count of cached tokens."""
     assert context.cached[name] > 1000, context.cached
 
 
 @then('none of the prompt was cached for "{name}"')
-def found_nothing(context, name):
+def none_cached(context, name):
     """Checks the engine's count of cached tokens."""
     assert context.cached[name] == 0, context.cached
 
@@ -63,7 +63,7 @@
 @then("the answer is complete and stamped with the engine's current state")
 def stamped_current(context):
     """Checks the words, and the daemon's state against the engine's."""
-    stream_steps.whole(context, 30)
+    stream_steps.check_complete(context, 30)
     counts = context.cluster.counts("engine-1")
     assert counts["cancelled"] >= 1, counts
     server = context.cluster.ready("entry-1")["servers"]["engine-1"]
--- a/tests/features/steps/stop_steps.py
+++ b/tests/features/steps/stop_steps.py
@@ -221,7 +221,7 @@
 
 
 def _complete(context, daemon, question, prefix="", workspace="desk"):
-    """Makes one whole completion; returns status and cached tokens."""
+    """Makes one completion; returns status and cached tokens."""
     messages = [{"role": "user", "content": question}]
     if prefix:
         messages.insert(0, {"role": "system", "content": prefix})
--- a/tests/features/steps/stream_steps.py
+++ b/tests/features/steps/stream_steps.py
@@ -160,7 +160,7 @@
 
 
 @then("the caller has tokens 1 to {tokens:d} in order and the end mark")
-def whole(context, tokens):
+def check_complete(context, tokens):
     """Checks every word."""
     words = context.reader.words()
     expected = [f"t{n}" for n in range(1, tokens + 1)]
