--- a/tests/features/steps/sim_steps.py
+++ b/tests/features/steps/sim_steps.py
@@ -30,12 +30,12 @@
 def outcomes_true(context):
     """Checks each refusal against the services' count of runs."""
     for session in context.sessions:
-        for told in session.world.told:
-            if told.outcome == "not_run":
-                ran = session.world.ran(told.request_id)
-                assert not ran, (session.seed, told)
-            if told.outcome == "answer":
-                assert session.world.runs(told.key) == 1, (session.seed, told)
+        for call in session.world.told:
+            if call.outcome == "not_run":
+                ran = session.world.ran(call.request_id)
+                assert not ran, (session.seed, call)
+            if call.outcome == "answer":
+                assert session.world.runs(call.key) == 1, (session.seed, call)
 
 
 @then("all callers that got an answer got the same one")
@@ -45,9 +45,9 @@
     for session in context.sessions:
         for key in session.keys:
             bodies = {
-                told.final.answer.body
-                for told in session.world.told
-                if told.key == key and isinstance(told.final, effects.Reply)
+                call.final.answer.body
+                for call in session.world.told
+                if call.key == key and isinstance(call.final, effects.Reply)
             }
             assert len(bodies) <= 1, (session.seed, bodies)
             answered += len(bodies)
@@ -69,8 +69,8 @@
         if not session.killed and session.world.runs(session.keys[0]) == 0
     ]
     for session in never:
-        ran_by = [t for t in session.world.told if t.outcome == "unknown"]
-        assert ran_by, (session.seed, session.world.told)
+        unknown = [c for c in session.world.told if c.outcome == "unknown"]
+        assert unknown, (session.seed, session.world.told)
 
 
 @given("a daemon that is paused after its claim, before {before}")
@@ -88,7 +88,7 @@
 @then('the callers received the outcomes "{first}" and "{second}"')
 def outcomes_of_both(context, first, second):
     """Checks both outcomes, in the order of the calls."""
-    outcomes = [told.outcome for told in context.sessions[0].world.told]
+    outcomes = [call.outcome for call in context.sessions[0].world.told]
     assert outcomes == [first, second], outcomes
 
 
