--- a/tests/features/promises/at_most_once.feature
+++ b/tests/features/promises/at_most_once.feature
@@ -3,8 +3,8 @@
   Grant submissions and stall confirmations carry an Idempotency-Key.
 
   Scenario: Hundreds of interleavings of callers, kills, pauses and lost replies
-    # Symptom: a claim is filed twice, or its caller receives not_run although
-    #   the claim ran.
+    # Symptom: a household's claim is filed twice, or its caller receives
+    #   not_run although the claim ran.
     # Sequence: callers send one key through several daemons at once and one
     #   after another, and retry. Daemons are killed, restarted and paused at
     #   random moments; claim writes, their replies, dispatches and answers are
--- a/tests/features/steps/caller_steps.py
+++ b/tests/features/steps/caller_steps.py
@@ -178,7 +178,7 @@
     "a PATCH with a query, custom headers and forged internal headers is sent"
 )
 def send_patch(context):
-    """Makes the call with http.client, which adds no headers of its own."""
+    """Makes the call with http.client, so that no library changes it."""
     connection = http.client.HTTPConnection(
         "127.0.0.1", context.cluster.ports["entry-1"], timeout=20
     )
@@ -196,8 +196,8 @@
     )
     context.response = connection.getresponse()
     context.call = json.loads(context.response.read())
-    headers = context.cluster.counts("portal-1")["headers"]
-    context.received_headers = {name: value for name, value in headers}
+    recorded = context.cluster.counts("portal-1")["headers"]
+    context.received_headers = {name: value for name, value in recorded}
 
 
 @then("the service received the method, path and custom headers")
