--- a/tests/features/platform.feature
+++ b/tests/features/platform.feature
@@ -1,10 +1,10 @@
-Feature: Requests by routes, between the platform's callers and servers
+Feature: Routed requests between the platform's callers and servers
 
   Scenario Outline: <case>
     # Each case opens with its symptom, sequence and cause; see tests/cases.
     When the case "<case>" of "<group>" is played
 
-    Examples: requests
+    Examples: routed requests
       | group  | case |
       | routed | a route without keys is served |
       | routed | many requests without keys are served |
@@ -211,7 +211,7 @@
       | sourcing | each part is kept by one of several stores |
       | sourcing | a daemon that knows of no save fetches from the same store |
 
-    Examples: bounds of roll-outs
+    Examples: limits of roll-outs
       | group          | case |
       | rollout_bounds | leads that see different waits do not alternate |
       | rollout_bounds | loads past their limit take no more servers out of service |
@@ -239,7 +239,7 @@
       | starts | a failed wait for members shows whom each daemon sees |
       | starts | a daemon that has exited is not waited for |
 
-    Examples: daemons that start
+    Examples: daemons that join
       | group   | case |
       | joining | a daemon that does not listen yet is not advertised |
 
--- a/tests/features/steps/sim_steps.py
+++ b/tests/features/steps/sim_steps.py
@@ -1,4 +1,4 @@
-"""Steps of sessions on virtual time."""
+"""Steps of sessions of one key on virtual time."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
             assert session.world.runs(key) <= 1, (session.seed, key)
 
 
-@then("what every caller was told is true")
-def told_true(context):
+@then("every reported outcome is true")
+def outcomes_true(context):
     """Checks each refusal against the services' count of runs."""
     for session in context.sessions:
-        for told in session.world.calls:
-            if told.outcome == "not_run":
-                ran = session.world.ran(told.request_id)
-                assert not ran, (session.seed, told)
-            if told.outcome == "answer":
-                assert session.world.runs(told.key) == 1, (session.seed, told)
+        for call in session.world.calls:
+            if call.outcome == "not_run":
+                ran = session.world.ran(call.request_id)
+                assert not ran, (session.seed, call)
+            if call.outcome == "answer":
+                assert session.world.runs(call.key) == 1, (session.seed, call)
 
 
 @then("all callers that got an answer got the same one")
@@ -45,20 +45,20 @@
     for session in context.sessions:
         for key in session.keys:
             bodies = {
-                told.final_effect.answer.body
-                for told in session.world.calls
-                if told.key == key
-                and isinstance(told.final_effect, effects.Reply)
+                call.final_effect.answer.body
+                for call in session.world.calls
+                if call.key == key
+                and isinstance(call.final_effect, effects.Reply)
             }
             assert len(bodies) <= 1, (session.seed, bodies)
             answered += len(bodies)
-    # The sessions must not pass because nothing was ever answered.
+    # The check must not pass because no call was answered.
     assert answered > len(context.sessions) // 2, answered
 
 
-@then("a key that never ran can run once the faults are over")
+@then("a key that never ran can run after the faults end")
 def can_run(context):
-    """Checks the call made at each session's quiet end."""
+    """Checks the call made after each session's faults."""
     for session in context.sessions:
         if session.killed or session.world.runs(session.keys[0]) == 0:
             continue
@@ -70,13 +70,13 @@
         if not session.killed and session.world.runs(session.keys[0]) == 0
     ]
     for session in never:
-        ran_by = [t for t in session.world.calls if t.outcome == "unknown"]
-        assert ran_by, (session.seed, session.world.calls)
+        unknown = [c for c in session.world.calls if c.outcome == "unknown"]
+        assert unknown, (session.seed, session.world.calls)
 
 
 @given("a daemon that is paused after its claim, before {before}")
 def paused_holder(context, before):
-    """Plays the session: the key is sent elsewhere, then the daemon wakes."""
+    """Plays the session: the key is sent elsewhere, then the daemon resumes."""
     context.sessions = [
         loop.run(claim_sessions.paused_holder(KEY, before=before))
     ]
@@ -88,28 +88,28 @@
     assert len(context.sessions[0].world.calls) == 2
 
 
-@then('the callers were told "{first}" and "{second}"')
-def told_both(context, first, second):
+@then('the callers received the outcomes "{first}" and "{second}"')
+def outcomes_of_both(context, first, second):
     """Checks both outcomes, in the order of the calls."""
-    outcomes = [told.outcome for told in context.sessions[0].world.calls]
+    outcomes = [call.outcome for call in context.sessions[0].world.calls]
     assert outcomes == [first, second], outcomes
 
 
 @given("a table service that loses the reply of the next write")
 def lost_reply(context):
-    """Chooses the fault."""
+    """Sets the fault."""
     context.fault = "lose_reply"
 
 
 @given("a table service that is down")
 def table_down(context):
-    """Chooses the fault."""
+    """Sets the fault."""
     context.fault = "down"
 
 
 @given("a table service on which writes take effect after 3 seconds")
 def late_writes(context):
-    """Chooses the fault."""
+    """Sets the fault."""
     context.fault = "late_apply"
 
 
@@ -129,10 +129,10 @@
 
 
 @then(
-    'the caller is told "{outcome}" with a time to come back within'
-    " {limit_ms:d} ms"
+    'the caller is refused as "{outcome}" within {limit_ms:d} ms, with a retry'
+    " delay"
 )
-def told_outcome(context, outcome, limit_ms):
+def refused_in_time(context, outcome, limit_ms):
     """Checks the first caller's refusal and how long it took."""
     first = context.session.world.calls[0]
     assert first.outcome == outcome, first
