--- a/tests/cases/adapter.py
+++ b/tests/cases/adapter.py
@@ -82,7 +82,7 @@
 
 
 async def invalid_requests_get_a_status_of_their_own() -> None:
-    """Unknown keys, unknown routes and malformed requests are told apart.
+    """Unknown keys, unknown routes and malformed requests get different errors.
 
     Guards against callers that repeat requests which will never be accepted,
     because all get one answer: an unknown key, no key, no route, no id, headers
--- a/tests/cases/availability.py
+++ b/tests/cases/availability.py
@@ -335,7 +335,7 @@
 
 
 def a_server_without_incarnation_ids_comes_back_with_its_entry() -> None:
-    """Guards against one notice that keeps a server unused for good."""
+    """Guards against one notice that keeps a server unused forever."""
     core = Core()
     _list(core, incarnation="")
     core.tell(server_inputs.ServerLeaving, "x")
--- a/tests/cases/feed_follower.py
+++ b/tests/cases/feed_follower.py
@@ -136,7 +136,7 @@
 async def lost_history_leads_to_a_new_snapshot() -> None:
     """When the store has dropped its history, a snapshot is read.
 
-    Guards against changes that are missed for good: the feed reports that the
+    Guards against changes that are missed forever: the feed reports that the
     requested version is too old, and the same call was repeated.
     """
     harness = FollowerHarness()
--- a/tests/cases/routed.py
+++ b/tests/cases/routed.py
@@ -208,7 +208,7 @@
 def a_key_revoked_while_its_request_is_queued_is_not_served() -> None:
     """A key is checked again before its request is dispatched.
 
-    Symptom: a request runs after its key was revoked for good.
+    Symptom: a request runs after its key was revoked permanently.
     Sequence: a request is queued; its key is revoked; a server becomes free.
     Cause: keys were checked on arrival only.
     """
--- a/tests/features/leads.feature
+++ b/tests/features/leads.feature
@@ -18,7 +18,7 @@
     # Guards against requests that run on replaced weights for longer than
     #   allowed. Engines under load loaded one at a time: of a fleet of 56, 18
     #   still had the old weights after 31 s. The sessions above, with five
-    #   engines and no load, don't show it. These have 20 to 60 engines, queued
+    #   replicas and no load, don't show it. These have 20 to 60 engines, queued
     #   requests for most of the time, loads of 0.5 to 3 s and new weights
     #   within seconds. With one load at a time, each of 12 seeds leaves engines
     #   on replaced weights for 14 to 27 s without faults.
@@ -46,7 +46,7 @@
     Then never more engines loaded at a time than the weight store allows
 
   Scenario: The lease holder is rejected when weights are published
-    # Symptom: servers' weights become too old for use; callers are refused for
+    # Symptom: replicas' weights become too old for use; callers are refused for
     #   seconds.
     # Sequence: one daemon has rolled weights out; the table service rejects it;
     #   weights are published.
@@ -59,7 +59,7 @@
     # Symptom: answers break while a new version is rolled out.
     # Sequence: callers stream and submit; an operator sets weights_version;
     #   the lead is killed during the roll-out.
-    # Cause: a server with streams is ordered to load, or only one daemon knows
+    # Cause: an engine with streams is ordered to load, or only one daemon knows
     #   the progress.
     Given a cluster of 3 daemons, 4 engines and a plain service
     When weights version "2" is set under steady load and the lead is killed
--- a/tests/features/platform.feature
+++ b/tests/features/platform.feature
@@ -1,7 +1,8 @@
 Feature: Routed requests between the platform's callers and servers
 
   Scenario Outline: <case>
-    # Each case opens with its symptom, sequence and cause; see tests/cases.
+    # Each case's docstring in tests/cases states the failure that it guards
+    # against, or its symptom, sequence and cause.
     When the case "<case>" of "<group>" is played
 
     Examples: routed requests
--- a/tests/features/steps/hint_steps.py
+++ b/tests/features/steps/hint_steps.py
@@ -24,7 +24,7 @@
 @when('an engine\'s events are read as "{events}"')
 def read_events(context, events):
     """Applies the batches at the watcher and, as messages, at a daemon."""
-    context.cores = [_core("watcher"), _core("told")]
+    context.cores = [_core("watcher"), _core("peer")]
     digester = digest.Digester(SERVER)
     writer, reader = wire.NewsWriter(), wire.NewsReader()
     for now_ms, text in enumerate(events.split("/"), start=1):
