--- a/tests/features/steps/fleet_steps.py
+++ b/tests/features/steps/fleet_steps.py
@@ -233,7 +233,7 @@
     await asyncio.sleep(5)
     if source == "its load report":
         # Only its watcher reads the load report.
-        fleet.daemons[2].news.publish_leaving("server-7")
+        fleet.daemons[2].updates.publish_leaving("server-7")
         fleet.daemons[2].runtime.submit(
             server_inputs.ServerLeaving(fleet.clock.now_ms(), "server-7")
         )
--- a/tests/sim/fleet.py
+++ b/tests/sim/fleet.py
@@ -81,11 +81,11 @@
             serving_lease=self.serving_lease,
             rng=rng,
         )
-        self.news = peer_updates.PeerUpdates(
+        self.updates = peer_updates.PeerUpdates(
             members=members, runtime=self.runtime, client=peers
         )
         self.gossiper = gossip.Gossiper(
-            updates=self.news,
+            updates=self.updates,
             members=members,
             runtime=self.runtime,
             keeper=self.keeper,
@@ -95,12 +95,12 @@
             seeds=tuple(fleet.seeds),
         )
         streams = server_watcher.Streams()
-        streams.connect(core=self.runtime, updates=self.news)
+        streams.connect(core=self.runtime, updates=self.updates)
         self.lists = listing.ListWatcher(
             instances=connections.InstanceListFake(fleet, self),
             core=self.runtime,
             members=members,
-            updates=self.news,
+            updates=self.updates,
             streams=streams,
             on_daemons_listed=lambda _: None,
         )
@@ -158,7 +158,7 @@
         while True:
             await self.gate.wait_until_open()
             self.gossiper.tick()
-            self.news.flush()
+            self.updates.flush()
             await asyncio.sleep(GOSSIP_MS / 1000)
 
 
