--- a/tests/cases/connection_timeouts.py
+++ b/tests/cases/connection_timeouts.py
@@ -19,7 +19,7 @@
 
 @contextlib.asynccontextmanager
 async def connected():
-    """Runs a server whose answers are held, and connects to it."""
+    """Runs a server that answers when the test lets it, and connects."""
     clock = ManualClock(1_000)
     may_answer = asyncio.Event()
     bodies: list[bytes] = []
--- a/tests/cases/crash_rows.py
+++ b/tests/cases/crash_rows.py
@@ -122,8 +122,8 @@
     first = Daemon(store)
     first.crash("s1", "s2", "s3")
     await _settle()
-    done = quarantine.Completion(content="desk/f", at_ms=2_000)
-    first.rows.record(effects.TellCrashes(target="", completions=(done,)))
+    completion = quarantine.Completion(content="desk/f", at_ms=2_000)
+    first.rows.record(effects.TellCrashes(target="", completions=(completion,)))
     await _settle()
     second = Daemon(store)
     second.crash("s9", content="desk/g")
@@ -137,8 +137,10 @@
     Daemon(store).crash("s1", "s2", "s3")
     await _settle()
     lifting = Daemon(store)
-    done = quarantine.Completion(content="desk/f", at_ms=2_000)
-    lifting.rows.record(effects.TellCrashes(target="", completions=(done,)))
+    completion = quarantine.Completion(content="desk/f", at_ms=2_000)
+    lifting.rows.record(
+        effects.TellCrashes(target="", completions=(completion,))
+    )
     await _settle()
     later = Daemon(store)
     later.crash("s9", content="desk/g")
@@ -196,9 +198,11 @@
     """Guards against store calls on days without crashes."""
     store = Store()
     daemon = Daemon(store)
-    done = quarantine.Completion(content="desk/f", at_ms=2_000)
+    completion = quarantine.Completion(content="desk/f", at_ms=2_000)
     # Never quarantined, so it is sent only to the daemons of its servers.
-    daemon.rows.record(effects.TellCrashes(target="m", completions=(done,)))
+    daemon.rows.record(
+        effects.TellCrashes(target="m", completions=(completion,))
+    )
     for _ in range(3):
         daemon.crash("s1")
     await _settle()
--- a/tests/cases/freshness.py
+++ b/tests/cases/freshness.py
@@ -9,9 +9,9 @@
 
 
 def _freshness_at(version: int = 5) -> Freshness:
-    known = Freshness(topic=Topic.TABLE)
-    known.record_version(version)
-    return known
+    freshness = Freshness(topic=Topic.TABLE)
+    freshness.record_version(version)
+    return freshness
 
 
 def a_peer_s_delayed_answer_is_dated_by_its_request() -> None:
@@ -21,10 +21,10 @@
     a request to a peer, is suspended for 8 s, then reads the answer from its
     socket. The age was counted from the arrival of the answer.
     """
-    known = _freshness_at()
+    freshness = _freshness_at()
     belief = Belief(Topic.TABLE, 5, age_ms=200)
-    known.apply_belief(belief, asked_at_ms=10_000, now_ms=18_000)
-    assert known.confirmed_at_ms == 9_800
+    freshness.apply_belief(belief, asked_at_ms=10_000, now_ms=18_000)
+    assert freshness.confirmed_at_ms == 9_800
 
 
 def a_peer_with_a_newer_version_confirms_nothing() -> None:
@@ -33,14 +33,14 @@
     Guards against an older table served as the newest: a peer reports that
     version 6 was confirmed a moment ago, and only the age was checked.
     """
-    known = _freshness_at()
-    known.apply_belief(
+    freshness = _freshness_at()
+    freshness.apply_belief(
         Belief(Topic.TABLE, 6, 0), asked_at_ms=10_000, now_ms=10_004
     )
-    assert known.confirmed_at_ms < 0
-    assert known.behind_since_ms == 10_004
-    known.record_version(6)
-    assert known.behind_since_ms == -1
+    assert freshness.confirmed_at_ms < 0
+    assert freshness.behind_since_ms == 10_004
+    freshness.record_version(6)
+    assert freshness.behind_since_ms == -1
 
 
 def a_peer_that_lags_confirms_nothing() -> None:
@@ -50,11 +50,11 @@
     that is cut off reports version 4 as the newest, and any confirmation
     counted for the daemon's own version.
     """
-    known = _freshness_at()
-    known.apply_belief(
+    freshness = _freshness_at()
+    freshness.apply_belief(
         Belief(Topic.TABLE, 4, 0), asked_at_ms=10_000, now_ms=10_004
     )
-    assert known.confirmed_at_ms < 0 and known.behind_since_ms < 0
+    assert freshness.confirmed_at_ms < 0 and freshness.behind_since_ms < 0
 
 
 def confirmation_ages_add_up_over_many_daemons() -> None:
@@ -67,13 +67,13 @@
     daemons = [_freshness_at() for _ in range(10)]
     daemons[0].record_confirmation(1_000)
     for now_ms in range(1_000, 11_000, 100):
-        for number, known in enumerate(daemons):
+        for number, freshness in enumerate(daemons):
             belief = daemons[(number + 1) % 10].current_belief(now_ms=now_ms)
             if belief is not None:
-                known.apply_belief(
+                freshness.apply_belief(
                     belief, asked_at_ms=now_ms - 4, now_ms=now_ms
                 )
-    assert max(known.confirmed_at_ms for known in daemons) == 1_000
+    assert max(freshness.confirmed_at_ms for freshness in daemons) == 1_000
 
 
 async def a_daemon_does_not_poll_while_peers_confirm() -> None:
@@ -84,17 +84,17 @@
     peers, then none.
     """
     harness = feed_follower.FollowerHarness()
-    known = _freshness_at(version=5)
-    harness.follower._freshness = known
+    freshness = _freshness_at(version=5)
+    harness.follower._freshness = freshness
     harness.follower._is_reader = lambda: False
     assert not harness.follower.can_skip_read()
     await harness.step(feed_follower.page(5, ("a", "1"), clock_ms=50_000))
-    known.record_confirmation(harness.clock.now_ms())
+    freshness.record_confirmation(harness.clock.now_ms())
     assert harness.follower.can_skip_read()
     harness.clock.advance(by_ms=3_000)
     assert not harness.follower.can_skip_read()
-    known.record_confirmation(harness.clock.now_ms())
-    known.behind_since_ms = harness.clock.now_ms() - 1_000
+    freshness.record_confirmation(harness.clock.now_ms())
+    freshness.behind_since_ms = harness.clock.now_ms() - 1_000
     assert not harness.follower.can_skip_read()
 
 
@@ -106,8 +106,8 @@
     confirmation of the active table.
     """
     harness = feed_follower.FollowerHarness()
-    known = _freshness_at(version=5)
-    harness.follower._freshness = known
+    freshness = _freshness_at(version=5)
+    harness.follower._freshness = freshness
     await harness.step(feed_follower.page(5, ("a", "1"), clock_ms=50_000))
     confirmed = len(harness.confirmed)
     await harness.step(feed_follower.page(7, ("a", "broken"), clock_ms=50_010))
@@ -143,18 +143,18 @@
 
     clock = ManualClock(feed_follower.START_MS)
     updates = _RecordedUpdates()
-    known = Freshness(topic=Topic.SERVERS)
+    freshness = Freshness(topic=Topic.SERVERS)
     follower = feed_follower.FollowerHarness().follower
     follower._clock = clock
     instance_follower = instances.InstanceFollower(
         core=one_lead.Runtime(clock),
         decode=lambda rows: instance_rows.ParsedRows(dict(rows), {}),
         updates=updates,
-        list_freshness=known,
+        list_freshness=freshness,
         is_reader=lambda: is_reader,
     )
     instance_follower.follower = follower
-    return instance_follower, follower, known, updates
+    return instance_follower, follower, freshness, updates
 
 
 def a_gap_in_the_list_s_changes_is_detected() -> None:
@@ -164,12 +164,12 @@
     change is lost, the next one arrives, and changes were merged without
     comparing versions.
     """
-    instance_follower, _, known, _ = _list_follower(is_reader=False)
-    known.record_version(5)
+    instance_follower, _, freshness, _ = _list_follower(is_reader=False)
+    freshness.record_version(5)
     instance_follower.apply_changes({"s8": _instance("s8")}, 5, 6)
-    assert known.version == 6 and known.behind_since_ms < 0
+    assert freshness.version == 6 and freshness.behind_since_ms < 0
     instance_follower.apply_changes({"s9": _instance("s9")}, 7, 8)
-    assert known.version == 6 and known.behind_since_ms >= 0
+    assert freshness.version == 6 and freshness.behind_since_ms >= 0
     assert "s9" not in instance_follower._instances
 
 
@@ -182,13 +182,13 @@
     only once peers' confirmations were two seconds old, and the server got new
     work until then. The wait counts from the first update after the gap.
     """
-    instance_follower, follower, known, _ = _list_follower(is_reader=False)
+    instance_follower, follower, freshness, _ = _list_follower(is_reader=False)
     clock = instance_follower._core.clock
-    follower._freshness = known
+    follower._freshness = freshness
     follower._is_reader = lambda: False
     follower._needs_snapshot = False
-    known.record_version(6)
-    known.record_confirmation(clock.now_ms())
+    freshness.record_version(6)
+    freshness.record_confirmation(clock.now_ms())
     for version in (8, 9):
         instance_follower.apply_changes(
             {"s9": _instance(f"s{version}")}, version - 1, version
@@ -258,7 +258,7 @@
     version, and were dropped.
     """
     reader, follower, _, updates = _list_follower(is_reader=True)
-    peer, _, known, _ = _list_follower(is_reader=False)
+    peer, _, freshness, _ = _list_follower(is_reader=False)
     instances_by_name = {name: _instance(name) for name in ("a", "b")}
     follower.version = 5
     reader.apply_rows(instances_by_name)
@@ -274,7 +274,7 @@
     reader._core.clock.advance(by_ms=2_400)
     reader.drop_missing()
     peer.apply_changes(*updates.published[-1])
-    assert known.version == 7, known
+    assert freshness.version == 7, freshness
     assert updates.published[-1][0] == {**changes, "b": None}
 
 
@@ -288,12 +288,12 @@
     published. Its read showed nothing newer than 5, so that a change based on 5
     is newer than the read.
     """
-    peer, follower, known, _ = _list_follower(is_reader=False)
+    peer, follower, freshness, _ = _list_follower(is_reader=False)
     follower.version, follower._feed_version = 5, 9
     peer.apply_rows({"a": _instance("a")})
     peer.apply_changes({"a": _instance("a", leaving=True)}, 5, 5)
     assert peer._core.core.world.servers["a"].leaving
-    assert known.version == 5
+    assert freshness.version == 5
 
 
 def a_slow_answer_does_not_restore_a_removed_server() -> None:
@@ -331,7 +331,7 @@
     version 4 replaced the server's entry by an older one, and the reader then
     published its list as version 5 without the leaving state.
     """
-    reader, follower, known, updates = _list_follower(is_reader=True)
+    reader, follower, freshness, updates = _list_follower(is_reader=True)
     instances_by_name = {name: _instance(name) for name in ("a", "b")}
     leaving = _instance("a", leaving=True)
     follower.version = 3
@@ -343,7 +343,7 @@
     assert reader._instances["a"].leaving
     reader._core.clock.advance(by_ms=2_400)
     reader.drop_missing()
-    assert known.version == 5
+    assert freshness.version == 5
     assert updates.published[-1] == ({"a": leaving, "b": None}, 4, 5)
 
 
@@ -355,7 +355,7 @@
     reader published a change of it. The daemon dropped it after 2.3 s, and had
     the newest list without it.
     """
-    instance_follower, follower, known, _ = _list_follower(is_reader=False)
+    instance_follower, follower, freshness, _ = _list_follower(is_reader=False)
     instances_by_name = {name: _instance(name) for name in ("a", "b")}
     follower.version = 3
     instance_follower.apply_rows(instances_by_name)
@@ -365,7 +365,7 @@
     instance_follower.apply_changes({"c": _instance("c")}, 3, 6)
     instance_follower._core.clock.advance(by_ms=2_400)
     instance_follower.drop_missing()
-    assert known.version == 6
+    assert freshness.version == 6
     assert set(instance_follower._instances) == {"a", "b", "c"}, (
         instance_follower._instances
     )
@@ -386,12 +386,12 @@
     merged = first.merged_with(later)
     first.add_list_changes({"y": _instance("y")}, before=5, version=6)
     for updates in (merged, first):
-        peer, _, known, _ = _list_follower(is_reader=False)
+        peer, _, freshness, _ = _list_follower(is_reader=False)
         peer.apply_changes({"b": _instance("b")}, 0, 3)
         peer.apply_changes(
             updates.listed, updates.list_before, updates.list_version
         )
-        assert known.version == 3 and known.behind_since_ms >= 0
+        assert freshness.version == 3 and freshness.behind_since_ms >= 0
     combined = pending.PendingNews()
     combined.add_list_changes({"x": _instance("x")}, before=3, version=4)
     combined.add_list_changes({"y": None}, before=4, version=5)
--- a/tests/cases/instance_rows.py
+++ b/tests/cases/instance_rows.py
@@ -264,7 +264,7 @@
     """Cache, backlog, leaving and ejection belong to the process that ended.
 
     Guards against an id that is treated as the incarnation: a server leaves
-    with a full cache and requests, then starts again under its id with a later
+    with a full cache and requests, then restarts under its id with a later
     start time in its entry. Prompts were sent to it for levels cached before
     the restart, or it got no work, since it was leaving.
     """
@@ -339,7 +339,7 @@
     """A server that restarts while it loads is ordered once more.
 
     Guards against a server that keeps replaced weights until its order times
-    out: it is ordered to load, then starts again under its id with the weights
+    out: it is ordered to load, then restarts under its id with the weights
     it had, and the order was attributed to the new process.
     """
     rollout_state = rollout.Rollout(
--- a/tests/cases/quarantines.py
+++ b/tests/cases/quarantines.py
@@ -87,13 +87,13 @@
         ]
         views = []
         for _ in range(3):
-            known = quarantine.Quarantine()
+            view = quarantine.Quarantine()
             received = reports + rng.sample(reports, 5)
             rng.shuffle(received)
             for crash in received:
-                known.add(crash)
-            views.append(known)
-        assert len({known.digest() for known in views}) == 1, seed
+                view.add(crash)
+            views.append(view)
+        assert len({view.digest() for view in views}) == 1, seed
         expected = {
             content
             for content in {crash.content for crash in reports}
@@ -306,45 +306,45 @@
 
 def an_older_completed_run_does_not_replace_a_newer_one() -> None:
     """Guards against crashes that count again after a late report."""
-    known = quarantine.Quarantine()
+    state = quarantine.Quarantine()
 
     def crash(start: str, at_ms: int) -> bool:
-        return known.add(
+        return state.add(
             quarantine.Crash(
                 content="c", start=start, reporter="d", at_ms=at_ms
             )
         )
 
     crash("s1", 10)
-    known.add_completion(quarantine.Completion(content="c", at_ms=100))
+    state.add_completion(quarantine.Completion(content="c", at_ms=100))
     assert crash("s2", 200)
-    known.add_completion(quarantine.Completion(content="c", at_ms=20))
+    state.add_completion(quarantine.Completion(content="c", at_ms=20))
     assert not crash("s3", 50)
 
 
 def an_exchange_makes_up_for_lost_crash_reports() -> None:
     """Guards against daemons that miss a crash that is reported once."""
-    known = [quarantine.Quarantine() for _ in range(2)]
+    views = [quarantine.Quarantine() for _ in range(2)]
     for number in range(5):
-        known[number % 2].add(
+        views[number % 2].add(
             quarantine.Crash(
                 content="c", start=f"s{number}", reporter="d", at_ms=number
             )
         )
-    assert known[0].digest() != known[1].digest()
-    for sender, receiver in (known, reversed(known)):
+    assert views[0].digest() != views[1].digest()
+    for sender, receiver in (views, reversed(views)):
         for crash in sender.crashes_to_exchange():
             receiver.add(crash)
-    assert known[0].digest() == known[1].digest() != 0
-    assert [len(view) for view in known] == [1, 1]
+    assert views[0].digest() == views[1].digest() != 0
+    assert [len(view) for view in views] == [1, 1]
 
 
 def crashes_remembered_are_bounded() -> None:
     """Guards against callers that fill memory with ever new requests."""
-    known = quarantine.Quarantine()
+    state = quarantine.Quarantine()
     for number in range(quarantine.MAX_CONTENTS + 500):
         for start in range(3 if number < 10 else 1):
-            known.add(
+            state.add(
                 quarantine.Crash(
                     content=f"c{number}",
                     start=f"s{start}",
@@ -352,11 +352,11 @@
                     at_ms=number,
                 )
             )
-    assert len(known) == 10
+    assert len(state) == 10
     kept = sum(
-        bool(known.crashes(f"c{n}"))
+        bool(state.crashes(f"c{n}"))
         for n in range(quarantine.MAX_CONTENTS + 500)
     )
     assert kept == quarantine.MAX_CONTENTS
-    known.expire(now_ms=10 * quarantine.QUARANTINE_MS)
-    assert len(known) == 0
+    state.expire(now_ms=10 * quarantine.QUARANTINE_MS)
+    assert len(state) == 0
--- a/tests/cases/repeats.py
+++ b/tests/cases/repeats.py
@@ -130,8 +130,8 @@
     late.fail(sent[late], SENT)
     late.tell(server_inputs.ProbeAnswered, "s1", alive=False, ended=True)
     content = announced.crashes[0].content
-    known = late.world.quarantine.crashes(content)
-    assert len(known) == 1, known
+    known_crashes = late.world.quarantine.crashes(content)
+    assert len(known_crashes) == 1, known_crashes
 
 
 def one_crash_seen_by_many_daemons_counts_once() -> None:
--- a/tests/cases/rollout_bounds.py
+++ b/tests/cases/rollout_bounds.py
@@ -108,8 +108,8 @@
     limit, the lead loads nine of 56 engines by its wait and gives no order
     until these finish, 1.0 to 3.2 s under load. The second in rank waited 2 s,
     had 20 slots by its own wait, and took the lease. The first then started its
-    roll-out again, with its own loads held as another's. With one load at a
-    time the held one left no slot:
+    roll-out again, with its own loads counted as held by others. With one
+    load at a time the held one left no slot:
 
         event=rollout behind=40 loading=0 held=1 room=0 pressed=1 (edge-2)
     """
--- a/tests/cases/routed.py
+++ b/tests/cases/routed.py
@@ -125,9 +125,9 @@
 def a_stream_continues_at_another_server() -> None:
     """A resumable stream that breaks continues after its last event.
 
-    Symptom: events are duplicated or missing, or the stream starts again.
+    Symptom: events are duplicated or missing, or the stream restarts.
     Sequence: events 2 and 3 arrive, then the connection breaks.
-    Cause: the second server was asked for the whole stream.
+    Cause: the whole stream was requested from the second server.
     """
     core = routed_core.Core()
     core.arrive("long")
@@ -459,7 +459,7 @@
 
     Symptom: long prompts are computed twice.
     Sequence: nothing is received for 350 ms; the server answers a probe.
-    Cause: a server counted as lost for its silence alone.
+    Cause: a server was considered lost only because it was silent.
     """
     core = routed_core.Core()
     core.arrive("long")
--- a/tests/cases/sourcing.py
+++ b/tests/cases/sourcing.py
@@ -110,8 +110,8 @@
     """Long shared levels always have a second source.
 
     Symptom: levels that were just evicted are computed again.
-    Sequence: a question goes to the server that is believed to cache its
-        levels.
+    Sequence: a prompt goes to the server that is expected to have its
+        levels cached.
     Cause: no source was named where none seemed necessary.
     """
     core = _core()
--- a/tests/features/promises/no_cold_start.feature
+++ b/tests/features/promises/no_cold_start.feature
@@ -2,7 +2,7 @@
 Feature: A restarted daemon keeps using cached prefixes
 
   Scenario Outline: Restarted daemons place prompts where they are cached
-    # Symptom: after a deployment every rulebook is computed again.
+    # Symptom: after a deployment every cached prefix is computed again.
     # Sequence: prompts with many prefixes have been served; <who> killed
     #   and restarted <platform>; the same prefixes are requested at once.
     # Cause: only the old process knows where a prefix is cached.
