--- a/tests/cases/leading.py
+++ b/tests/cases/leading.py
@@ -89,12 +89,12 @@
 
 
 def an_unreadable_lease_row_hides_no_order() -> None:
-    """An unreadable lease row counts as orders for all servers given now.
+    """An unreadable lease row counts as orders just given to all servers.
 
     Guards against a leading loop that ends, or two holders that order one
     server: a holder has ordered, the row's text is corrupted, and another
-    daemon reads it. The reader failed, or fencing numbers started again from
-    the beginning.
+    daemon reads it. The reader failed, or fencing numbers restarted from the
+    beginning.
     """
 
     async def case() -> None:
--- a/tests/cases/routed.py
+++ b/tests/cases/routed.py
@@ -522,7 +522,7 @@
     Symptom: a caller repeats a call that has run.
     Sequence: attempts fail, are declined, time out and lose their callers in
         any order.
-    Cause: any path that forgets that an attempt may have run.
+    Cause: any path that ignores that an attempt may have run.
     """
     for seed in range(SCHEDULES):
         _one_schedule(random.Random(seed))
