--- a/tests/cases/weights.py
+++ b/tests/cases/weights.py
@@ -307,7 +307,7 @@
 
 
 def publications_received_in_one_table_have_one_age() -> None:
-    """Of two publications in one table, each may be as old as the other.
+    """Two publications received in one table count as equally old.
 
     The store's readers were disconnected for three seconds; versions 2 and 3
     were published meanwhile, and one table brought both. The weights of a
