--- a/tests/cases/routed.py
+++ b/tests/cases/routed.py
@@ -125,9 +125,9 @@
 def a_stream_continues_at_another_server() -> None:
     """A resumable stream that breaks continues after its last event.
 
-    Symptom: events are duplicated or missing, or the stream starts again.
+    Symptom: events are duplicated or missing, or the stream restarts.
     Sequence: events 2 and 3 arrive, then the connection breaks.
-    Cause: the second server was asked for the whole stream.
+    Cause: the whole stream was requested from the second server.
     """
     core = routed_core.Core()
     core.arrive("long")
@@ -208,7 +208,7 @@
 def a_key_revoked_while_its_request_is_queued_is_not_served() -> None:
     """A key is checked again before its request is dispatched.
 
-    Symptom: a request runs after its key was revoked for good.
+    Symptom: a request runs after its key was revoked permanently.
     Sequence: a request is queued; its key is revoked; a server becomes free.
     Cause: keys were checked on arrival only.
     """
@@ -459,7 +459,7 @@
 
     Symptom: long prompts are computed twice.
     Sequence: nothing is received for 350 ms; the server answers a probe.
-    Cause: a server counted as lost for its silence alone.
+    Cause: a server was considered lost only because it was silent.
     """
     core = routed_core.Core()
     core.arrive("long")
@@ -522,7 +522,7 @@
     Symptom: a caller repeats a call that has run.
     Sequence: attempts fail, are declined, time out and lose their callers in
         any order.
-    Cause: any path that forgets that an attempt may have run.
+    Cause: any path that ignores that an attempt may have run.
     """
     for seed in range(SCHEDULES):
         _one_schedule(random.Random(seed))
